--- a/src/dataplane/client_connection.cpp
+++ b/src/dataplane/client_connection.cpp
@@ -8,18 +8,18 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr Time kBodyPatience = 60 * kSecond;      // from the head to the end of the body
-constexpr Time kSendPatience = 15 * kSecond;      // for a client to take the rest of its answer
-constexpr Time kFinishPatience = kSecond;         // for a client to end its side
+constexpr Time kBodyTimeout = 60 * kSecond;       // from the head to the end of the body
+constexpr Time kSendTimeout = 15 * kSecond;       // for a client to take the rest of its answer
+constexpr Time kFinishTimeout = kSecond;          // for a client to end its side
 constexpr Time kIdleMargin = 500 * kMillisecond;  // a request that comes in time has to travel, too
 constexpr Time kEndingRetry = 50 * kMillisecond;  // another dispatcher takes it
 constexpr Time kNoConfigurationRetry = 200 * kMillisecond, kFullRetry = 300 * kMillisecond;
-constexpr std::size_t kMostWaitingBody = 16 * 1024;  // larger requests do not wait for a configuration
-constexpr int kUserTimeoutMs = 15000;                // a client's machine without power
+constexpr std::size_t kMaxWaitingBody = 16 * 1024;  // larger requests do not wait for a configuration
+constexpr int kUserTimeoutMs = 15000;               // a client's machine without power
 
 HttpOptions OptionsOfClients(const ClientBounds& bounds) {
   HttpOptions options;
-  options.most_head = bounds.head, options.most_body = bounds.body;
+  options.max_head = bounds.head, options.max_body = bounds.body;
   options.reading = Reading::kPaced;
   options.keep_name_case = true;
   options.ignore_upgrade = true;
@@ -52,10 +52,10 @@
   http_->Start();
 }
 
-void ClientConnection::Enter(Stage stage, Time patience) {
+void ClientConnection::Enter(Stage stage, Time timeout) {
   stage_ = stage;
   since_ = context_->Now();
-  due_ = patience > 0 ? since_ + patience : 0;
+  due_ = timeout > 0 ? since_ + timeout : 0;
 }
 
 void ClientConnection::Look(Time now) {
@@ -84,7 +84,7 @@
 // ---- Requests ----
 
 void ClientConnection::HeadCame(const HttpMessage& head) {
-  Enter(Stage::kReadingBody, kBodyPatience);
+  Enter(Stage::kReadingBody, kBodyTimeout);
   arrived_ = since_;
   if (!head.has_length) return;
   if (!exchanges_->HasRoom(head.length)) {
@@ -106,7 +106,7 @@
   Request& request = std::get<Request>(parsed);
   if (context_->router != nullptr) return Serve(std::move(request));
   const Time left = context_->configuration_due - context_->Now();
-  if (left <= 0 || request.message.body.size() > kMostWaitingBody) return RefuseUnconfigured();
+  if (left <= 0 || request.message.body.size() > kMaxWaitingBody) return RefuseUnconfigured();
   waiting_ = std::move(request);
   Enter(Stage::kAwaitingConfiguration, left);
 }
@@ -180,7 +180,7 @@
 void ClientConnection::EndAnswer() {
   exchange_ = 0;
   if (http_->unsent() == 0) return Answered();
-  Enter(Stage::kSending, kSendPatience);
+  Enter(Stage::kSending, kSendTimeout);
 }
 
 void ClientConnection::Drained() {
@@ -204,7 +204,7 @@
 
 void ClientConnection::Finish() {
   if (stage_ == Stage::kOver || stage_ == Stage::kFinishing) return;
-  Enter(Stage::kFinishing, kFinishPatience);
+  Enter(Stage::kFinishing, kFinishTimeout);
   http_->Finish([this] { Close(); });
 }
 
--- a/src/dataplane/client_connection.h
+++ b/src/dataplane/client_connection.h
@@ -48,7 +48,7 @@
     kOver
   };
 
-  void Enter(Stage stage, Time patience);  // 0: no bound
+  void Enter(Stage stage, Time timeout);  // 0: no bound
   void HeadCame(const HttpMessage& head);
   void RequestCame(HttpMessage message);
   void Serve(Request request);
--- a/src/dataplane/configuration_log.cpp
+++ b/src/dataplane/configuration_log.cpp
@@ -9,7 +9,7 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr int kMostNamedRoutes = 8;
+constexpr int kMaxNamedRoutes = 8;
 
 std::string DeadlineText(const messages::Route& route) {
   return std::to_string(static_cast<long long>(route.deadline_ms()));
@@ -26,7 +26,7 @@
   for (const messages::Route& route : now.routes()) {
     const auto old = old_routes.find(route.name());
     if (old == old_routes.end() || old->second->deadline_ms() == route.deadline_ms()) continue;
-    if (++named > kMostNamedRoutes) break;
+    if (++named > kMaxNamedRoutes) break;
     changes.append(", deadline of ").append(route.name()).append(" ").append(DeadlineText(*old->second));
     changes.append(" -> ").append(DeadlineText(route)).append(" ms");
   }
--- a/src/dataplane/data_plane.cpp
+++ b/src/dataplane/data_plane.cpp
@@ -15,25 +15,25 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr int kKeptDescriptors = 500;                  // files, and the sockets of the rest of the process
-constexpr std::size_t kBodyShare = 4;                  // of the memory one part is for requests' bodies
-constexpr std::size_t kMostIdle = 64, kLeastIdle = 2;  // connections kept to a runner
-constexpr Time kPublishEvery = 250 * kMillisecond;
+constexpr int kKeptDescriptors = 500;               // files, and the sockets of the rest of the process
+constexpr std::size_t kBodyShare = 4;               // of the memory one part is for requests' bodies
+constexpr std::size_t kMaxIdle = 64, kMinIdle = 2;  // connections kept to a runner
+constexpr Time kPublishInterval = 250 * kMillisecond;
 constexpr double kRefuseStreamsFromPart = 0.3;  // of the grace
 constexpr double kRefuseFromPart = 0.6;
-constexpr Time kDrainLookEvery = 50 * kMillisecond;
+constexpr Time kDrainCheckInterval = 50 * kMillisecond;
 
-std::size_t MostConnections(int descriptors) {
+std::size_t MaxConnections(int descriptors) {
   return static_cast<std::size_t>(std::max(16, descriptors - kKeptDescriptors)) / 2;
 }
 
 // Half of this dispatcher's part of the connections that a runner takes, for the service with the least.
-std::size_t MostIdle(const routing::Snapshot& snapshot) {
-  int least = 2 * static_cast<int>(kMostIdle) * std::max(1, snapshot.live_dispatchers);
+std::size_t MaxIdle(const routing::Snapshot& snapshot) {
+  int least = 2 * static_cast<int>(kMaxIdle) * std::max(1, snapshot.live_dispatchers);
   if (snapshot.configuration != nullptr)
     for (const auto& service : snapshot.configuration->services())
       if (service.connection_limit() > 0) least = std::min(least, service.connection_limit());
-  return std::max<std::size_t>(kLeastIdle, least / (2 * std::max(1, snapshot.live_dispatchers)));
+  return std::max<std::size_t>(kMinIdle, least / (2 * std::max(1, snapshot.live_dispatchers)));
 }
 
 }  // namespace
@@ -43,9 +43,9 @@
   explicit Impl(Settings settings)
       : settings_(std::move(settings)),
         context_(io_),
-        runners_(io_, &context_.deadlines, MostConnections(settings_.descriptors)),
+        runners_(io_, &context_.deadlines, MaxConnections(settings_.descriptors)),
         exchanges_(&context_, &runners_, settings_.memory_bytes / kBodyShare, settings_.seed),
-        listener_(&context_, &exchanges_, MostConnections(settings_.descriptors)) {}
+        listener_(&context_, &exchanges_, MaxConnections(settings_.descriptors)) {}
 
   ~Impl() {
     io_.stop();
@@ -103,7 +103,7 @@
       context_.router = std::make_shared<const routing::Router>(snapshot->configuration);
       LogInForce(before == nullptr ? nullptr : before->configuration.get(), *snapshot->configuration);
     }
-    runners_.SetMostIdle(MostIdle(*snapshot));
+    runners_.SetMaxIdle(MaxIdle(*snapshot));
     exchanges_.Install(snapshot);
     if (first && context_.router != nullptr) listener_.ConfigurationCame();
   }
@@ -126,7 +126,7 @@
 
   void PublishRegularly() {
     Publish();
-    context_.deadlines.Add(context_.Now() + kPublishEvery, [this] { PublishRegularly(); });
+    context_.deadlines.Add(context_.Now() + kPublishInterval, [this] { PublishRegularly(); });
   }
 
   // New connections come until the platform has noticed; so it serves on. In the second half of the grace the
@@ -144,7 +144,7 @@
     const bool nothing_waits = listener_.TakeWaiting();
     const bool nothing_owed = exchanges_.size() == 0 && listener_.connections() == 0;
     drained_ = late && nothing_waits && nothing_owed;
-    context_.deadlines.Add(context_.Now() + kDrainLookEvery, [this] { LookForEnd(); });
+    context_.deadlines.Add(context_.Now() + kDrainCheckInterval, [this] { LookForEnd(); });
   }
 
   const Settings settings_;
--- a/src/dataplane/event_stream.h
+++ b/src/dataplane/event_stream.h
@@ -17,7 +17,7 @@
     bool has_field = false;           // false: a comment or blank lines alone
   };
 
-  explicit EventStream(std::size_t most_event) : most_event_(most_event) {}
+  explicit EventStream(std::size_t max_event) : max_event_(max_event) {}
 
   // Calls with each event that `bytes` makes whole. False: an event has grown beyond the bound.
   template <typename Call>
@@ -28,7 +28,7 @@
     while (Next(&used, &event)) call(event);
     held_.erase(0, used);
     line_ -= used, scanned_ -= used;
-    return held_.size() <= most_event_;
+    return held_.size() <= max_event_;
   }
 
   std::string_view rest() const { return held_; }  // the part of an event that is not whole
@@ -37,7 +37,7 @@
   bool Next(std::size_t* begin, Event* event);
   void ReadLine(std::string_view line);
 
-  std::size_t most_event_;
+  std::size_t max_event_;
   std::string held_;
   std::size_t line_ = 0, scanned_ = 0;  // where the present line begins; how far it has been looked through
   std::optional<std::uint64_t> id_;     // of the event that is being read
--- a/src/dataplane/exchange.cpp
+++ b/src/dataplane/exchange.cpp
@@ -13,7 +13,7 @@
 // The decision module may give a request up a little before its deadline.
 constexpr Time kDeadlineSlack = 20 * kMillisecond;
 constexpr int kFirstServerError = 500;
-constexpr Time kLeastRetryAfter = 50 * kMillisecond;
+constexpr Time kMinRetryAfter = 50 * kMillisecond;
 constexpr std::string_view kBusy = "no runner could take the request: retry after the time in Retry-After";
 constexpr std::string_view kBroke = "the runner broke off: retry if the request may run twice";
 constexpr std::string_view kLate = "the deadline came before an answer: retry with more time";
@@ -39,7 +39,7 @@
       context_(context),
       runners_(runners),
       table_(table),
-      events_(kMostHeldEvent) {
+      events_(kMaxHeldEvent) {
   alarm_ = context_->deadlines.Add(deadline_, [this] { DeadlineCame(); });
 }
 
@@ -89,7 +89,7 @@
 void Exchange::StartAttempt(const routing::StartAttempt& decision) {
   if (!MayStillGo()) {
     table_->AttemptEnded(number_, decision.attempt, AttemptOutcome::kCancelled, /*final=*/true);
-    return AnswerOwn({503, kRouteGone, kLeastRetryAfter, CutReason::kRouteGone});
+    return AnswerOwn({503, kRouteGone, kMinRetryAfter, CutReason::kRouteGone});
   }
   Attempt::Settings settings;
   settings.number = decision.attempt;
@@ -120,7 +120,7 @@
 }
 
 void Exchange::Refuse(Time retry_after) {
-  AnswerOwn({503, kBusy, std::max(retry_after, kLeastRetryAfter),
+  AnswerOwn({503, kBusy, std::max(retry_after, kMinRetryAfter),
              Late() ? CutReason::kDeadline : CutReason::kNoOtherRunner});
 }
 
@@ -165,7 +165,7 @@
   }
   table_->Gone(number_);
   if (may_have_run_) return AnswerOwn({504, kLate, std::nullopt, CutReason::kDeadline});
-  AnswerOwn({503, kBusy, kLeastRetryAfter, CutReason::kDeadline});
+  AnswerOwn({503, kBusy, kMinRetryAfter, CutReason::kDeadline});
 }
 
 // ---- Attempts ----
--- a/src/dataplane/exchange.h
+++ b/src/dataplane/exchange.h
@@ -19,7 +19,7 @@
 
 class ExchangeTable;
 
-inline constexpr std::size_t kMostHeldEvent = 1u << 20;  // of an event, until it is whole
+inline constexpr std::size_t kMaxHeldEvent = 1u << 20;  // of an event, until it is whole
 
 class Exchange : public AttemptOwner, public std::enable_shared_from_this<Exchange> {
  public:
--- a/src/dataplane/exchange_stream.cpp
+++ b/src/dataplane/exchange_stream.cpp
@@ -7,7 +7,7 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kMostUnsent = 64 * 1024;  // for a client that does not read: then its runner waits
+constexpr std::size_t kMaxUnsent = 64 * 1024;  // for a client that does not read: then its runner waits
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   StopOthers(attempt);
   streaming_ = &attempt;
   prelude_.clear();  // of an attempt before
-  events_ = EventStream(kMostHeldEvent);
+  events_ = EventStream(kMaxHeldEvent);
   if (head_sent_) return;  // the first runner's head stands
   stream_head_ = head;
   stream_head_.body.clear();
@@ -51,7 +51,7 @@
   prelude_.clear();
   bool first = false;
   PassEvents(bytes, &out, &first);
-  if (events_.rest().size() > kMostHeldEvent) return AttemptFailed(attempt, AttemptOutcome::kBroken);
+  if (events_.rest().size() > kMaxHeldEvent) return AttemptFailed(attempt, AttemptOutcome::kBroken);
   if (out.empty()) return;
   if (!head_sent_ && !first) return void(prelude_ = out);
   SendStream(attempt, out);
@@ -74,7 +74,7 @@
   } else if (sink_ != nullptr) {
     sink_->SendBody(framed);
   }
-  if (sink_ == nullptr || sink_->unsent() <= kMostUnsent) return;
+  if (sink_ == nullptr || sink_->unsent() <= kMaxUnsent) return;
   for (const auto& known : attempts_)
     if (known.get() == &attempt) known->PauseReading(true);
 }
--- a/src/dataplane/exchange_table.cpp
+++ b/src/dataplane/exchange_table.cpp
@@ -8,16 +8,16 @@
 // Clients of a route wait alike. One that came back has spent on its first try at least the time that it was
 // told to wait.
 constexpr double kCameBackPart = 0.02;  // of the time that it has left
-constexpr std::size_t kMostRoutes = 4096;
+constexpr std::size_t kMaxRoutes = 4096;
 constexpr Time kLongestDeadline = 600 * kSecond;  // where neither the client nor the route names one
 
 }  // namespace
 
-ExchangeTable::ExchangeTable(Context* context, RunnerPool* runners, std::size_t most_body_bytes,
+ExchangeTable::ExchangeTable(Context* context, RunnerPool* runners, std::size_t max_body_bytes,
                              std::uint64_t seed)
     : context_(context),
       runners_(runners),
-      most_body_bytes_(most_body_bytes),
+      max_body_bytes_(max_body_bytes),
       random_(seed),
       decisions_(context->Now(), seed) {}
 
@@ -28,14 +28,14 @@
   if (!HasRoom(request.message.body.size())) return 0;
   Exchange::Origin origin;
   origin.number = ++last_number_;
-  Time patience = std::min(request.patience.value_or(kLongestDeadline), kLongestDeadline);
+  Time timeout = std::min(request.timeout.value_or(kLongestDeadline), kLongestDeadline);
   // By the client's own patience: the route's deadline may change, and tells nothing of the client.
-  origin.since_first_try = SinceFirstTry(match.route->name(), patience);
+  origin.since_first_try = SinceFirstTry(match.route->name(), timeout);
   origin.came_back =
-      static_cast<double>(origin.since_first_try) > kCameBackPart * static_cast<double>(patience);
+      static_cast<double>(origin.since_first_try) > kCameBackPart * static_cast<double>(timeout);
   if (match.route->deadline_ms() > 0)
-    patience = std::min(patience, static_cast<Time>(match.route->deadline_ms() * kMillisecond));
-  origin.arrived = arrived, origin.deadline = arrived + patience;
+    timeout = std::min(timeout, static_cast<Time>(match.route->deadline_ms() * kMillisecond));
+  origin.arrived = arrived, origin.deadline = arrived + timeout;
   origin.service =
       routing::Router::ServiceOf(*match.route, std::uniform_real_distribution<double>(0, 1)(random_));
   origin.match = match, origin.router = context_->router, origin.sink = sink;
@@ -49,11 +49,11 @@
   return number;
 }
 
-Time ExchangeTable::SinceFirstTry(const std::string& route, Time patience) {
-  if (longest_patience_.size() >= kMostRoutes) longest_patience_.clear();
-  Time& longest = longest_patience_[route];
-  longest = std::max(longest, patience);
-  return longest - patience;
+Time ExchangeTable::SinceFirstTry(const std::string& route, Time timeout) {
+  if (longest_timeout_.size() >= kMaxRoutes) longest_timeout_.clear();
+  Time& longest = longest_timeout_[route];
+  longest = std::max(longest, timeout);
+  return longest - timeout;
 }
 
 std::shared_ptr<Exchange> ExchangeTable::Find(routing::RequestNumber number) const {
--- a/src/dataplane/exchange_table.h
+++ b/src/dataplane/exchange_table.h
@@ -15,7 +15,7 @@
 
 class ExchangeTable {
  public:
-  ExchangeTable(Context* context, RunnerPool* runners, std::size_t most_body_bytes, std::uint64_t seed);
+  ExchangeTable(Context* context, RunnerPool* runners, std::size_t max_body_bytes, std::uint64_t seed);
   ~ExchangeTable();
 
   // Takes a request that matches a route. 0: too much is in work, nothing has been done. The sink may be
@@ -28,7 +28,7 @@
   void Install(std::shared_ptr<const routing::Snapshot> snapshot);
 
   std::size_t size() const { return exchanges_.size(); }
-  bool HasRoom(std::size_t body_bytes) const { return body_bytes_ + body_bytes <= most_body_bytes_; }
+  bool HasRoom(std::size_t body_bytes) const { return body_bytes_ + body_bytes <= max_body_bytes_; }
   std::vector<routing::Decisions::Demand> Demand() const;
 
   // For exchanges.
@@ -40,7 +40,7 @@
 
  private:
   // How much less time the client has than others of the route had: it has spent that on an earlier try.
-  Time SinceFirstTry(const std::string& route, Time patience);
+  Time SinceFirstTry(const std::string& route, Time timeout);
   std::shared_ptr<Exchange> Find(routing::RequestNumber number) const;
   void Execute();
   void Execute(const routing::Decision& decision);
@@ -48,14 +48,14 @@
 
   Context* const context_;
   RunnerPool* const runners_;
-  const std::size_t most_body_bytes_;
+  const std::size_t max_body_bytes_;
   std::mt19937_64 random_;
   routing::Decisions decisions_;
   std::unordered_map<routing::RequestNumber, std::shared_ptr<Exchange>> exchanges_;
   std::vector<routing::Decision> pending_;  // decisions to be executed, in order
   bool executing_ = false;
   std::size_t body_bytes_ = 0;
-  std::unordered_map<std::string, Time> longest_patience_;  // by route
+  std::unordered_map<std::string, Time> longest_timeout_;  // by route
   routing::RequestNumber last_number_ = 0;
   Deadlines::Key timer_;
 };
--- a/src/dataplane/listener.cpp
+++ b/src/dataplane/listener.cpp
@@ -5,13 +5,13 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr Time kAcceptPause = 20 * kMillisecond;  // at the bound, or with no descriptor left
-constexpr Time kLookEvery = 250 * kMillisecond;   // at the time bounds of connections
+constexpr Time kAcceptPause = 20 * kMillisecond;     // at the bound, or with no descriptor left
+constexpr Time kCheckInterval = 250 * kMillisecond;  // at the time bounds of connections
 
 }  // namespace
 
-Listener::Listener(Context* context, ExchangeTable* exchanges, std::size_t most_connections)
-    : context_(context), exchanges_(exchanges), most_connections_(most_connections), acceptor_(context->io) {}
+Listener::Listener(Context* context, ExchangeTable* exchanges, std::size_t max_connections)
+    : context_(context), exchanges_(exchanges), max_connections_(max_connections), acceptor_(context->io) {}
 
 bool Listener::Listen(const std::string& address, std::string* error) {
   const std::size_t colon = address.rfind(':');
@@ -73,12 +73,12 @@
 
 // At the bound the connection that has rested longest gives way.
 bool Listener::MakeRoom() {
-  if (clients_.size() < most_connections_) return true;
+  if (clients_.size() < max_connections_) return true;
   ClientConnection* oldest = nullptr;
   for (const auto& [raw, client] : clients_)
     if (raw->idle() && (oldest == nullptr || raw->since() < oldest->since())) oldest = raw;
   if (oldest != nullptr) oldest->Retire();
-  return clients_.size() < most_connections_;
+  return clients_.size() < max_connections_;
 }
 
 void Listener::RetireIdle() {
@@ -98,7 +98,7 @@
   for (const auto& [raw, client] : clients_) all.push_back(raw);
   const Time now = context_->Now();
   for (ClientConnection* client : all) client->Look(now);  // may close that one
-  context_->deadlines.Add(now + kLookEvery, [this] { Look(); });
+  context_->deadlines.Add(now + kCheckInterval, [this] { Look(); });
 }
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/listener.h
+++ b/src/dataplane/listener.h
@@ -11,7 +11,7 @@
 
 class Listener {
  public:
-  Listener(Context* context, ExchangeTable* exchanges, std::size_t most_connections);
+  Listener(Context* context, ExchangeTable* exchanges, std::size_t max_connections);
 
   bool Listen(const std::string& address, std::string* error);
   void Start();
@@ -30,7 +30,7 @@
 
   Context* const context_;
   ExchangeTable* const exchanges_;
-  const std::size_t most_connections_;
+  const std::size_t max_connections_;
   asio::ip::tcp::acceptor acceptor_;
   std::unordered_map<ClientConnection*, std::unique_ptr<ClientConnection>> clients_;
   bool looking_ = false;
--- a/src/dataplane/request.cpp
+++ b/src/dataplane/request.cpp
@@ -10,9 +10,9 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr double kMostTokens = 1e9;
-constexpr double kMostPatienceMs = 24.0 * 3600 * 1000;
-constexpr std::size_t kMostPromptParts = 1024;
+constexpr double kMaxTokens = 1e9;
+constexpr double kMaxTimeoutMs = 24.0 * 3600 * 1000;
+constexpr std::size_t kMaxPromptParts = 1024;
 
 std::string_view Trim(std::string_view text) {
   const auto blank = [](char c) { return c == ' ' || c == '\t'; };
@@ -71,13 +71,12 @@
   if (slash != std::string_view::npos) request->adapter = model.substr(slash + 1);
   const std::string_view tokens = Value(message, header::kTokenCount);
   const std::size_t comma = tokens.find(',');
-  request->prompt_tokens = Number(tokens.substr(0, comma), kMostTokens).value_or(0);
+  request->prompt_tokens = Number(tokens.substr(0, comma), kMaxTokens).value_or(0);
   if (comma != std::string_view::npos)
-    request->output_tokens = Number(tokens.substr(comma + 1), kMostTokens).value_or(0);
+    request->output_tokens = Number(tokens.substr(comma + 1), kMaxTokens).value_or(0);
   ForEachPart(Value(message, header::kPromptPrefix), [request](std::string_view part) {
     const std::string_view id = part.substr(0, part.find(':'));
-    if (!id.empty() && request->prompt_parts.size() < kMostPromptParts)
-      request->prompt_parts.emplace_back(id);
+    if (!id.empty() && request->prompt_parts.size() < kMaxPromptParts) request->prompt_parts.emplace_back(id);
   });
 }
 
@@ -128,10 +127,10 @@
   if (request.attempt_id.empty())
     return RequestFault{400, std::string(header::kAttemptId) + " is missing: send an id with each try"};
   if (const std::string_view ms = Value(message, header::kDeadline); !ms.empty()) {
-    const auto number = Number(ms, kMostPatienceMs);
+    const auto number = Number(ms, kMaxTimeoutMs);
     if (!number)
       return RequestFault{400, std::string(header::kDeadline) + " is no number of milliseconds: correct it"};
-    request.patience = static_cast<Time>(*number * kMillisecond);
+    request.timeout = static_cast<Time>(*number * kMillisecond);
   }
   request.authorization = Value(message, header::kAuthorization);
   request.last_event_id = Value(message, header::kLastEventId);
--- a/src/dataplane/request.h
+++ b/src/dataplane/request.h
@@ -18,7 +18,7 @@
   std::string host;
   std::string attempt_id;
   std::string authorization;              // empty: none
-  std::optional<Time> patience;           // how long the client waits
+  std::optional<Time> timeout;            // how long the client waits
   std::string model, adapter;             // empty: none
   std::vector<std::string> prompt_parts;  // ids of the parts of the prompt, in order
   double prompt_tokens = 0;
--- a/src/dataplane/runner_pool.cpp
+++ b/src/dataplane/runner_pool.cpp
@@ -13,16 +13,16 @@
 
 // For a connection to come up; the more the later others came up of late, as where this machine's link is
 // full.
-constexpr Time kLeastConnectPatience = 400 * kMillisecond, kMostConnectPatience = kSecond;
-constexpr Time kSweepEvery = 500 * kMillisecond;
+constexpr Time kMinConnectTimeout = 400 * kMillisecond, kMaxConnectTimeout = kSecond;
+constexpr Time kSweepInterval = 500 * kMillisecond;
 // Runners name the time that they keep idle connections in whole seconds. One that names none keeps them for
 // less than a second, so long or short.
 constexpr Time kUnnamedRest = 150 * kMillisecond;
 constexpr Time kRestMargin = 350 * kMillisecond;  // a request and its runner's close must not cross
-constexpr Time kMostRest = 20 * kSecond;
+constexpr Time kMaxRest = 20 * kSecond;
 // A machine without power says nothing. Probes tell it from a runner that is only silent.
 constexpr int kUserTimeoutMs = 2500, kProbeAfterS = 1, kProbeEveryS = 1;
-constexpr std::size_t kMostBufferedAnswer = std::size_t{1} << 40;  // the user bounds it, piece by piece
+constexpr std::size_t kMaxBufferedAnswer = std::size_t{1} << 40;  // the user bounds it, piece by piece
 
 std::string KeyOf(const std::string& runner_id, const std::string& address) {
   return runner_id + '\n' + address;
@@ -47,7 +47,7 @@
   if (at == std::string::npos) return kUnnamedRest;
   Time seconds = 0;
   std::from_chars(value->data() + at + kTimeout.size(), value->data() + value->size(), seconds);
-  return std::clamp<Time>(seconds * kSecond - kRestMargin, 0, kMostRest);
+  return std::clamp<Time>(seconds * kSecond - kRestMargin, 0, kMaxRest);
 }
 
 template <int kLevel, int kName>
@@ -63,7 +63,7 @@
 
 HttpOptions OptionsOfRunners() {
   HttpOptions options;
-  options.most_body = kMostBufferedAnswer;
+  options.max_body = kMaxBufferedAnswer;
   options.reading = Reading::kPaced;
   options.keep_name_case = true;
   return options;
@@ -80,7 +80,7 @@
   events.on_head = [this](const HttpMessage& head) {
     if (user_ != nullptr) user_->HeadCame(head);
   };
-  events.on_piece = [this](std::string_view piece) {
+  events.on_body_chunk = [this](std::string_view piece) {
     if (user_ != nullptr) user_->PieceCame(piece);
   };
   events.on_message = [this](HttpMessage message) {
@@ -95,11 +95,11 @@
 
 RunnerConnection::~RunnerConnection() { http_->Close(); }
 
-RunnerPool::RunnerPool(asio::io_context& io, Deadlines* deadlines, std::size_t most_connections)
+RunnerPool::RunnerPool(asio::io_context& io, Deadlines* deadlines, std::size_t max_connections)
     : io_(io),
       deadlines_(deadlines),
-      most_connections_(most_connections),
-      connects_(kLeastConnectPatience, kMostConnectPatience),
+      max_connections_(max_connections),
+      connects_(kMinConnectTimeout, kMaxConnectTimeout),
       watch_(io, deadlines, &connects_) {}
 
 RunnerPool::~RunnerPool() { deadlines_->Remove(&sweep_); }
@@ -161,7 +161,7 @@
   if (rest <= 0) return;
   connection->usable_until_ = deadlines_->Now() + rest;
   std::vector<Connection>& kept = idle_[connection->key_];
-  if (kept.size() >= most_idle_) return;
+  if (kept.size() >= max_idle_) return;
   connection->on_idle_end_ = [this, raw = connection.get()] { DropIdle(raw); };
   kept.push_back(std::move(connection));
   ++idle_count_;
@@ -178,7 +178,7 @@
 
 // At the bound an idle connection gives way.
 bool RunnerPool::MakeRoom() {
-  if (*open_ < most_connections_) return true;
+  if (*open_ < max_connections_) return true;
   if (idle_.empty()) return false;
   DropIdle(idle_.begin()->second.front().get());
   return true;
@@ -186,7 +186,7 @@
 
 void RunnerPool::ArmSweep() {
   if (sweep_ == Deadlines::Key{})
-    sweep_ = deadlines_->Add(deadlines_->Now() + kSweepEvery, [this] { Sweep(); });
+    sweep_ = deadlines_->Add(deadlines_->Now() + kSweepInterval, [this] { Sweep(); });
 }
 
 void RunnerPool::Sweep() {
--- a/src/dataplane/runner_pool.h
+++ b/src/dataplane/runner_pool.h
@@ -48,7 +48,7 @@
  public:
   using Connection = std::shared_ptr<RunnerConnection>;
 
-  RunnerPool(asio::io_context& io, Deadlines* deadlines, std::size_t most_connections);
+  RunnerPool(asio::io_context& io, Deadlines* deadlines, std::size_t max_connections);
   ~RunnerPool();
 
   // A kept connection that shows no end and no bytes; null: none.
@@ -65,7 +65,7 @@
                                            std::function<void()> unreachable);
 
   // Runners bound the connections of all dispatchers together.
-  void SetMostIdle(std::size_t most_per_runner) { most_idle_ = most_per_runner; }
+  void SetMaxIdle(std::size_t max_per_runner) { max_idle_ = max_per_runner; }
 
   std::size_t idle() const { return idle_count_; }
 
@@ -77,10 +77,10 @@
 
   asio::io_context& io_;
   Deadlines* deadlines_;
-  const std::size_t most_connections_;
+  const std::size_t max_connections_;
   std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
   std::unordered_map<std::string, std::vector<Connection>> idle_;  // the latest used last
-  std::size_t idle_count_ = 0, most_idle_ = 64;
+  std::size_t idle_count_ = 0, max_idle_ = 64;
   Deadlines::Key sweep_;
   DelayEstimate connects_;  // how long connections take to come up
   RunnerWatch watch_;
--- a/src/dataplane/runner_watch.cpp
+++ b/src/dataplane/runner_watch.cpp
@@ -8,7 +8,7 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr Time kLookEvery = 150 * kMillisecond;
+constexpr Time kCheckInterval = 150 * kMillisecond;
 constexpr Time kOwnPause = 100 * kMillisecond;  // a look that is later says nothing of runners
 constexpr int kAskAfterLooks = 3;               // without bytes
 constexpr int kAskAgainAfterLooks = 7;          // of a runner that answered
@@ -45,7 +45,7 @@
 
 void RunnerWatch::Arm() {
   if (next_look_ != Deadlines::Key{} || runners_.empty()) return;
-  look_due_ = deadlines_->Now() + kLookEvery;
+  look_due_ = deadlines_->Now() + kCheckInterval;
   next_look_ = deadlines_->Add(look_due_, [this] {
     next_look_ = {};
     Look();
--- a/src/decisions/brain.cpp
+++ b/src/decisions/brain.cpp
@@ -11,7 +11,7 @@
 
 using namespace internal;
 
-class Brain::Impl : public Placing {
+class Scheduler::Impl : public Placing {
  public:
   Impl(Settings settings, std::uint64_t seed) : Placing(Checked(std::move(settings)), seed) {}
 
@@ -19,7 +19,7 @@
     now_ = started_at_ = now;
     for (std::size_t t = 0; t < quota_.size(); ++t) quota_[t] = {now, QuotaBurst(static_cast<int>(t))};
     if (s_.list_on_request) AskForList();
-    Act(SetTimer{kSweepEvery, "sweep"});
+    Act(SetTimer{kSweepInterval, "sweep"});
   }
 
   void Handle(Time now, const Event& event) {
@@ -65,14 +65,14 @@
     if (!Place(r, demand)) Wait(r);
   }
 
-  void On(const AttemptNote& e) {
+  void On(const AttemptUpdate& e) {
     Request* r = Find(e.id);
     if (r == nullptr || e.attempt < 0 || e.attempt >= static_cast<int>(r->attempts.size())) return;
     Attempt& a = r->attempts[e.attempt];
     if (a.fate != Fate::kOut) return;
     Worker& w = workers_[a.worker];
     if (std::exchange(a.untaken, false)) --w.health[r->cls].untaken;
-    if (e.kind == AttemptNote::Kind::kStarted && a.started == 0) {
+    if (e.kind == AttemptUpdate::Kind::kStarted && a.started == 0) {
       a.started = now_;
       --w.unstarted;
     }
@@ -82,7 +82,7 @@
   void On(const AttemptEnded& e) {
     Request* r = Find(e.id);
     auto named = index_.find(e.worker);
-    if (named != index_.end() && e.outcome != Outcome::kMoot) {
+    if (named != index_.end() && e.outcome != Outcome::kVoid) {
       NoteReport(workers_[named->second], e.report);
       if (e.outcome == Outcome::kFull) NoteFull(workers_[named->second]);
     }
@@ -94,7 +94,7 @@
     if (a.started == 0) --w.unstarted;
     if (std::exchange(a.untaken, false)) --w.health[r->cls].untaken;
     const bool never_ran =
-        e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kMoot;
+        e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kVoid;
     a.fate = never_ran ? Fate::kNeverRan : Fate::kMayHaveRun;
     Learn(*r, a, w, e.outcome);
     if (e.complete && !r->ended) r->ended = true, StopWaiting(*r);
@@ -116,7 +116,7 @@
     if (outcome == Outcome::kError) CountFailures(r.cls, w.health[r.cls], s_.error_failures);
     if (outcome == Outcome::kConnectFailed || outcome == Outcome::kTimeout)
       Eject(w);
-    else if (outcome != Outcome::kCancelled && outcome != Outcome::kMoot)
+    else if (outcome != Outcome::kCancelled && outcome != Outcome::kVoid)
       SignOfLife(w);
     if (FleetWide()) return;
     const double had = w.held + r.slots, was = w.learned;
@@ -131,7 +131,7 @@
     if (Request* r = Find(e.id)) r->streaming = true;
   }
 
-  void On(const RequestGone& e) {
+  void On(const RequestAbandoned& e) {
     if (Request* r = Find(e.id)) Close(*r);
   }
 
@@ -142,7 +142,7 @@
     if (e.ok) SignOfLife(workers_[it->second]);
   }
 
-  void On(const Elsewhere& e) {
+  void On(const PeerReport& e) {
     auto it = index_.find(e.worker);
     if (it == index_.end()) return;
     Worker& w = workers_[it->second];
@@ -160,7 +160,7 @@
       if (now_ >= armed_) armed_ = 0;  // else an older timer: the one armed last still comes
       EndDue();
     } else if (e.token == "sweep") {
-      Act(SetTimer{kSweepEvery, "sweep"});
+      Act(SetTimer{kSweepInterval, "sweep"});
       EndDue();
       FindSilent();
       CountFree(), BalanceZones();
@@ -184,24 +184,24 @@
   std::uint64_t turns_ = 0;
 };
 
-Brain::Brain(Settings settings, std::uint64_t seed)
+Scheduler::Scheduler(Settings settings, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
-Brain::~Brain() = default;
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
+Scheduler::~Scheduler() = default;
+Scheduler::Scheduler(Scheduler&&) noexcept = default;
+Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 
-void Brain::Start(Time now, std::vector<Action>* actions) {
+void Scheduler::Start(Time now, std::vector<Action>* actions) {
   impl_->out = actions;
   impl_->Start(now);
 }
 
-void Brain::Handle(Time now, const Event& event, std::vector<Action>* actions) {
+void Scheduler::Handle(Time now, const Event& event, std::vector<Action>* actions) {
   impl_->out = actions;
   impl_->Handle(now, event);
 }
 
-int Brain::AddClass(ClassSettings added) { return impl_->AddClass(std::move(added)); }
-void Brain::SetInstances(int instances) { impl_->SetInstances(instances); }
-Holdings Brain::holdings() const { return impl_->holdings(); }
+int Scheduler::AddClass(ClassSettings added) { return impl_->AddClass(std::move(added)); }
+void Scheduler::SetInstances(int instances) { impl_->SetInstances(instances); }
+Holdings Scheduler::holdings() const { return impl_->holdings(); }
 
 }  // namespace rookgw
--- a/src/decisions/demand.h
+++ b/src/decisions/demand.h
@@ -12,7 +12,7 @@
   // Counts an arrival and returns the key's demand in slots. The arrival itself is left out of the rate: at
   // the moment of an arrival a count that holds it is always too high.
   double CountArrival(const Request& r) {
-    if (keys_.size() >= kMostKeys) ForgetKeys();
+    if (keys_.size() >= kMaxKeys) ForgetKeys();
     Key& key = keys_[r.hash];
     if (key.seen != 0) key.count *= std::exp(-static_cast<double>(now_ - key.seen) / kRateMemory);
     key.seen = now_;
@@ -50,7 +50,7 @@
   }
 
   void ForgetKeys() {
-    for (Time age = kRateMemory; keys_.size() >= kMostKeys; age /= 2)
+    for (Time age = kRateMemory; keys_.size() >= kMaxKeys; age /= 2)
       std::erase_if(keys_, [&](const auto& entry) { return now_ - entry.second.seen >= age; });
   }
 
--- a/src/decisions/gate.h
+++ b/src/decisions/gate.h
@@ -44,7 +44,7 @@
     ++w.health[r.cls].untaken;
     StopWaiting(r);
     Act(Dispatch{r.id, w.id, 0});
-    if (s_.takes_told) due_.push({now_ + kTakePatience, r.id});
+    if (s_.reports_accepts) due_.push({now_ + kTakeTimeout, r.id});
     if (DropsHopeless(r)) due_.push({HopelessAt(r), r.id});
     return true;
   }
@@ -90,7 +90,7 @@
   // A job that has not started when even a longer one than usual would be late is called off where that
   // helps: in overload a queue of such jobs makes all behind them late too.
   bool DropsHopeless(const Request& r) const {
-    return s_.cancelling && s_.starts_told && s_.classes[r.cls].late_value == 0;
+    return s_.cancelling && s_.reports_starts && s_.classes[r.cls].late_value == 0;
   }
 
   Time HopelessAt(const Request& r) const {
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -37,11 +37,11 @@
 
   // A worker that holds jobs unstarted for as long as a whole answer may take has most likely hung.
   void FindSilent() {
-    if (!s_.starts_told) return;
-    Time patience = s_.silence;
+    if (!s_.reports_starts) return;
+    Time timeout = s_.silence;
     for (std::size_t c = 0; s_.silence == 0 && c < s_.classes.size(); ++c)
-      patience = std::max<Time>(patience, s_.classes[c].aim + s_.classes[c].stretch * RunTime(c));
-    auto silent = [&](const Worker& w) { return w.unstarted > 0 && now_ - w.silent_since >= patience; };
+      timeout = std::max<Time>(timeout, s_.classes[c].aim + s_.classes[c].stretch * RunTime(c));
+    auto silent = [&](const Worker& w) { return w.unstarted > 0 && now_ - w.silent_since >= timeout; };
     auto away = [&](int i) { return silent(workers_[i]) || Ejected(workers_[i]); };
     blind_ = 2 * std::ranges::count_if(listed_, away) > std::ssize(listed_);  // it is this node's fault
     for (int i : listed_)
@@ -71,9 +71,9 @@
   void SendProbes() {
     if (!s_.probes || s_.reports == Settings::Reports::kNever || ring_.empty()) return;
     // The more nodes act on the same news, the more they crowd the same workers: many ask less each.
-    const double a_job = std::clamp(kProbers / s_.instances, 1.0, kMostProbes);
+    const double a_job = std::clamp(kProbers / s_.instances, 1.0, kMaxProbes);
     scarce_ = a_job * arrivals_.Rate(now_) * kReportMemory < listed_.size();
-    probe_credit_ = std::min(probe_credit_ + arrivals_.Rate(now_) * kSweepEvery * a_job, 20 * a_job);
+    probe_credit_ = std::min(probe_credit_ + arrivals_.Rate(now_) * kSweepInterval * a_job, 20 * a_job);
     for (std::size_t looked = 0; probe_credit_ >= 1 && looked < listed_.size(); ++looked) {
       Worker& w = workers_[listed_[probe_next_++ % listed_.size()]];
       const bool far = Zoned() && w.zone != s_.my_zone && probe_next_ / listed_.size() % 4 != 0;
--- a/src/decisions/placing.h
+++ b/src/decisions/placing.h
@@ -41,12 +41,12 @@
       const double filled = needed == 0 ? demand / std::max(room, 1.0) : walked;
       const std::size_t windows =
           std::ceil(std::clamp<double>(filled * key.windows, 1, ring_.size() / longest));
-      if (windows > key.windows || now_ - key.shrunk >= kShrinkEvery) key.windows = windows;
+      if (windows > key.windows || now_ - key.shrunk >= kShrinkInterval) key.windows = windows;
     }
     if (members_.empty()) members_.swap(across_);
     if (members_.empty()) return false;
     if (needed == 0) needed = members_.size();
-    if (needed >= key.width || now_ - key.shrunk >= kShrinkEvery) key.width = needed, key.shrunk = now_;
+    if (needed >= key.width || now_ - key.shrunk >= kShrinkInterval) key.width = needed, key.shrunk = now_;
     const std::size_t width = std::min(key.width, members_.size());
     const int best = LeastLoaded(r, width);
     // A job that would queue in its set looks past it first: a new copy costs less than a wait, and where a
@@ -87,7 +87,7 @@
   void CountFree() {
     double free = 1e-9;
     for (int i : listed_) free += Told(workers_[i]) ? std::max(0.0, Free(workers_[i])) : 0;
-    const double takers = (arrivals_.Rate(now_) * kSweepEvery + waiting_.size()) * Nodes();
+    const double takers = (arrivals_.Rate(now_) * kSweepInterval + waiting_.size()) * Nodes();
     chase_ = Told() ? std::min(1.0, free / takers) : 1;
   }
 
@@ -97,7 +97,7 @@
     for (std::size_t z = 0; z < zone_fill_.size(); ++z)
       if (static_cast<int>(z) != s_.my_zone && zone_fill_[z].weight > 0) others.Add(zone_fill_[z].value);
     const double own = zone_fill_[s_.my_zone].value;  // free slots by slots
-    const double step = kSweepEvery / static_cast<double>(kRateMemory);
+    const double step = kSweepInterval / static_cast<double>(kRateMemory);
     if (own < std::min(kZoneGap, others.value - kZoneGap)) spill_ = std::min(1.0, spill_ + step);
     if (own > std::min(2 * kZoneGap, others.value)) spill_ = std::max(0.0, spill_ - step);
   }
@@ -109,7 +109,7 @@
     if (r.needs != 0 && !std::ranges::binary_search(w.holds, r.needs)) return false;
     const ClassHealth& h = w.health[r.cls];
     if (r.needs == 0 && now_ < h.ejected_until) return false;
-    if (Ejected(w) || (s_.takes_told && h.failures > 0 && h.untaken > 0)) return false;
+    if (Ejected(w) || (s_.reports_accepts && h.failures > 0 && h.untaken > 0)) return false;
     for (const Attempt& a : r.attempts)
       if (a.worker == index) return false;
     return MaySend(r, index);
@@ -160,9 +160,9 @@
   }
 
   void FindUntaken(Request& r) {
-    if (!s_.takes_told || r.attempts.empty()) return;
+    if (!s_.reports_accepts || r.attempts.empty()) return;
     Attempt& a = r.attempts.back();
-    if (!a.untaken || now_ < a.sent + kTakePatience) return;
+    if (!a.untaken || now_ < a.sent + kTakeTimeout) return;
     if (!std::exchange(a.missed, true)) return due_.push({now_ + 10 * kMs, r.id});  // own stall?
     ClassHealth& health = workers_[a.worker].health[r.cls];
     a.untaken = false, --health.untaken;
--- a/src/decisions/ring.h
+++ b/src/decisions/ring.h
@@ -5,9 +5,9 @@
 
 namespace rookgw::internal {
 
-class Ring : public World {
+class Ring : public Testbed {
  protected:
-  using World::World;
+  using Testbed::Testbed;
 
   void TakeList(const ListChanged& e) {
     if (e.form == ListChanged::Form::kFailed) {
@@ -56,7 +56,7 @@
     for (std::size_t i = 0; i < workers_.size(); ++i) {
       Worker& w = workers_[i];
       const int points =
-          w.listed ? std::clamp(std::round(kPoints * SizeOf(w) / mean_size_), 1.0, kMostPoints) : 0;
+          w.listed ? std::clamp(std::round(kPoints * SizeOf(w) / mean_size_), 1.0, kMaxPoints) : 0;
       changed = changed || points != w.points;
       w.points = points;
       if (w.listed) {
@@ -88,7 +88,7 @@
 
   void AskForList() {
     Act(Subscribe{});
-    ask_at_ = now_ + std::max<Time>(s_.ask_every / 2, kSecond);
+    ask_at_ = now_ + std::max<Time>(s_.poll_interval / 2, kSecond);
   }
 
   std::size_t HomeOf(std::uint64_t hash) const {  // the ring's size stands for its first point
--- a/src/decisions/room.h
+++ b/src/decisions/room.h
@@ -20,14 +20,14 @@
       const double age = now_ - w.report_at;
       free += (w.usual_free - free) * std::exp(-age / kReportMemory);
       const bool full = w.full_at != 0 && now_ - w.full_at < MeanRun();  // reports made before cannot undo it
-      if (full) free = std::min(free, w.least_free);
+      if (full) free = std::min(free, w.min_free);
       if (!full) free += (w.free - w.usual_free) * std::exp(-(age + kReportLag) / (2 * MeanRun()));
     }
     for (const Move& m : w.moves)
       if (m.at > w.report_at - kReportLag) free -= m.slots;
     free = std::min(free, total - w.held);  // however old the report is, own jobs are there
     // A job of this node's that has not started tells at once how long the queue is, whatever reports say.
-    if (s_.starts_told && w.unstarted > 0 && !blind_)
+    if (s_.reports_starts && w.unstarted > 0 && !blind_)
       free = std::min(free, 1 - (now_ - w.silent_since) / MeanRun() * total);
     return free;
   }
@@ -36,7 +36,7 @@
     if (w.slots > 0) return w.slots / s_.instances;  // this node's even part of what the worker says
     const Mean& whole = w.whole.weight > 2 ? w.whole : mean_whole_;
     if (Told(w) && whole.weight > 0) return std::max(1.0, whole.value);
-    if (FleetWide()) return std::max({w.most_free, mean_total_.value, 1.0});
+    if (FleetWide()) return std::max({w.max_free, mean_total_.value, 1.0});
     if (w.learned > 0) return w.learned;
     const double others = learned_held_ > 0 ? learned_total_ / learned_held_ : 2;  // at the others' mean load
     return std::max(1.0, w.held * others);
@@ -53,7 +53,7 @@
   double RoomOf(int index, const Request& r) const {
     const Worker& w = workers_[index];
     const double free = Free(w) + Total(w) * 0.5 * s_.classes[r.cls].aim / RunTime(r.cls);
-    return std::max(free, (w.slots > 0 ? kLeastToldRoom : kLeastRoom) * Total(w));
+    return std::max(free, (w.slots > 0 ? kMinReportedRoom : kMinRoom) * Total(w));
   }
 
   bool Usable(int index, const Request& r) const {
@@ -66,7 +66,7 @@
     if (r.over_share && behind > 0) return false;  // a tenant's flood fills what is free, no queue
     const double wait = behind <= 0 ? 0 : behind / Total(w) * MeanRun() * Slowness(w);
     // A queue is counted on only as far as one was ever reported: some workers have none.
-    if (FleetWide() && (!Told() || full_seen_) && Free(w) - r.slots < least_fill_ * Total(w) - 0.5)
+    if (FleetWide() && (!Told() || full_seen_) && Free(w) - r.slots < min_fill_ * Total(w) - 0.5)
       return false;
     return now_ + wait <= StartBy(w, r, kAimWork);
   }
@@ -96,20 +96,20 @@
     if (!report.free_slots) return;
     double waiting = report.waiting.value_or(0);
     // Where only the jobs held are told: what they are more than the slots in use must be waiting.
-    if (!report.waiting && report.active && *report.free_slots < 1 && w.most_free > 0)
-      waiting = std::max(0.0, *report.active - w.most_free);
+    if (!report.waiting && report.active && *report.free_slots < 1 && w.max_free > 0)
+      waiting = std::max(0.0, *report.active - w.max_free);
     w.free = *report.free_slots - waiting;
-    least_fill_ = std::min(least_fill_, w.free / std::max(1.0, w.most_free));
+    min_fill_ = std::min(min_fill_, w.free / std::max(1.0, w.max_free));
     const double keep =
         w.report_at < 0 ? 0 : std::exp(-static_cast<double>(now_ - w.report_at) / kReportMemory);
     w.usual_free = w.free + keep * (w.usual_free - w.free);
     // Free slots and jobs held make the whole only where some are free.
     const bool whole = report.active && *report.free_slots >= 1;
-    w.most_free = std::max(w.most_free, *report.free_slots + (whole ? *report.active - waiting : 0));
-    w.least_free = std::min(w.least_free, w.free);
+    w.max_free = std::max(w.max_free, *report.free_slots + (whole ? *report.active - waiting : 0));
+    w.min_free = std::min(w.min_free, w.free);
     w.report_at = now_;
     std::erase_if(w.moves, [this](const Move& m) { return m.at <= now_ - kReportLag; });
-    if (w.most_free > 0) mean_total_.Add(w.most_free, 60);
+    if (w.max_free > 0) mean_total_.Add(w.max_free, 60);
     if (whole) w.whole.Add(*report.free_slots + *report.active), mean_whole_.Add(w.whole.value);
     mean_free_.Add(std::max(-1.0, w.free / Total(w))), heard_at_ = now_;  // a deep queue is its worker's
     if (w.zone != kNone) zone_fill_[w.zone].Add(w.free / Total(w), 50);
@@ -117,8 +117,8 @@
 
   // 'Full' is fresher news than any report and weighs as one that finds no room at all.
   void NoteFull(Worker& w) {
-    w.least_free = std::min(w.least_free, w.free);
-    w.usual_free += (w.least_free - w.usual_free) / 2;
+    w.min_free = std::min(w.min_free, w.free);
+    w.usual_free += (w.min_free - w.usual_free) / 2;
     w.full_at = now_, full_seen_ = true;
   }
 
@@ -130,7 +130,7 @@
   bool blind_ = false;  // so many workers silent at once that this node's own view is at fault
   Mean mean_free_{1, 3}, mean_total_, mean_whole_;  // free: of slots; a few reports say little of a fleet
   std::vector<Mean> zone_fill_ = std::vector<Mean>(s_.zones.size());
-  double least_fill_ = 0;  // the deepest queue ever reported, as (negative) free slots by slots
+  double min_fill_ = 0;  // the deepest queue ever reported, as (negative) free slots by slots
   double learned_total_ = 0, learned_held_ = 0;
 };
 
--- a/src/decisions/settings.cpp
+++ b/src/decisions/settings.cpp
@@ -14,10 +14,10 @@
 using Json = nlohmann::json;
 
 // Of any number: a span of 30 years, so that a sum of a few still fits a Time.
-constexpr double kMost = 1e15;
+constexpr double kMax = 1e15;
 
 struct Range {
-  double least = 0, most = kMost;
+  double least = 0, most = kMax;
 };
 
 [[noreturn]] void Bad(const std::string& path, const std::string& expected) {
@@ -167,7 +167,7 @@
     s.reports_active |= field == "active";
   }
   Take(specifics, "Progress", &s.progress, "Specifics.");
-  Take(specifics, "TellsStart", &s.starts_told, "Specifics.");
+  Take(specifics, "TellsStart", &s.reports_starts, "Specifics.");
 }
 
 }  // namespace
@@ -187,7 +187,7 @@
   if (discovery != "pushed" && discovery != "on_request") Bad("Discovery", "pushed or on_request");
   s.list_on_request = discovery == "on_request";
   Take(root, "Weights", &weights);
-  s.weights_told = weights != "none";
+  s.reports_weights = weights != "none";
   s.weights_live = weights == "live";
   Take(Object(root, "Callers"), "MarksRetry", &s.repeats_marked, "Callers.");
   Take(root, "OverShareWorth", &s.over_share_worth);
@@ -220,7 +220,7 @@
   Take(limits, "MayTell", &site.may_tell, "Limits.");
   ParseReport(root, &site);
   const Json& fees = Object(root, "Fees");
-  const Range any{-kMost, kMost};
+  const Range any{-kMax, kMax};
   Take(fees, "CrossZone", &s.fee_cross_zone, "Fees.", any);
   Take(fees, "Origin", &s.fee_fetch, "Fees.", any);
   Take(fees, "Handshake", &s.fee_handshake, "Fees.", any);
@@ -228,7 +228,7 @@
   Take(fees, "Probe", &s.fee_probe, "Fees.", any);
   Take(fees, "Waste", &s.fee_waste, "Fees.", any);
   const Json& rules = Object(root, "Guarantees");
-  Take(rules, "AskEvery", &s.ask_every, "Guarantees.");
+  Take(rules, "AskEvery", &s.poll_interval, "Guarantees.");
   Take(rules, "DrainGrace", &s.drain_grace, "Guarantees.");
   Need(rules, "ColdShare", &s.cold_share, "Guarantees.", {0, 1});
   Need(rules, "OverloadFactor", &s.overload_factor, "Guarantees.");
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -26,24 +26,24 @@
 using Mean = lichenlug::RunningMean;
 
 inline constexpr Time kMs = 1000, kSecond = 1000 * kMs;
-inline constexpr Time kShrinkEvery = kSecond;      // least time between reductions of a set
+inline constexpr Time kShrinkInterval = kSecond;   // least time between reductions of a set
 inline constexpr Time kRateMemory = 5 * kSecond;   // rates are averages over about this long
 inline constexpr Time kReportMemory = 1500 * kMs;  // news fades to the fleet's mean over about this long
-inline constexpr Time kReportLag = 500 * kMs;     // own sends this long before a report came may not be in it
-inline constexpr Time kKeepGone = 30 * kSecond;   // attempts at a worker may still end after it is gone
-inline constexpr Time kTakePatience = 240 * kMs;  // well workers said within 160 ms that they have a job
-inline constexpr std::size_t kMostKeys = 20000;   // keys remembered; the oldest go first
-inline constexpr double kPoints = 16;             // ring points of a worker of mean size: evens out the arcs
-inline constexpr double kMostPoints = 64;
+inline constexpr Time kReportLag = 500 * kMs;    // own sends this long before a report came may not be in it
+inline constexpr Time kKeepGone = 30 * kSecond;  // attempts at a worker may still end after it is gone
+inline constexpr Time kTakeTimeout = 240 * kMs;  // well workers said within 160 ms that they have a job
+inline constexpr std::size_t kMaxKeys = 20000;   // keys remembered; the oldest go first
+inline constexpr double kPoints = 16;            // ring points of a worker of mean size: evens out the arcs
+inline constexpr double kMaxPoints = 64;
 inline constexpr std::size_t kRankAll = 8;  // sets up to this size are ranked, of wider ones so many drawn
-inline constexpr double kLeastRoom = 0.5, kLeastToldRoom = 0.2;  // of a worker's slots: keeps sets narrow
+inline constexpr double kMinRoom = 0.5, kMinReportedRoom = 0.2;  // of a worker's slots: keeps sets narrow
 inline constexpr double kAimWork = 0.6;   // of a run, on the safe side, is own work that stretches the aim
 inline constexpr double kHopeWork = 0.8;  // the same, on the other safe side, for calling off what was sent
 inline constexpr double kZoneGap = 0.1;   // free slots: under it keys cross to zones emptier by as much
 inline constexpr std::size_t kOverflow = 2;  // workers looked at past a set in which none can start the job
-inline constexpr double kMostProbes = 3, kProbers = 12;  // probes a job, up to so many nodes by that
+inline constexpr double kMaxProbes = 3, kProbers = 12;  // probes a job, up to so many nodes by that
 inline constexpr std::size_t kLongestWalk = 256;  // ring steps for one decision, so that its cost has an end
-inline constexpr Time kSweepEvery = 50 * kMs;
+inline constexpr Time kSweepInterval = 50 * kMs;
 
 struct Move {  // an own send (+slots) or end (-slots) that a report may not show yet
   Time at;
@@ -67,7 +67,7 @@
   int points = 0;
   // Room
   Time report_at = -1, full_at = 0;
-  double free = 0, usual_free = 0, most_free = 0, least_free = -1, learned = 0, held = 0, elsewhere = 0;
+  double free = 0, usual_free = 0, max_free = 0, min_free = -1, learned = 0, held = 0, elsewhere = 0;
   Mean whole;  // slots, free and in use
   std::vector<Move> moves;
   // Health
@@ -106,9 +106,9 @@
   Time seen = 0, shrunk = 0;
   std::size_t width = 1, windows = 1;  // windows: walks that pass its whole set
 };
-class World {
+class Testbed {
  public:
-  World(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {}
+  Testbed(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {}
 
   std::vector<Action>* out = nullptr;
 
--- a/src/duties/candidates.cpp
+++ b/src/duties/candidates.cpp
@@ -9,12 +9,12 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr std::uint64_t kLeastBetweenLives = 100 * kMillisecond;
+constexpr std::uint64_t kMinBetweenLives = 100 * kMillisecond;
 
 // A life begins with the time of its start as its incarnation, in microseconds; each objection of the member
 // to a suspicion raises it by one.
 bool IsSameLife(std::uint64_t left, std::uint64_t right) {
-  return std::max(left, right) - std::min(left, right) < kLeastBetweenLives;
+  return std::max(left, right) - std::min(left, right) < kMinBetweenLives;
 }
 
 }  // namespace
--- a/src/duties/demand_reports.cpp
+++ b/src/duties/demand_reports.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Time kFadesAfter = 4 * kSecond;  // a dispatcher that has told nothing for this long counts no more
-constexpr std::size_t kMostDispatchers = 8192;
+constexpr std::size_t kMaxDispatchers = 8192;
 
 bool IsOlder(const messages::DemandReport& a, const messages::DemandReport& b) {
   return std::pair(a.incarnation(), a.number()) < std::pair(b.incarnation(), b.number());
@@ -17,7 +17,7 @@
 }  // namespace
 
 bool DemandReports::Merge(Time now, const messages::DemandReport& report) {
-  if (!reports_.contains(report.name()) && reports_.size() >= kMostDispatchers) return false;
+  if (!reports_.contains(report.name()) && reports_.size() >= kMaxDispatchers) return false;
   Held& held = reports_[report.name()];
   if (IsOlder(report, held.report)) return false;
   held = {report, now};
--- a/src/duties/load_history.cpp
+++ b/src/duties/load_history.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr int kMostServices = 256;
+constexpr int kMaxServices = 256;
 constexpr Time kForgetAfter = 60 * kSecond;  // longer than any window of the store's ceiling
 
 }  // namespace
@@ -36,7 +36,7 @@
     });
     if (same != held->end())
       *same = history;
-    else if (held->size() < kMostServices)
+    else if (held->size() < kMaxServices)
       *held->Add() = history;
   }
 }
--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -14,7 +14,7 @@
 using messages::WindowCount;
 
 constexpr Time kMargin = 400 * kMillisecond;  // for clocks that do not run alike
-constexpr Time kReadEvery = 500 * kMillisecond;
+constexpr Time kReadInterval = 500 * kMillisecond;
 constexpr Time kRetryAfter = 150 * kMillisecond;
 constexpr Time kLongestOperation = kSecond;
 
@@ -24,7 +24,7 @@
   Kind kind = Kind::kRead;
   std::uint64_t tag = 0;
   Time started_at = 0;
-  Time give_up_at = 0;
+  Time deadline = 0;
 };
 struct Heard {
   Renewal renewal;
@@ -58,7 +58,7 @@
 
   void Tick(Time now, OwnershipOutput* output) {
     Begin(now);
-    if (running_ && now > running_->give_up_at + kLongestOperation) {  // it will not be answered any more
+    if (running_ && now > running_->deadline + kLongestOperation) {  // it will not be answered any more
       running_.reset();
       Failed(now);
     }
@@ -92,7 +92,7 @@
     std::optional<Time> next;
     const auto consider = [&next](Time at) { next = std::min(next.value_or(at), at); };
     if (running_) {
-      consider(running_->give_up_at + kLongestOperation + kMillisecond);
+      consider(running_->deadline + kLongestOperation + kMillisecond);
     } else if (const std::optional<Plan> plan = MakePlan()) {
       consider(plan->at);
     }
@@ -163,7 +163,7 @@
     const bool owner_is_live = candidates_.IsServing(Owner());
     if (!position || *position > (owner_is_live ? 0 : 1)) return std::nullopt;
     const bool is_slow = owner_is_live || *position > 0;
-    const Time read_at = started_at_ + (is_slow ? settings_.lease : kReadEvery);
+    const Time read_at = started_at_ + (is_slow ? settings_.lease : kReadInterval);
     if (!observed_since_) return Plan{Kind::kRead, *position > 0 ? read_at : 0};
 
     Time take_at = *observed_since_ + (is_slow ? 2 * settings_.lease : 0);
@@ -179,7 +179,7 @@
     attempts_ = std::max(attempts_, state_.renewals()) + 1;
     Operation operation{plan->kind, ++last_tag_, now, now + OperationTime()};
     output->operations.push_back(
-        {operation.tag, settings_.register_name, ChangeOf(now, plan->kind), operation.give_up_at});
+        {operation.tag, settings_.register_name, ChangeOf(now, plan->kind), operation.deadline});
     running_ = operation;
     started_at_ = now;
   }
--- a/src/duties/ownership.h
+++ b/src/duties/ownership.h
@@ -28,7 +28,7 @@
   std::uint64_t tag = 0;
   std::string register_name;
   consensus::ChangeFunction change;
-  Time give_up_at = 0;
+  Time deadline = 0;
 };
 struct OwnershipOutput {
   std::vector<RegisterOperation> operations;
--- a/src/duties/ownership_changes.cpp
+++ b/src/duties/ownership_changes.cpp
@@ -13,7 +13,7 @@
 using consensus::NewPayload;
 using messages::OwnershipState;
 
-constexpr int kMostTallies = 16;  // the newest; older ones are long past their time
+constexpr int kMaxTallies = 16;  // the newest; older ones are long past their time
 
 Holder OwnerOf(const OwnershipState& state) { return {state.owner(), state.owner_incarnation()}; }
 
@@ -21,7 +21,7 @@
   auto* tallies = state->mutable_tallies();
   if (!tallies->empty() && tallies->rbegin()->window() >= tally.window()) return;
   *tallies->Add() = tally;
-  if (tallies->size() > kMostTallies) tallies->DeleteSubrange(0, tallies->size() - kMostTallies);
+  if (tallies->size() > kMaxTallies) tallies->DeleteSubrange(0, tallies->size() - kMaxTallies);
 }
 
 }  // namespace
--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -11,11 +11,11 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr Time kReportsUnderWay = 2500 * kMillisecond;  // time for the last reports of a window to arrive
+constexpr Time kReportsInFlight = 2500 * kMillisecond;  // time for the last reports of a window to arrive
 constexpr Time kChooseAgainAfter = kSecond;
-constexpr std::int64_t kMostChosenAtOnce = 8;
+constexpr std::int64_t kMaxChosenAtOnce = 8;
 constexpr int kOverLate = 4;  // after so many times the allowed lateness a window is given up
-constexpr Time kCallEvery = 250 * kMillisecond;
+constexpr Time kCallInterval = 250 * kMillisecond;
 constexpr Time kShortestBackoff = 250 * kMillisecond, kLongestBackoff = 2 * kSecond;
 constexpr Time kCallTime = kSecond;
 
@@ -60,7 +60,7 @@
     std::uint64_t tag = 0;
     std::uint64_t epoch = 0;
     std::int64_t window = 0;
-    Time give_up_at = 0;
+    Time deadline = 0;
   };
   struct Retry {  // of a window that is chosen and not acknowledged
     int failures = 0;
@@ -76,7 +76,7 @@
 
   // Time for reports, but in the middle of the time allowed.
   Time ChooseAfter() const {
-    return std::clamp(kReportsUnderWay, settings_.late * 2 / 5, settings_.late * 3 / 5);
+    return std::clamp(kReportsInFlight, settings_.late * 2 / 5, settings_.late * 3 / 5);
   }
 
   // A new holder repeats what may not have reached the platform, as far as it is in time.
@@ -100,7 +100,7 @@
   void Choose(Time now, Time wall_now, const messages::OwnershipState& state, Output* output) {
     const std::int64_t first = NextWindow(wall_now, state);
     std::erase_if(proposed_, [first](const auto& entry) { return entry.first < first; });
-    for (std::int64_t window = first; window < first + kMostChosenAtOnce; ++window) {
+    for (std::int64_t window = first; window < first + kMaxChosenAtOnce; ++window) {
       if (wall_now < EndOf(window) + ChooseAfter()) return;
       const auto known = proposed_.find(window);
       if (known != proposed_.end() && now - known->second < kChooseAgainAfter) continue;
@@ -110,7 +110,7 @@
   }
 
   void Post(Time now, Time wall_now, const messages::OwnershipState& state, Output* output) {
-    if (call_ && now > call_->give_up_at + kCallEvery) {  // it will not be answered any more
+    if (call_ && now > call_->deadline + kCallInterval) {  // it will not be answered any more
       PutOff(now, call_->window);
       call_.reset();
     }
@@ -125,7 +125,7 @@
     }
     if (next == nullptr) return;
     call_ = Call{++last_tag_, epoch_, next->window(), now + kCallTime};
-    next_call_at_ = now + kCallEvery;
+    next_call_at_ = now + kCallInterval;
     output->calls.push_back({last_tag_, "", "POST", kUsagePath, WriteUsage(*next), epoch_, kCallTime, ""});
   }
 
--- a/src/duties/usage.h
+++ b/src/duties/usage.h
@@ -22,7 +22,7 @@
   std::string path;
   std::string body;         // JSON
   std::uint64_t fence = 0;  // sent in the headers to the platform
-  Time give_up_after = kSecond;
+  Time timeout = kSecond;
   std::string
       expect_runner;  // id of the runner that is meant: any other one at this address refuses the call
 };
--- a/src/duties/usage_counts.cpp
+++ b/src/duties/usage_counts.cpp
@@ -5,25 +5,25 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr std::int64_t kFewestWindows = 12, kMostWindows = 64;  // that are kept
-constexpr std::int64_t kWindowsAhead = 1;                       // clocks of dispatchers differ a little
-constexpr std::size_t kMostLives = 8192;
-constexpr std::size_t kMostTenants = 4096;  // of one life in one window
+constexpr std::int64_t kFewestWindows = 12, kMaxWindows = 64;  // that are kept
+constexpr std::int64_t kWindowsAhead = 1;                      // clocks of dispatchers differ a little
+constexpr std::size_t kMaxLives = 8192;
+constexpr std::size_t kMaxTenants = 4096;  // of one life in one window
 
 }  // namespace
 
 UsageCounts::UsageCounts(std::int64_t kept_windows)
-    : kept_windows_(std::clamp(kept_windows, kFewestWindows, kMostWindows)) {}
+    : kept_windows_(std::clamp(kept_windows, kFewestWindows, kMaxWindows)) {}
 
 void UsageCounts::Merge(const messages::UsageReport& report, std::int64_t newest) {
   if (newest - kept_windows_ > oldest_kept_) DropBefore(newest - kept_windows_);
   const Life life(report.name(), report.incarnation());
   for (const auto& window : report.windows()) {
     if (window.window() < newest - kept_windows_ || window.window() > newest + kWindowsAhead) continue;
-    if (!lives_.contains(life) && lives_.size() >= kMostLives) return;
+    if (!lives_.contains(life) && lives_.size() >= kMaxLives) return;
     Counts& counts = lives_[life][window.window()];
     for (const auto& entry : window.counts()) {
-      if (counts.size() >= kMostTenants && !counts.contains(entry.tenant())) continue;
+      if (counts.size() >= kMaxTenants && !counts.contains(entry.tenant())) continue;
       std::uint64_t& count = counts[entry.tenant()];
       count = std::max(count, entry.count());
     }
--- a/src/fronts/http/callers.cpp
+++ b/src/fronts/http/callers.cpp
@@ -12,22 +12,22 @@
 namespace {
 
 // A client that sends nothing, or half a request, is owed an error or a close within 3 s of connecting.
-constexpr Time kReadPatience =
-    2500 * kMillisecond;                      // for the first request to be whole; for the rest of a later
-constexpr Time kSlowRead = kSecond;           // from then on a half request is among the first to go
-constexpr Time kIdlePatience = 90 * kSecond;  // between requests
-constexpr Time kWritePatience = 3 * kSecond;  // for a client to take its answer
-constexpr Time kFinishPatience = kSecond;     // for a client to end its side
+constexpr Time kReadTimeout =
+    2500 * kMillisecond;                     // for the first request to be whole; for the rest of a later
+constexpr Time kSlowRead = kSecond;          // from then on a half request is among the first to go
+constexpr Time kIdleTimeout = 90 * kSecond;  // between requests
+constexpr Time kWriteTimeout = 3 * kSecond;  // for a client to take its answer
+constexpr Time kFinishTimeout = kSecond;     // for a client to end its side
 constexpr Time kAcceptPause = 20 * kMillisecond;
 constexpr std::size_t kRoom = 8;  // so many legs before the cap the first are asked to end
 constexpr Time kNewConnections = 450 * kMillisecond;  // they go on coming for 0.2 to 0.4 s after SIGTERM
 // SIGKILL comes no sooner than this after SIGTERM, and the longest deadline, counted as 3 s at most, later.
-constexpr Time kKillAfter = 700 * kMillisecond, kMostCounted = 3 * kSecond;
+constexpr Time kKillAfter = 700 * kMillisecond, kMaxCounted = 3 * kSecond;
 constexpr Time kLastAnswer = 200 * kMillisecond;          // before SIGKILL
 constexpr Time kLastJob = kSecond;                        // of time for the last job that is taken
 constexpr Time kNewComeFor = 120 * kMillisecond;          // after SIGTERM, at the least
 constexpr std::size_t kSpareLegs = 4, kLegsPerSpare = 5;  // of clients, kept idle while draining
-constexpr Time kLookEvery = 20 * kMillisecond;
+constexpr Time kCheckInterval = 20 * kMillisecond;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
       core_(core),
       branches_(branches),
       acceptor_(io, settings.listen, /*reuse_addr=*/true),
-      legs_(settings.most_legs) {
+      legs_(settings.max_legs) {
   acceptor_.non_blocking(true);
 }
 
@@ -64,7 +64,7 @@
 // Takes all that waits in the backlog and finds room.
 void Callers::TakeWaiting() {
   backlog_empty_ = false;
-  while (!backlog_empty_ && MakeRoom(settings_.most_legs)) {
+  while (!backlog_empty_ && MakeRoom(settings_.max_legs)) {
     std::error_code error;
     asio::ip::tcp::socket socket = acceptor_.accept(error);
     backlog_empty_ = error == asio::error::would_block;
@@ -85,7 +85,7 @@
   Leg& leg = *legs_.Find(handle);
   leg.connection->SetEvents(std::move(events));
   leg.connected = leg.since = deadlines_->Now();
-  leg.alarm = deadlines_->Add(leg.connected + kReadPatience, [this, handle] { Retire(handle); });
+  leg.alarm = deadlines_->Add(leg.connected + kReadTimeout, [this, handle] { Retire(handle); });
   leg.connection->Start();
 }
 
@@ -132,7 +132,7 @@
   leg.stage = Stage::kIdle;
   leg.since = deadlines_->Now();
   leg.transaction = {};
-  deadlines_->Move(&leg.alarm, leg.since + kIdlePatience, [this, handle] { Retire(handle); });
+  deadlines_->Move(&leg.alarm, leg.since + kIdleTimeout, [this, handle] { Retire(handle); });
 }
 
 // Ends a leg on which nothing is owed. One with bytes on it that are not read yet stays: false.
@@ -145,7 +145,7 @@
   Leg& leg = *legs_.Find(handle);
   leg.stage = Stage::kFinishing;
   leg.since = deadlines_->Now();
-  deadlines_->Move(&leg.alarm, leg.since + kFinishPatience, [this, handle] { DropLeg(handle); });
+  deadlines_->Move(&leg.alarm, leg.since + kFinishTimeout, [this, handle] { DropLeg(handle); });
   leg.connection->Finish([this, handle] { DropLeg(handle); });
 }
 
@@ -166,7 +166,7 @@
   leg->stage = Stage::kReading;
   // A first request has its time from the connecting, so that sending one byte gains none.
   leg->since = leg->asked ? deadlines_->Now() : leg->connected;
-  deadlines_->Move(&leg->alarm, leg->since + kReadPatience, [this, handle] {
+  deadlines_->Move(&leg->alarm, leg->since + kReadTimeout, [this, handle] {
     Reply(handle, 408, "the rest of the request did not come\n", {}, /*close=*/true);
   });
 }
@@ -204,7 +204,7 @@
   legs_.Find(handle)->of_client = true;
   // Nothing of it has run, so a busy answer is harmless; the last descriptors are kept for call-backs. What
   // counts is the jobs in work: connections on which nothing is owed make room when it is needed.
-  if (core_->owed() >= settings_.most_serving)
+  if (core_->owed() >= settings_.max_serving)
     return Reply(handle, 503, "too many connections\n", {}, /*close=*/true);
   if (!HasSpareLegs()) return Reply(handle, 503, "draining\n");
   if (!open_ids_.insert(job->call_id).second) return Reply(handle, 409, "this id is being served\n");
@@ -262,7 +262,7 @@
   open_ids_.erase(leg.call_id);
   leg.call_id.clear();
   // A client that does not take its answer must not hold its connection for good.
-  deadlines_->Move(&leg.alarm, deadlines_->Now() + kWritePatience, [this, handle] { DropLeg(handle); });
+  deadlines_->Move(&leg.alarm, deadlines_->Now() + kWriteTimeout, [this, handle] { DropLeg(handle); });
   leg.connection->Write(FormatAnswer(status, headers, body, !close),
                         [this, handle, close](std::error_code e) {
                           if (legs_.Find(handle) != nullptr) Replied(handle, close, e);
@@ -287,7 +287,7 @@
   drain_began_ = deadlines_->Now();
   Time longest = 0;
   for (const auto& cls : settings_.site.settings.classes) longest = std::max(longest, cls.deadline);
-  const Time last_answer = drain_began_ + std::min(longest, kMostCounted) + kKillAfter - kLastAnswer;
+  const Time last_answer = drain_began_ + std::min(longest, kMaxCounted) + kKillAfter - kLastAnswer;
   taking_until_ = std::max(drain_began_ + kNewConnections, last_answer - kLastJob);
   core_->EndNewBy(last_answer);
   LookForEnd();
@@ -325,7 +325,7 @@
       return drained_();
     }
   }
-  deadlines_->Add(deadlines_->Now() + kLookEvery, [this] { LookForEnd(); });
+  deadlines_->Add(deadlines_->Now() + kCheckInterval, [this] { LookForEnd(); });
 }
 
 }  // namespace lichenlug
--- a/src/fronts/http/callers.h
+++ b/src/fronts/http/callers.h
@@ -18,9 +18,9 @@
 
 struct CallerSettings {
   asio::ip::tcp::endpoint listen;
-  std::size_t most_legs = 0;     // connections of clients and of runners that call back
-  std::size_t most_serving = 0;  // past so many transactions owed only call-backs are served
-  const rookgw::Site& site;      // outlives the callers
+  std::size_t max_legs = 0;     // connections of clients and of runners that call back
+  std::size_t max_serving = 0;  // past so many transactions owed only call-backs are served
+  const rookgw::Site& site;     // outlives the callers
 };
 
 class Callers : public CallerPort {
--- a/src/fronts/http/request_parser.cpp
+++ b/src/fronts/http/request_parser.cpp
@@ -9,9 +9,9 @@
 namespace lichenlug {
 namespace {
 
-constexpr double kMostBudget = 3600;  // seconds
-constexpr double kMostSlots = 1e6;
-constexpr std::size_t kMostValue = 256;                     // of a header that is handed on
+constexpr double kMaxBudget = 3600;  // seconds
+constexpr double kMaxSlots = 1e6;
+constexpr std::size_t kMaxValue = 256;                      // of a header that is handed on
 constexpr std::string_view kMarks = "/?:@-._~!$&'()*+,;=";  // beside letters, digits and escapes
 
 int Byte(char c) { return static_cast<unsigned char>(c); }
@@ -68,7 +68,7 @@
 }
 
 bool ValueIsFit(std::string_view text) {
-  return text.size() <= kMostValue &&
+  return text.size() <= kMaxValue &&
          std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
 
@@ -103,7 +103,7 @@
   arrived->valid_until = now + site.settings.classes[cls].deadline;
   if (const std::string* budget = message.Header("x-budget")) {
     const auto seconds = Number(Trim(*budget));
-    if (!seconds || *seconds < 0 || *seconds > kMostBudget) return "X-Budget: seconds expected";
+    if (!seconds || *seconds < 0 || *seconds > kMaxBudget) return "X-Budget: seconds expected";
     // Nobody waits longer than the class's deadline. Taken at its word, one client's long wait would make the
     // decisions hold the usual ones, with less time left, for late repeats and refuse them all.
     arrived->valid_until = std::min(arrived->valid_until, now + static_cast<Time>(*seconds * kSecond));
@@ -125,7 +125,7 @@
   if (const std::string* info = message.Header("x-call-info"))
     ForEachPair(*info, ',', [&](std::string_view name, std::string_view value) {
       const auto number = Number(value);
-      if (!number || *number < 0 || *number > kMostSlots) return;
+      if (!number || *number < 0 || *number > kMaxSlots) return;
       if (name == "slots" || name == "CoresNeeded") arrived->slots = *number;
       if (name == "memory" || name == "RamUnits") arrived->memory = *number;
     });
--- a/src/host/control_host.cpp
+++ b/src/host/control_host.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMostReadyBody = 1024;
-constexpr std::size_t kMostControlBody = 16u << 20;
+constexpr std::size_t kMaxReadyBody = 1024;
+constexpr std::size_t kMaxControlBody = 16u << 20;
 
 Time WallClock() {
   const auto since = std::chrono::system_clock::now().time_since_epoch();
@@ -47,12 +47,12 @@
 }
 
 bool ControlHost::Listen(std::string* error) {
-  ready_server_ = std::make_unique<HttpServer>(loop_, kMostReadyBody,
-                                               [this](node::ControlRequest, node::Respond respond) {
-                                                 respond(node::PlainStatus(node_.is_ready() ? 200 : 503));
-                                               });
+  ready_server_ =
+      std::make_unique<HttpServer>(loop_, kMaxReadyBody, [this](node::ControlRequest, node::Respond respond) {
+        respond(node::PlainStatus(node_.is_ready() ? 200 : 503));
+      });
   control_server_ = std::make_unique<HttpServer>(
-      loop_, kMostControlBody, [this](node::ControlRequest request, node::Respond respond) {
+      loop_, kMaxControlBody, [this](node::ControlRequest request, node::Respond respond) {
         node_.HandleControl(std::move(request), std::move(respond));
       });
   if (!settings_.ready_address.empty() && !ready_server_->Listen(settings_.ready_address, error))
--- a/src/host/http_client.cpp
+++ b/src/host/http_client.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::size_t kMostUnderWay = 256;
-constexpr std::size_t kMostAnswerBytes = 1 << 20;
+constexpr std::size_t kMaxInFlight = 256;
+constexpr std::size_t kMaxAnswerBytes = 1 << 20;
 
 evhttp_cmd_type MethodOf(const std::string& name) { return name == "GET" ? EVHTTP_REQ_GET : EVHTTP_REQ_POST; }
 
@@ -32,7 +32,7 @@
       result.body.resize(evbuffer_get_length(input));
       evbuffer_remove(input, result.body.data(), result.body.size());
     }
-    --exchange->client->under_way_;
+    --exchange->client->in_flight_;
     exchange->done(result);
     // The connection can't be freed from within its own callback.
     exchange->client->loop_->Post([exchange] {
@@ -48,16 +48,16 @@
 void HttpClient::Call(const duties::HttpCall& call, Done done) {
   const std::string& address = call.address.empty() ? platform_address_ : call.address;
   const auto [ip, port] = SplitAddress(address);
-  if (port == 0 || under_way_ >= kMostUnderWay) {
+  if (port == 0 || in_flight_ >= kMaxInFlight) {
     loop_->Post([done = std::move(done)] { done({}); });
     return;
   }
   evhttp_connection* connection =
       evhttp_connection_base_new(loop_->base(), nullptr, ip.c_str(), static_cast<ev_uint16_t>(port));
-  const timeval wait{static_cast<time_t>(call.give_up_after / kSecond),
-                     static_cast<suseconds_t>(call.give_up_after % kSecond)};
+  const timeval wait{static_cast<time_t>(call.timeout / kSecond),
+                     static_cast<suseconds_t>(call.timeout % kSecond)};
   evhttp_connection_set_timeout_tv(connection, &wait);
-  evhttp_connection_set_max_body_size(connection, kMostAnswerBytes);
+  evhttp_connection_set_max_body_size(connection, kMaxAnswerBytes);
   auto* exchange = new Exchange{this, connection, std::move(done)};
   evhttp_request* request = evhttp_request_new(&Exchange::Finished, exchange);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
@@ -71,7 +71,7 @@
     evhttp_add_header(headers, "Lichenlug-Duty-Fence", std::to_string(call.fence).c_str());
   }
   evbuffer_add(evhttp_request_get_output_buffer(request), call.body.data(), call.body.size());
-  ++under_way_;
+  ++in_flight_;
   if (evhttp_make_request(connection, request, MethodOf(call.method), call.path.c_str()) != 0)
     Exchange::Finished(nullptr, exchange);
 }
--- a/src/host/http_client.h
+++ b/src/host/http_client.h
@@ -18,7 +18,7 @@
 
   // `done` is called exactly once, with status 0 where no answer came.
   void Call(const duties::HttpCall& call, Done done);
-  std::size_t under_way() const { return under_way_; }
+  std::size_t in_flight() const { return in_flight_; }
 
  private:
   struct Exchange;
@@ -26,7 +26,7 @@
   EventLoop* loop_;
   std::string holder_;
   std::string platform_address_;
-  std::size_t under_way_ = 0;
+  std::size_t in_flight_ = 0;
 };
 
 }  // namespace lichenlug::host
--- a/src/host/http_server.cpp
+++ b/src/host/http_server.cpp
@@ -54,12 +54,12 @@
   return {address.substr(0, colon), std::atoi(address.c_str() + colon + 1)};
 }
 
-HttpServer::HttpServer(EventLoop* loop, std::size_t most_body_bytes, Handler handler)
+HttpServer::HttpServer(EventLoop* loop, std::size_t max_body_bytes, Handler handler)
     : loop_(loop), server_(evhttp_new(loop->base())), handler_(std::move(handler)) {
   if (server_ == nullptr) throw std::runtime_error("no HTTP server: give the process more memory");
   evhttp_set_allowed_methods(
       server_, EVHTTP_REQ_GET | EVHTTP_REQ_PUT | EVHTTP_REQ_PATCH | EVHTTP_REQ_DELETE | EVHTTP_REQ_POST);
-  evhttp_set_max_body_size(server_, static_cast<ev_ssize_t>(most_body_bytes));
+  evhttp_set_max_body_size(server_, static_cast<ev_ssize_t>(max_body_bytes));
   evhttp_set_max_headers_size(server_, 16 * 1024);
   evhttp_set_timeout(server_, kIdleSeconds);
   evhttp_set_gencb(
--- a/src/host/http_server.h
+++ b/src/host/http_server.h
@@ -19,7 +19,7 @@
  public:
   using Handler = std::function<void(node::ControlRequest, node::Respond)>;
 
-  HttpServer(EventLoop* loop, std::size_t most_body_bytes, Handler handler);
+  HttpServer(EventLoop* loop, std::size_t max_body_bytes, Handler handler);
   ~HttpServer();
 
   bool Listen(const std::string& address, std::string* error);  // "ip:port"; one line with the remedy
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -122,9 +122,9 @@
   const Clock clock;
   Deadlines deadlines(io, clock);
   RouteSet routes;
-  const CallerSettings caller_settings{config.listen, config.most_caller_legs(), config.most_serving_legs(),
+  const CallerSettings caller_settings{config.listen, config.max_caller_legs(), config.max_serving_legs(),
                                        config.site};
-  const BranchSettings branch_settings{config.site.max_open, config.most_runner_links(),
+  const BranchSettings branch_settings{config.site.max_open, config.max_runner_links(),
                                        config.site.settings.connect_timeout, config.site.idle_close,
                                        config.site};
   TransactionTable core(config.site.settings, config.seed, config.site.max_open, &deadlines);
--- a/src/membership/contacts.cpp
+++ b/src/membership/contacts.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug::membership_ring {
 namespace {
 
-constexpr std::size_t kMostSeeds = 16;
+constexpr std::size_t kMaxSeeds = 16;
 constexpr Time kFirstSeedInterval = 200 * kMillisecond;
 constexpr Time kSeedInterval = 2 * kSecond;
 constexpr Time kDeadInterval = kSecond;
@@ -17,7 +17,7 @@
 }  // namespace
 
 void Contacts::SetSeeds(std::vector<std::string> addresses) {
-  if (addresses.size() > kMostSeeds) addresses.resize(kMostSeeds);
+  if (addresses.size() > kMaxSeeds) addresses.resize(kMaxSeeds);
   seeds_ = std::move(addresses);
   seed_interval_ = kFirstSeedInterval;
 }
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 constexpr Time kBetweenPings = 300 * kMillisecond;
-constexpr int kMostPatience = 8;
+constexpr int kMaxMultiplier = 8;
 constexpr Time kAcquitAfter = 10 * kSecond;
 constexpr Time kTroubleLasts = 3 * kSecond;
-constexpr std::size_t kFewestProbes = 8, kMostProbes = 64;  // a heartbeat period
-constexpr std::size_t kProbedShare = 10;                    // one in so many members
+constexpr std::size_t kFewestProbes = 8, kMaxProbes = 64;  // a heartbeat period
+constexpr std::size_t kProbedShare = 10;                   // one in so many members
 
 }  // namespace
 
@@ -58,7 +58,7 @@
 void FailureDetector::CheckWatched(Time now, const std::string& name, Watch& watch, Findings* findings) {
   Entry& entry = *table_.Find(name);
   if (!IsLive(entry.record)) return;
-  if (entry.last_heard > watch.since) watch.patience = 1;
+  if (entry.last_heard > watch.since) watch.timeout = 1;
   const Time silence = now - LastSign(entry, watch);
   if (silence >= PingAfter() && now >= watch.next_ping) {
     watch.next_ping = now + kBetweenPings;
@@ -79,7 +79,7 @@
   const auto trusted = std::ranges::count_if(monitors, [&](const std::string& monitor) {
     return table_.Find(monitor)->record.state() == messages::MEMBER_ALIVE;
   });
-  return entry.record.suspected_by_size() >= std::min<std::ptrdiff_t>(kMostAccusers, trusted);
+  return entry.record.suspected_by_size() >= std::min<std::ptrdiff_t>(kMaxAccusers, trusted);
 }
 
 // Suspicions that are not this member's own: confirmed by others, or forgotten after a while.
@@ -120,7 +120,7 @@
 void FailureDetector::ProbeAtRandom(Time now, Findings* findings) {
   const std::size_t live = table_.live_count();
   if (now >= trouble_until_ || live < 2) return;
-  const std::size_t probes = std::min(std::clamp(live / kProbedShare, kFewestProbes, kMostProbes), live);
+  const std::size_t probes = std::min(std::clamp(live / kProbedShare, kFewestProbes, kMaxProbes), live);
   const std::size_t start = random_.Below(live);
   for (std::size_t i = 0; i < probes; ++i) {
     const std::string& name = table_.LiveAt((start + i) % live);
@@ -141,7 +141,7 @@
   const auto watch = watches_.find(name);
   if (watch == watches_.end()) return;
   watch->second.since = now;
-  watch->second.patience = std::min(watch->second.patience * 2, kMostPatience);
+  watch->second.timeout = std::min(watch->second.timeout * 2, kMaxMultiplier);
 }
 
 }  // namespace lichenlug::membership_ring
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -18,7 +18,7 @@
 class FailureDetector {
  public:
   struct Settings {
-    Time heartbeat_every, suspect_after, dead_after;
+    Time heartbeat_interval, suspect_after, dead_after;
     std::size_t monitors;
   };
   struct Findings {
@@ -45,7 +45,7 @@
   struct Watch {
     Time since = 0;
     Time next_ping = 0;
-    int patience = 1;     // multiplies the time until it is accused
+    int timeout = 1;      // multiplies the time until it is accused
     bool probed = false;  // not a predecessor
   };
 
@@ -54,11 +54,11 @@
   void CheckSuspects(Time now, Findings* findings);
   bool MonitorsAgree(const Entry& entry) const;
   Time LastSign(const Entry& entry, const Watch& watch) const;
-  Time SuspectAfter(const Watch& watch) const { return settings_.suspect_after * watch.patience; }
+  Time SuspectAfter(const Watch& watch) const { return settings_.suspect_after * watch.timeout; }
   Time DeadAfter(const Watch& watch) const {
     return SuspectAfter(watch) + settings_.dead_after - settings_.suspect_after;
   }
-  Time PingAfter() const { return settings_.heartbeat_every * 9 / 4; }
+  Time PingAfter() const { return settings_.heartbeat_interval * 9 / 4; }
 
   const Settings settings_;
   MemberTable& table_;
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -142,7 +142,7 @@
 }
 
 bool MemberTable::MakeRoom() {
-  if (entries_.size() < kMostMembers) return true;
+  if (entries_.size() < kMaxTableEntries) return true;
   const auto oldest = std::ranges::min_element(entries_, {}, [](const auto& item) {
     return std::pair(IsLive(item.second.record), item.second.dead_since);
   });
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -16,7 +16,7 @@
 
 namespace lichenlug::membership_ring {
 
-inline constexpr std::size_t kMostMembers = 8192;
+inline constexpr std::size_t kMaxTableEntries = 8192;
 inline constexpr std::size_t kBuckets = 64;
 
 // A suspect may object at least this long before it is taken for dead on another member's word.
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -26,7 +26,7 @@
 struct MembershipSettings {
   Member self;
   std::vector<std::string> seed_addresses;  // of the internal transport; may include the own one
-  Time heartbeat_every = 400 * kMillisecond;
+  Time heartbeat_interval = 400 * kMillisecond;
   Time suspect_after = 1500 * kMillisecond;
   Time dead_after = 2500 * kMillisecond;
   int monitors = 3;
--- a/src/membership/news.h
+++ b/src/membership/news.h
@@ -15,7 +15,7 @@
 
 class News {
  public:
-  static constexpr std::size_t kMostInMessage = 64;
+  static constexpr std::size_t kMaxInMessage = 64;
   static constexpr Time kBetweenBursts = 50 * kMillisecond;
   static constexpr Time kRecent = 450 * kMillisecond;  // about one heartbeat
 
--- a/src/membership/protocol.cpp
+++ b/src/membership/protocol.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kFarewells = 12;
 
 FailureDetector::Settings DetectorSettings(const MembershipSettings& settings) {
-  return {.heartbeat_every = settings.heartbeat_every,
+  return {.heartbeat_interval = settings.heartbeat_interval,
           .suspect_after = settings.suspect_after,
           .dead_after = settings.dead_after,
           .monitors = static_cast<std::size_t>(std::max(settings.monitors, 1))};
@@ -39,7 +39,7 @@
   started_at_ = last_call_ = now;
   contacts_.Start(now);
   next_heartbeat_ =
-      now + static_cast<Time>(random_.Below(static_cast<std::uint64_t>(settings_.heartbeat_every)));
+      now + static_cast<Time>(random_.Below(static_cast<std::uint64_t>(settings_.heartbeat_interval)));
   CallSeeds({now, *output});
 }
 
@@ -69,7 +69,7 @@
 
 void Protocol::HeartbeatPeriod(const Call& call) {
   next_heartbeat_ =
-      std::max(next_heartbeat_ + settings_.heartbeat_every, call.now + settings_.heartbeat_every / 2);
+      std::max(next_heartbeat_ + settings_.heartbeat_interval, call.now + settings_.heartbeat_interval / 2);
   const auto heartbeat = MakeHeartbeat(news_.Recent(call.now), false);
   GreetNewMonitors(call);
   for (const std::string& monitor : monitors_) SendToMember(call, monitor, heartbeat);
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -71,7 +71,7 @@
          IsShort(record.address()) && IsShort(record.control_address()) && IsShort(record.zone()) &&
          IsShort(record.region()) && IsShort(record.replica_id()) &&
          messages::MemberState_IsValid(record.state()) && record.incarnation() <= kHighestIncarnation &&
-         record.suspected_by_size() <= kMostAccusers && std::ranges::all_of(record.suspected_by(), IsShort);
+         record.suspected_by_size() <= kMaxAccusers && std::ranges::all_of(record.suspected_by(), IsShort);
 }
 
 std::strong_ordering CompareKnowledge(const MemberRecord& left, const MemberRecord& right) {
@@ -83,7 +83,7 @@
 }
 
 bool AddAccuser(MemberRecord* record, const std::string& name) {
-  if (HasAccuser(*record, name) || record->suspected_by_size() >= kMostAccusers) return false;
+  if (HasAccuser(*record, name) || record->suspected_by_size() >= kMaxAccusers) return false;
   record->add_suspected_by(name);
   return true;
 }
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -13,7 +13,7 @@
 
 using messages::MemberRecord;
 
-inline constexpr int kMostAccusers = 2;  // as many as it takes to declare a member dead
+inline constexpr int kMaxAccusers = 2;  // as many as it takes to declare a member dead
 
 // Position of a name on the ring; the same on every machine.
 std::uint64_t HashName(std::string_view name);
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -7,7 +7,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr std::size_t kMostPending = kMostBody + kMostHead;
+constexpr std::size_t kMaxPending = kMaxBody + kMaxHead;
 constexpr std::size_t kReadSize = 16 * 1024;
 
 // Bytes lie here only between a read and their parsing or keeping.
@@ -30,7 +30,7 @@
     return c.ended_;
   }
   static bool HeadFits(HttpConnection& c, std::size_t more) {
-    c.head_too_large_ = (c.head_size_ += more) > c.options_.most_head;
+    c.head_too_large_ = (c.head_size_ += more) > c.options_.max_head;
     return !c.head_too_large_;
   }
   static int Url(http_parser* p, const char* at, std::size_t size) {
@@ -79,7 +79,7 @@
     c.message_.length = counted ? p->content_length : 0;
     if (c.events_.on_head) c.events_.on_head(c.message_);
     if (c.ended_) return -1;  // 1 would mean "no body"
-    if (!c.events_.on_piece && counted && p->content_length > c.options_.most_body) c.too_large_ = true;
+    if (!c.events_.on_body_chunk && counted && p->content_length > c.options_.max_body) c.too_large_ = true;
     // What wants to leave HTTP, is of another version or of a coding that is not undone here is not for this
     // program: a body handed on still coded would be read in another way by the one who gets it.
     if (c.options_.ignore_upgrade && p->method != HTTP_CONNECT && p->type == HTTP_REQUEST) p->upgrade = 0;
@@ -89,11 +89,11 @@
   }
   static int Body(http_parser* p, const char* at, std::size_t size) {
     HttpConnection& c = Of(p);
-    if (c.events_.on_piece) {
-      c.events_.on_piece({at, size});
+    if (c.events_.on_body_chunk) {
+      c.events_.on_body_chunk({at, size});
       return c.ended_;
     }
-    if (c.message_.body.size() + size > c.options_.most_body) return c.too_large_ = true;
+    if (c.message_.body.size() + size > c.options_.max_body) return c.too_large_ = true;
     c.message_.body.append(at, size);
     return 0;
   }
@@ -153,17 +153,17 @@
   socket_.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](std::error_code) {
     self->awaiting_ = false;
     if (self->ended_) return;
-    if (!self->Held()) self->Read(self->options_.reading == Reading::kDrain ? kMostReads : 1);
+    if (!self->Held()) self->Read(self->options_.reading == Reading::kDrain ? kMaxReads : 1);
     self->Parse();
     self->AwaitBytes();
   });
 }
 
-std::size_t HttpConnection::MostPending() const { return std::max(kMostPending, options_.most_head); }
+std::size_t HttpConnection::MaxPending() const { return std::max(kMaxPending, options_.max_head); }
 
 bool HttpConnection::Held() const {
   return options_.reading == Reading::kPaced && !finishing_ &&
-         (paused_ || (resting_ && pending_.size() >= MostPending()));
+         (paused_ || (resting_ && pending_.size() >= MaxPending()));
 }
 
 void HttpConnection::PauseReading(bool pause) {
@@ -171,14 +171,14 @@
   if (started_) AwaitBytes();
 }
 
-void HttpConnection::SetBounds(std::size_t most_head, std::size_t most_body) {
-  options_.most_head = most_head, options_.most_body = most_body;
+void HttpConnection::SetBounds(std::size_t max_head, std::size_t max_body) {
+  options_.max_head = max_head, options_.max_body = max_body;
 }
 
 // Takes what has come, never waits. While no message is being served a full buffer is parsed first.
-void HttpConnection::Read(int most_reads) {
+void HttpConnection::Read(int max_reads) {
   if (!started_ || ended_ || eof_) return;
-  for (int reads = 0; reads < most_reads && (resting_ || pending_.size() < MostPending()); ++reads) {
+  for (int reads = 0; reads < max_reads && (resting_ || pending_.size() < MaxPending()); ++reads) {
     if (Held()) return;
     std::error_code error;
     const std::size_t size = socket_.read_some(asio::buffer(ReadBuffer(), kReadSize), error);
@@ -189,7 +189,7 @@
     }
     if (finishing_) continue;
     const bool bounded = resting_ && options_.reading == Reading::kDrain;
-    const std::size_t room = MostPending() - std::min(pending_.size(), MostPending());
+    const std::size_t room = MaxPending() - std::min(pending_.size(), MaxPending());
     if (bounded && size > room) overflowed_ = true;
     pending_.append(ReadBuffer(), bounded ? std::min(size, room) : size);
   }
@@ -265,7 +265,7 @@
 bool HttpConnection::PeerEnded() {
   const std::size_t known = pending_.size();
   const bool known_end = eof_;
-  Read(kMostReads);
+  Read(kMaxReads);
   // What was taken here no event of the system tells of any more.
   if (pending_.size() != known || eof_ != known_end) ParseLater();
   return eof_ || ended_;
@@ -287,7 +287,7 @@
 
 void HttpConnection::Close() {
   if (ended_) return;
-  if (finishing_) Read(kMostReads);  // see Finish()
+  if (finishing_) Read(kMaxReads);  // see Finish()
   ended_ = true;
   std::error_code ignored;
   socket_.close(ignored);
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -15,7 +15,7 @@
 
 namespace lichenlug {
 
-inline constexpr std::size_t kMostBody = 64 * 1024, kMostHead = 16 * 1024;
+inline constexpr std::size_t kMaxBody = 64 * 1024, kMaxHead = 16 * 1024;
 
 // How a connection reads while it cannot hand over what comes.
 enum class Reading {
@@ -25,7 +25,7 @@
 };
 
 struct HttpOptions {
-  std::size_t most_head = kMostHead, most_body = kMostBody;
+  std::size_t max_head = kMaxHead, max_body = kMaxBody;
   Reading reading = Reading::kDrain;
   bool keep_name_case = false;  // of headers; else their names become lower case
   bool ignore_upgrade = false;  // a wish to leave HTTP is not followed; else it is a fault
@@ -41,7 +41,8 @@
   struct Events {
     std::function<void()> on_begin;                   // the first byte of a message has come
     std::function<void(const HttpMessage&)> on_head;  // optional: the head is there
-    std::function<void(std::string_view)> on_piece;   // optional: takes the body piece by piece, unbounded
+    std::function<void(std::string_view)>
+        on_body_chunk;  // optional: takes the body piece by piece, unbounded
     std::function<void(HttpMessage)> on_message;
     std::function<void(End)> on_end;   // no message after it; kClosed may follow another end
     std::function<void()> on_drained;  // optional: all that Send() had to keep is written
@@ -71,18 +72,18 @@
   bool PeerEnded();
   bool HasUnread();
   void PauseReading(bool pause);  // kPaced only; the end of the other side is not noticed meanwhile
-  void SetBounds(std::size_t most_head, std::size_t most_body);  // of the messages from here on
-  void ExpectNoBody(bool no_body) { no_body_ = no_body; }        // the next answers are to HEAD requests
-  bool head_too_large() const { return head_too_large_; }        // what made the message malformed
-  asio::ip::tcp::socket& socket() { return socket_; }            // for its options
+  void SetBounds(std::size_t max_head, std::size_t max_body);  // of the messages from here on
+  void ExpectNoBody(bool no_body) { no_body_ = no_body; }      // the next answers are to HEAD requests
+  bool head_too_large() const { return head_too_large_; }      // what made the message malformed
+  asio::ip::tcp::socket& socket() { return socket_; }          // for its options
   bool overflowed() const { return overflowed_; }  // bytes were dropped: what comes next cannot be read
 
  private:
   struct Callbacks;
   void AwaitBytes();
   // In one go: a side that never stops sending must not starve the others.
-  static constexpr int kMostReads = 128;
-  void Read(int most_reads);
+  static constexpr int kMaxReads = 128;
+  void Read(int max_reads);
   void Parse();
   void Flush(std::function<void(std::error_code)> done);
   void ParseLater();
@@ -90,7 +91,7 @@
   bool Held() const;  // kPaced: nothing may be read now
   void WatchReadingOnly(const asio::ip::tcp::endpoint& local);
   void GoOnSending(std::error_code error);
-  std::size_t MostPending() const;
+  std::size_t MaxPending() const;
 
   asio::ip::tcp::socket socket_;
   Events events_;
--- a/src/net/http_send.cpp
+++ b/src/net/http_send.cpp
@@ -39,7 +39,7 @@
 void HttpConnection::GoOnSending(std::error_code error) {
   const bool full = error == asio::error::would_block || error == asio::error::interrupted;
   if (!full) {
-    Read(kMostReads);  // what the other side said before its end
+    Read(kMaxReads);  // what the other side said before its end
     eof_ = reset_ = true;
     return ParseLater();
   }
--- a/src/node/configuration_reader.cpp
+++ b/src/node/configuration_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Time kReadEvery = 300 * kMillisecond;
+constexpr Time kReadInterval = 300 * kMillisecond;
 constexpr Time kReadGiveUp = 800 * kMillisecond;
 constexpr Time kToldWithin =
     400 * kMillisecond;  // of an accept, where its proposer lives and has a fast link
@@ -36,7 +36,7 @@
 void ConfigurationReader::Installed() { check_accepted_at_.reset(); }
 
 std::optional<ConfigurationReader::Read> ConfigurationReader::Next(Time now) {
-  if (under_way_) return std::nullopt;
+  if (in_flight_) return std::nullopt;
   if (check_accepted_at_ && now >= *check_accepted_at_) {
     check_accepted_at_.reset();
     return Begin(now, /*push=*/true);
@@ -46,18 +46,18 @@
 }
 
 ConfigurationReader::Read ConfigurationReader::Begin(Time now, bool push) {
-  next_read_ = now + kReadEvery;
-  under_way_ = Read{push, now + kReadGiveUp};
-  return *under_way_;
+  next_read_ = now + kReadInterval;
+  in_flight_ = Read{push, now + kReadGiveUp};
+  return *in_flight_;
 }
 
 void ConfigurationReader::Completed(Time now, bool answered) {
-  const std::optional<Read> read = std::exchange(under_way_, std::nullopt);
+  const std::optional<Read> read = std::exchange(in_flight_, std::nullopt);
   if (read && read->push && !answered) Accepting(now, bytes_to_all_);
 }
 
 std::optional<Time> ConfigurationReader::NextTimer() const {
-  if (under_way_) return std::nullopt;
+  if (in_flight_) return std::nullopt;
   if (confirmed_) return check_accepted_at_;
   return check_accepted_at_ ? std::min(*check_accepted_at_, next_read_) : next_read_;
 }
--- a/src/node/configuration_reader.h
+++ b/src/node/configuration_reader.h
@@ -14,8 +14,8 @@
 class ConfigurationReader {
  public:
   struct Read {
-    bool push = false;    // what is read is told to all others
-    Time give_up_at = 0;  // without an answer
+    bool push = false;  // what is read is told to all others
+    Time deadline = 0;  // without an answer
   };
 
   explicit ConfigurationReader(std::uint64_t seed) : random_(seed) {}
@@ -44,7 +44,7 @@
 
   std::mt19937_64 random_;
   bool confirmed_ = false;
-  std::optional<Read> under_way_;
+  std::optional<Read> in_flight_;
   Time next_read_ = 0;  // while nothing is confirmed
   std::optional<Time> check_accepted_at_;
   Time check_latest_ = 0;         // of what was asked first
--- a/src/node/configuration_source.cpp
+++ b/src/node/configuration_source.cpp
@@ -29,9 +29,9 @@
   const auto done = [this, push = read->push](const consensus::Completion& completion) {
     Read(completion, push);
   };
-  if (!has_replica) return registers_->Read(kRegister, read->give_up_at, done);
+  if (!has_replica) return registers_->Read(kRegister, read->deadline, done);
   registers_->Submit(
-      kRegister, [](const std::string&) { return consensus::KeepPayload{}; }, read->give_up_at, done);
+      kRegister, [](const std::string&) { return consensus::KeepPayload{}; }, read->deadline, done);
 }
 
 void ConfigurationSource::Read(const consensus::Completion& completion, bool push) {
--- a/src/node/control_node.cpp
+++ b/src/node/control_node.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Time kServeUnconfirmedAfter = 3 * kSecond;  // a peer's word will do when no majority can be asked
-constexpr Time kReportEvery = 500 * kMillisecond;
+constexpr Time kReportInterval = 500 * kMillisecond;
 
 const char* ToText(configuration::Arrival arrival) {
   switch (arrival) {
@@ -292,7 +292,7 @@
 void ControlNode::DemandHasChanged() { ReportDataPlane(host_->Now()); }
 
 void ControlNode::ReportDataPlane(Time now) {
-  next_report_ = now + kReportEvery;
+  next_report_ = now + kReportInterval;
   if (configuration_source_.confirmed()) duties_.Report(now, WallNow(), host_->TakeReport());
 }
 
--- a/src/node/duty_service.cpp
+++ b/src/node/duty_service.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Time kActEvery = 250 * kMillisecond;
+constexpr Time kActInterval = 250 * kMillisecond;
 constexpr Time kShortestCall = kMillisecond;
 
 duties::OwnershipSettings OwnershipSettingsFor(const std::string& register_name, const NodeSettings& settings,
@@ -144,7 +144,7 @@
 
 void DutyService::Carry(const std::string& register_name, duties::OwnershipOutput output) {
   for (duties::RegisterOperation& operation : output.operations) {
-    registers_->Submit(operation.register_name, std::move(operation.change), operation.give_up_at,
+    registers_->Submit(operation.register_name, std::move(operation.change), operation.deadline,
                        [this, register_name, tag = operation.tag](const consensus::Completion& completion) {
                          const bool is_answered = completion.outcome == consensus::Outcome::kChosen ||
                                                   completion.outcome == consensus::Outcome::kKept;
@@ -174,7 +174,7 @@
     Carry(name, std::move(output));
   }
   if (now < next_act_) return;
-  next_act_ = now + kActEvery;
+  next_act_ = now + kActInterval;
   if (resigned_) return;
   ActOnUsage(now, wall_now);
   ActOnPlacement(now);
@@ -202,7 +202,7 @@
                               NodeHost::CallDone done) {
   if (const std::optional<Time> end = OwnershipOf(register_name).CallsEndBy()) {
     const Time left = std::max(*end - host_->Now(), kShortestCall);
-    call.give_up_after = std::min(call.give_up_after, left);
+    call.timeout = std::min(call.timeout, left);
   }
   host_->Call(call, std::move(done));
 }
--- a/src/node/end_acknowledgements.cpp
+++ b/src/node/end_acknowledgements.cpp
@@ -17,7 +17,7 @@
 
 void EndAcknowledgements::Add(Time now, const std::string& runner_id, ControlResponse response,
                               Respond respond) {
-  if (waiting_.size() >= kMostWaitingEnds) return respond(Refusal());
+  if (waiting_.size() >= kMaxWaitingEnds) return respond(Refusal());
   waiting_.push_back({runner_id, now + kEndAcknowledgedWithin, std::move(response), std::move(respond)});
 }
 
--- a/src/node/end_acknowledgements.h
+++ b/src/node/end_acknowledgements.h
@@ -14,7 +14,7 @@
 namespace lichenlug::node {
 
 inline constexpr Time kEndAcknowledgedWithin = 700 * kMillisecond;  // runners move on after a second
-inline constexpr std::size_t kMostWaitingEnds = 4096;
+inline constexpr std::size_t kMaxWaitingEnds = 4096;
 
 class EndAcknowledgements {
  public:
--- a/src/node/group_keeper.cpp
+++ b/src/node/group_keeper.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Time kKeepEvery = 300 * kMillisecond;
-constexpr Time kHintEvery = 500 * kMillisecond;
-constexpr Time kAskEvery = 100 * kMillisecond;  // while nothing is known of the groups
-constexpr Time kAskForProofEvery = 400 * kMillisecond;
+constexpr Time kKeepInterval = 300 * kMillisecond;
+constexpr Time kHintInterval = 500 * kMillisecond;
+constexpr Time kPollInterval = 100 * kMillisecond;  // while nothing is known of the groups
+constexpr Time kProofPollInterval = 400 * kMillisecond;
 
 }  // namespace
 
@@ -33,14 +33,14 @@
 void GroupKeeper::Tick(Time now, const std::vector<Member>& live, const std::string& replica_id) {
   if (!registers_->FoundingIsProven() && now >= next_ask_) Ask(now, live);
   if (now < next_keep_) return;
-  next_keep_ = now + kKeepEvery;
+  next_keep_ = now + kKeepInterval;
   if (IsGroupKeeper(live, settings_.name)) TellInTurn(now, live);
   ChangeGroups(now, live, !replica_id.empty());
 }
 
 void GroupKeeper::TellInTurn(Time now, const std::vector<Member>& live) {
   if (now < next_hint_) return;
-  next_hint_ = now + kHintEvery;
+  next_hint_ = now + kHintInterval;
   SendHints(live[turn_++ % live.size()].address);
 }
 
@@ -58,7 +58,7 @@
       [change = consensus::NewGroup{std::move(move.members), move.if_version}](const std::string&) {
         return change;
       },
-      move.give_up_at,
+      move.deadline,
       [this, register_name = move.register_name](const consensus::Completion& completion) {
         const bool settled = completion.outcome == consensus::Outcome::kChosen ||
                              completion.outcome == consensus::Outcome::kKept;
@@ -77,7 +77,7 @@
 // A process of a later start, without a store or with an empty one, asks others for the groups; one that only
 // assumes what was founded asks whether something else was agreed on.
 void GroupKeeper::Ask(Time now, const std::vector<Member>& live) {
-  next_ask_ = now + (registers_->KnowsFounding() ? kAskForProofEvery : kAskEvery);
+  next_ask_ = now + (registers_->KnowsFounding() ? kProofPollInterval : kPollInterval);
   for (const std::string& address : asking_.Next(live, settings_.internal_address)) {
     messages::Envelope envelope;
     envelope.mutable_group_hints()->set_wants_reply(true);
--- a/src/node/group_mover.cpp
+++ b/src/node/group_mover.cpp
@@ -9,7 +9,7 @@
 
 constexpr Time kGiveUpAfter = 2 * kSecond;
 constexpr Time kPauseAfterFailure = 500 * kMillisecond;
-constexpr int kMostDoublings = 4;
+constexpr int kMaxDoublings = 4;
 constexpr Time kLongestUnseen = 2 * kSecond;  // between two looks; beyond that this process was frozen
 
 }  // namespace
@@ -30,14 +30,14 @@
                                           const std::vector<Member>& live, bool may_change) {
   Register& looked_at = registers_[register_name];
   Look(now, present, live, &looked_at);
-  const bool may_begin = may_change && !looked_at.under_way && now >= looked_at.not_before &&
+  const bool may_begin = may_change && !looked_at.in_flight && now >= looked_at.not_before &&
                          looked_at.majority_seen_since && IsGroupKeeper(live, self_name_);
   if (!may_begin) return std::nullopt;
   auto wanted = PlanGroup(present, live, tolerated_, AbsentMembersOf(now, register_name));
   if (!wanted) return std::nullopt;
-  looked_at.under_way = true;
-  const Time give_up_after = kGiveUpAfter << std::min(looked_at.failures, kMostDoublings);
-  return GroupMove{register_name, std::move(*wanted), present.version(), now + give_up_after};
+  looked_at.in_flight = true;
+  const Time timeout = kGiveUpAfter << std::min(looked_at.failures, kMaxDoublings);
+  return GroupMove{register_name, std::move(*wanted), present.version(), now + timeout};
 }
 
 AbsentMembers GroupMover::AbsentMembersOf(Time now, const std::string& register_name) const {
@@ -49,12 +49,12 @@
 
 void GroupMover::Completed(Time now, const std::string& register_name, bool settled) {
   Register& moved = registers_[register_name];
-  moved.under_way = false;
+  moved.in_flight = false;
   if (settled) {
     moved.failures = 0;
     return;
   }
-  const Time longest = kPauseAfterFailure << std::min(moved.failures++, kMostDoublings);
+  const Time longest = kPauseAfterFailure << std::min(moved.failures++, kMaxDoublings);
   moved.not_before = now + std::uniform_int_distribution<Time>(longest / 2, longest)(random_);
 }
 
--- a/src/node/group_mover.h
+++ b/src/node/group_mover.h
@@ -28,7 +28,7 @@
   std::string register_name;
   std::vector<messages::ReplicaIdentity> members;  // wanted
   std::uint64_t if_version = 0;                    // only from this version of the group
-  Time give_up_at = 0;
+  Time deadline = 0;
 };
 
 class GroupMover {
@@ -51,7 +51,7 @@
   struct Register {
     std::optional<Time> majority_seen_since;
     Time seen_at = 0;  // the last look
-    bool under_way = false;
+    bool in_flight = false;
     int failures = 0;  // in a row
     Time not_before = 0;
   };
--- a/src/node/group_planner.cpp
+++ b/src/node/group_planner.cpp
@@ -12,7 +12,7 @@
 using Identities = std::vector<messages::ReplicaIdentity>;
 
 // So many voters outlast the loss of `tolerated` of them.
-std::size_t LeastVoters(int tolerated) { return 2 * static_cast<std::size_t>(tolerated) + 1; }
+std::size_t MinVoters(int tolerated) { return 2 * static_cast<std::size_t>(tolerated) + 1; }
 
 bool MayReplicate(const Member& member) { return member.counts_for_quorum && !member.replica_id.empty(); }
 
@@ -60,9 +60,9 @@
   if (keeps_absent) wanted.insert(wanted.end(), absent.begin(), absent.end());
   for (const Member& member : live) {
     if (!MayReplicate(member) || Holds(wanted, member.replica_id)) continue;
-    if (wanted.size() < kMostReplicas) wanted.push_back(IdentityOf(member));
+    if (wanted.size() < kMaxReplicas) wanted.push_back(IdentityOf(member));
   }
-  const std::size_t least = LeastVoters(tolerated);
+  const std::size_t least = MinVoters(tolerated);
   for (const auto& identity : absent) {
     if (!keeps_absent && wanted.size() < least) wanted.push_back(identity);
   }
@@ -83,7 +83,7 @@
 bool IsGrown(const messages::ReplicaGroup& group, const std::vector<Member>& live, int tolerated,
              AbsentMembers absent_members) {
   const auto& voters = IsJoint(group) ? group.next_members() : group.members();
-  if (static_cast<std::size_t>(voters.size()) >= LeastVoters(tolerated)) return true;
+  if (static_cast<std::size_t>(voters.size()) >= MinVoters(tolerated)) return true;
   if (absent_members == AbsentMembers::kMayStart) return false;
   return std::none_of(live.begin(), live.end(), [&](const Member& member) {
     return MayReplicate(member) && !Holds({voters.begin(), voters.end()}, member.replica_id);
@@ -94,7 +94,7 @@
   const auto others = std::count_if(live.begin(), live.end(), [&](const Member& member) {
     return MayReplicate(member) && member.name != self_name;
   });
-  return static_cast<std::size_t>(others) >= LeastVoters(tolerated);
+  return static_cast<std::size_t>(others) >= MinVoters(tolerated);
 }
 
 bool IsVoter(const messages::ReplicaGroup& group, const std::string& replica_id) {
--- a/src/node/group_planner.h
+++ b/src/node/group_planner.h
@@ -10,7 +10,7 @@
 
 namespace lichenlug::node {
 
-inline constexpr std::size_t kMostReplicas = 9;
+inline constexpr std::size_t kMaxReplicas = 9;
 
 // A process that has begun of late has not heard of all that live.
 enum class AbsentMembers { kMayStart, kAreGone };
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -160,7 +160,7 @@
   const Json limits = Object(object, "parcel_limits");
   settings.descriptors = static_cast<int>(Number(limits, "file_handles", settings.descriptors));
   settings.memory_mb = Number(limits, "memory_mb", settings.memory_mb);
-  settings.heartbeat_every = Milliseconds(object, "report_ms", settings.heartbeat_every);
+  settings.heartbeat_interval = Milliseconds(object, "report_ms", settings.heartbeat_interval);
   settings.retry_budget = ListHolds(object, "regulations_in_force", "retry");
   settings.bounds = ReadBounds(Object(object, "timetable"));
   ReadPlatform(object, &settings);
--- a/src/node/node_settings.h
+++ b/src/node/node_settings.h
@@ -52,8 +52,8 @@
   int tolerated_machines = 1;
   int descriptors = 1024;
   double memory_mb = 256;
-  Time heartbeat_every = 1200 * kMillisecond;  // of runners
-  std::string platform_address;                // "ip:port"; empty: none
+  Time heartbeat_interval = 1200 * kMillisecond;  // of runners
+  std::string platform_address;                   // "ip:port"; empty: none
   bool duty_usage = false;
   bool duty_fleet = false;
   bool retry_budget = true;
--- a/src/node/part_settings.cpp
+++ b/src/node/part_settings.cpp
@@ -34,7 +34,7 @@
   registry.serves_control = !settings.control_address.empty();
   registry.counts_for_quorum = settings.counts_for_quorum;
   registry.prefers_stores = settings.mechanisms.Has(Mechanism::kStoreHomes);
-  registry.heartbeat_every = settings.heartbeat_every;
+  registry.heartbeat_interval = settings.heartbeat_interval;
   registry.seed = seed;
   return registry;
 }
@@ -43,7 +43,7 @@
   configuration::FollowerSettings follower;
   follower.self_name = settings.name;
   follower.zone = settings.zone;
-  follower.poll_every = settings.bounds.configuration_in_force / 5;
+  follower.poll_interval = settings.bounds.configuration_in_force / 5;
   follower.seed = seed;
   return follower;
 }
--- a/src/node/register_service.cpp
+++ b/src/node/register_service.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kMostHints = 64;
+constexpr std::size_t kMaxHints = 64;
 constexpr Time kDiskAgainAfter = 300 * kMillisecond;  // a full disk may have space again
 
 // Peers that know what was founded are heard before: they ask and answer within some 100 ms. Where two disks
@@ -178,18 +178,18 @@
 }
 
 void RegisterService::Submit(const std::string& register_name, consensus::ChangeFunction change,
-                             Time give_up_at, Done done) {
+                             Time deadline, Done done) {
   if (!node_) return host_->Post([done = std::move(done)] { done({}); });
   consensus::RegisterOutput output;
-  const auto operation = node_->Submit(host_->Now(), register_name, std::move(change), give_up_at, &output);
+  const auto operation = node_->Submit(host_->Now(), register_name, std::move(change), deadline, &output);
   waiting_.emplace(operation, std::move(done));
   Carry(std::move(output));
 }
 
-void RegisterService::Read(const std::string& register_name, Time give_up_at, Done done) {
+void RegisterService::Read(const std::string& register_name, Time deadline, Done done) {
   if (!node_) return host_->Post([done = std::move(done)] { done({}); });
   consensus::RegisterOutput output;
-  const auto operation = node_->Read(host_->Now(), register_name, give_up_at, &output);
+  const auto operation = node_->Read(host_->Now(), register_name, deadline, &output);
   waiting_.emplace(operation, std::move(done));
   Carry(std::move(output));
 }
@@ -234,7 +234,7 @@
 }
 
 void RegisterService::LearnGroup(const std::string& register_name, const messages::ReplicaGroup& group) {
-  if (hints_.size() >= kMostHints && hints_.count(register_name) == 0) return;
+  if (hints_.size() >= kMaxHints && hints_.count(register_name) == 0) return;
   messages::ReplicaGroup& held = hints_[register_name];
   if (group.version() > held.version()) held = group;
   if (node_) node_->LearnGroup(register_name, group);
--- a/src/node/register_service.h
+++ b/src/node/register_service.h
@@ -34,9 +34,9 @@
   // refuses (a full one) is asked again and again.
   void OpenStore(std::function<void(const std::string& replica_id)> started);
 
-  void Submit(const std::string& register_name, consensus::ChangeFunction change, Time give_up_at, Done done);
+  void Submit(const std::string& register_name, consensus::ChangeFunction change, Time deadline, Done done);
   // Only looks; see RegisterNode::Read.
-  void Read(const std::string& register_name, Time give_up_at, Done done);
+  void Read(const std::string& register_name, Time deadline, Done done);
   void Receive(const std::string& from_address, const messages::RegisterMessage& message);
   void Tick(Time now);
   std::optional<Time> NextTimer() const;
--- a/src/node/service_placements.cpp
+++ b/src/node/service_placements.cpp
@@ -13,7 +13,7 @@
   settings_.origin_window = settings.bounds.origin_window;
   settings_.origin_overage = settings.bounds.origin_overage;
   settings_.lease = settings.bounds.lease;
-  settings_.heartbeat = settings.heartbeat_every;
+  settings_.heartbeat = settings.heartbeat_interval;
   settings_.scale = settings.duty_fleet;
   settings_.seed = seed;
 }
--- a/src/operate/config.cpp
+++ b/src/operate/config.cpp
@@ -14,8 +14,8 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kLeastSockets = 64;
-constexpr double kMostSockets = 1e9;
+constexpr std::size_t kMinSockets = 64;
+constexpr double kMaxSockets = 1e9;
 
 [[noreturn]] void Bad(const std::string& key, const std::string& what) {
   std::string line = key + ": " + what;  // may cite the file
@@ -51,18 +51,18 @@
 }
 
 std::size_t ReadSockets(const Json& root, const Config& config) {
-  std::size_t sockets = config.most_sockets;
+  std::size_t sockets = config.max_sockets;
   const Json& limits = Object(root, "limits");
   if (const auto it = limits.find("sockets"); it != limits.end() && !it->is_null()) {
     const double told = it->is_number() ? it->get<double>() : 0;
-    if (!(told >= 1 && told <= kMostSockets)) Bad("limits.sockets", "a number above 0 expected");
+    if (!(told >= 1 && told <= kMaxSockets)) Bad("limits.sockets", "a number above 0 expected");
     sockets = static_cast<std::size_t>(told);
   }
   rlimit allowed{};
   if (getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur != RLIM_INFINITY)
     sockets = std::min<std::size_t>(sockets, allowed.rlim_cur);
   const std::size_t least =
-      std::max(kLeastSockets, config.open_at_start + Config::kOwnDescriptors + Config::kLeastShared);
+      std::max(kMinSockets, config.open_at_start + Config::kOwnDescriptors + Config::kMinShared);
   if (sockets < least)
     Bad("limits.sockets", std::to_string(least) + " or more expected, here and as the process's limit");
   return sockets;
@@ -137,11 +137,11 @@
   config.discovery = Address(text("BALANCER_DISCOVERY", "discovery", running != nullptr), "discovery");
   if (config.discovery == config.listen) Bad("discovery", "another address than that of listen expected");
   config.seed = ParseSeed(root);
-  config.most_sockets = ReadSockets(root, config);
+  config.max_sockets = ReadSockets(root, config);
 
   if (!root.contains("settings")) Bad("settings", "missing");
   config.site = rookgw::ReadSettings(Object(root, "settings"));  // its messages begin with "settings: KEY"
-  config.site.settings.takes_told = true;                        // by a runner's 202
+  config.site.settings.reports_accepts = true;                   // by a runner's 202
   if (config.site.settings.connect_timeout == 0) Bad("settings.Limits.ConnectTimeout", "above 0 expected");
   if (config.site.max_open == 0) Bad("settings.Limits.MaxOpen", "1 or more expected");
 
--- a/src/operate/config.h
+++ b/src/operate/config.h
@@ -18,8 +18,8 @@
   std::string name;
   asio::ip::tcp::endpoint listen, discovery;
   std::uint64_t seed = 0;
-  std::size_t most_sockets = 1024;  // limits.sockets, and no more than the process may open
-  std::size_t open_at_start = 3;    // descriptors: inherited ones, the loop's, the signals'
+  std::size_t max_sockets = 1024;  // limits.sockets, and no more than the process may open
+  std::size_t open_at_start = 3;   // descriptors: inherited ones, the loop's, the signals'
   rookgw::Site site;
   RouteNews known;
   PeerSettings peers;  // off where settings.Limits.MayTell is not true
@@ -27,18 +27,18 @@
   // Every descriptor has its place in one sum: those open at the start, the program's own, the two shares of
   // what is left. A connection is closed in the turn in which it leaves its table, so that none is held
   // beside.
-  std::size_t most_runner_links() const { return shared() / 4; }
-  std::size_t most_caller_legs() const { return shared() - most_runner_links(); }
+  std::size_t max_runner_links() const { return shared() / 4; }
+  std::size_t max_caller_legs() const { return shared() - max_runner_links(); }
   // Past these only call-backs are served: they end work, and a runner tries each but ten times.
-  std::size_t most_serving_legs() const { return shared() / 2; }
+  std::size_t max_serving_legs() const { return shared() / 2; }
 
   // Its own, opened later: the listener and a connection that is accepted and not counted yet (2), the socket
   // of the datagrams (1), watches (3: one that stands, one that is asked for, one that is on its way out),
   // the file that is read at SIGHUP (1), one to spare.
-  static constexpr std::size_t kOwnDescriptors = 8, kLeastShared = 16;
+  static constexpr std::size_t kOwnDescriptors = 8, kMinShared = 16;
 
  private:
-  std::size_t shared() const { return most_sockets - open_at_start - kOwnDescriptors; }
+  std::size_t shared() const { return max_sockets - open_at_start - kOwnDescriptors; }
 };
 
 // What is wrong with the configuration, in one line that names the key and what is expected there.
--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -27,7 +27,7 @@
   std::string_view body;  // one zero byte may stand behind what was made
 };
 
-// `life`: 0 to 7, the one that Holdings says. `body`: 1 to PeerPart::kMostBody bytes.
+// `life`: 0 to 7, the one that Holdings says. `body`: 1 to PeerProtocol::kMaxBody bytes.
 inline std::string Make(int life, Kind kind, std::string_view body) {
   std::string bytes(1, static_cast<char>((life & 7) << 3 | static_cast<int>(kind)));
   bytes += body;
--- a/src/peers/holdings.cpp
+++ b/src/peers/holdings.cpp
@@ -18,7 +18,7 @@
       zone_(std::min(place.zone, kNoZone)),
       tier_(place.tier),
       sums_(zone_, classes, heard) {
-  if (place.tier > kMostDirect) relay_.emplace(life_, place.number, place.tier, zone_, &sums_);
+  if (place.tier > kMaxDirect) relay_.emplace(life_, place.number, place.tier, zone_, &sums_);
 }
 
 void Holdings::Due(Time at) {
@@ -39,7 +39,7 @@
 
 void Holdings::Failed(const std::string& runner, int cls, Time now) {
   if (relay_) return relay_->Failed(runner, cls, now);
-  if (cls < 0 || cls >= kMostClasses) return;
+  if (cls < 0 || cls >= kMaxClasses) return;
   streams_[sums_.ZoneOf(runner)].failed.push_back(
       static_cast<std::uint16_t>(Sums::Short(runner) << 4 | (kFailed + cls)));
   Due(now);
@@ -58,7 +58,7 @@
     if (stream.untold.empty() && stream.failed.empty()) continue;
     std::string bytes(1, Head(life_, stream.number));
     stream.number = (stream.number + 1) % 8;
-    const auto fits = [&bytes] { return bytes.size() + kEntry <= kMostBytes; };
+    const auto fits = [&bytes] { return bytes.size() + kEntry <= kMaxBytes; };
     for (; !stream.failed.empty() && fits(); stream.failed.pop_back())
       AppendEntry(&bytes, stream.failed.back() >> 4, stream.failed.back() & 0xf);
     for (const bool grown : {true, false})  // what matters most first
@@ -86,10 +86,10 @@
   return {Head(life_, relay_ && ZoneOf(peer) == kUnheard ? kAsks : 0), static_cast<char>(zone_)};
 }
 
-bool Holdings::Hear(int number, std::string_view bytes, Time now, bool* greet) {
+bool Holdings::HandleMessage(int number, std::string_view bytes, Time now, bool* greet) {
   const auto byte = [bytes](std::size_t i) { return static_cast<std::uint8_t>(bytes[i]); };
   *greet = false;
-  if (bytes.empty() || bytes.size() > kMostBytes) return ++dropped_, false;
+  if (bytes.empty() || bytes.size() > kMaxBytes) return ++dropped_, false;
   const int version = byte(0) >> 6, life = byte(0) >> 3 & 7, count = byte(0) & 7;
   const bool relayed = relay_ && version != kVersion;
   const bool direct =
@@ -103,7 +103,7 @@
     *greet = true;
   }
   *greet = *greet || (relayed && peer.zone == kUnheard);
-  if (relayed) return relay_->Hear(number, bytes, now) || (++dropped_, false);
+  if (relayed) return relay_->HandleMessage(number, bytes, now) || (++dropped_, false);
   if (bytes.size() == 2) {
     peer.zone = byte(1);
     *greet = *greet || count == kAsks;
--- a/src/peers/holdings.h
+++ b/src/peers/holdings.h
@@ -7,7 +7,7 @@
 //
 // A small tier tells each change to all: a datagram (version 1) is one head byte (two bits version, three
 // life, three number) and either the sender's zone in one byte (a greeting) or up to 127 entries (sums.h):
-// the sender now holds so many slots there, or failed a job. A large tier (over kMostDirect) tells one of its
+// the sender now holds so many slots there, or failed a job. A large tier (over kMaxDirect) tells one of its
 // own (relay.h), and reads what older programs tell all. Holdings are absolute, so what is lost is made good
 // by the next word on the same runner, and what comes twice changes nothing. What a peer said fades when it
 // says no more of it; another life of the sender takes back all that the last one said.
@@ -32,13 +32,13 @@
 
 class Holdings {
  public:
-  static constexpr std::size_t kMostBytes = 256;          // of a datagram, by PROTOCOL
+  static constexpr std::size_t kMaxBytes = 256;           // of a datagram, by PROTOCOL
   static constexpr Time kGatherEnds = 20 * kMillisecond;  // fewer slots can wait for company, more cannot
   static constexpr Time kFade = 6 * kSecond;              // a job's longest stay, with a little to spare
 
   // A tier up to this size tells each change to all: to one receiver more than this, a relay's digests cost
   // less.
-  static constexpr int kMostDirect = 24;
+  static constexpr int kMaxDirect = 24;
 
   struct Datagram {
     int zone;  // for the peers of this zone; kNoZone: for all
@@ -83,7 +83,7 @@
 
   // A datagram of a peer. False: it is malformed, of a version not known, or older than the last one. A peer
   // in a life not met before knows nobody: `greet` says that it is to be greeted.
-  bool Hear(int peer, std::string_view bytes, Time now, bool* greet);
+  bool HandleMessage(int peer, std::string_view bytes, Time now, bool* greet);
 
   // The relay chosen for a zone; kUnheard: none, or the tier is small.
   int RelayOf(int zone) const { return relay_ ? relay_->HomeOf(zone) : kUnheard; }
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -13,9 +13,9 @@
 using membership::Fact;
 using membership::Judge;
 using membership::Kind;
-using membership::kMostIncarnation;
-using membership::kMostLife;
-using membership::kMostTier;
+using membership::kMaxIncarnation;
+using membership::kMaxLife;
+using membership::kMaxTier;
 using membership::kNone;
 using membership::Message;
 using membership::Outbox;
@@ -35,11 +35,11 @@
   static constexpr int kPushTo = 3, kFarewells = 24, kFarewellTimes = 3;
 
   State(const Place& place, std::uint64_t life, std::uint64_t seed, Time now)
-      : here_(place.number, std::clamp(place.tier, 1, kMostTier), place.zone, seed, now),
+      : here_(place.number, std::clamp(place.tier, 1, kMaxTier), place.zone, seed, now),
         prober_(&here_),
         judge_(&here_, &prober_) {
     Fact own;
-    own.life = std::clamp<std::uint64_t>(life, 1, kMostLife), own.zone = here_.zone;
+    own.life = std::clamp<std::uint64_t>(life, 1, kMaxLife), own.zone = here_.zone;
     here_.table.Put(here_.number, own, true);
     here_.trusted_at = here_.now() + kTrust, here_.round_trip_at = here_.now();
     warm_until_ = here_.now() + kWarm;
@@ -88,7 +88,7 @@
     return words;
   }
 
-  bool Hear(int peer, std::string_view body) {
+  bool HandleMessage(int peer, std::string_view body) {
     if (!Other(peer)) return false;
     const auto message = membership::ReadMessage(body, here_.tier());
     if (!message) return false;
@@ -122,7 +122,7 @@
   void Object(std::uint16_t to) {
     Fact own = Own();
     if (own.left) return;
-    if (to == kMostIncarnation && own.life < kMostLife)
+    if (to == kMaxIncarnation && own.life < kMaxLife)
       ++own.life, own.incarnation = 0;
     else
       own.incarnation = static_cast<std::uint16_t>(to + 1);
@@ -139,7 +139,7 @@
     }
     if (own.left) return;
     if (told.life > own.life || told.left) {  // its clock was set back, or another bears its number
-      if (told.life >= kMostLife) return;
+      if (told.life >= kMaxLife) return;
       Fact later = own;
       later.life = told.life + 1, later.incarnation = 0, later.round = 0;
       here_.table.Put(here_.number, later, true);
@@ -248,7 +248,7 @@
     if (fact.life == 0) every *= 4;
     if (peer->good > 0 || (peer->bad > 0 && !peer->cut)) every = 300 * kMillisecond;
     peer->recheck_at = here_.now() + every / 2 + here_.Below(every);
-    if (here_.Present(member) && (peer->since == 0 || here_.now() - peer->since < Judge::kMostObjection))
+    if (here_.Present(member) && (peer->since == 0 || here_.now() - peer->since < Judge::kMaxObjection))
       return prober_.Begin(member);
     prober_.Ask(member);
   }
@@ -256,7 +256,7 @@
   void SayLinks() {
     const Time now = here_.now();
     std::vector<std::uint16_t> unheard;
-    for (int i = 0; i < here_.tier() && unheard.size() < BadLinks::kMost; ++i)
+    for (int i = 0; i < here_.tier() && unheard.size() < BadLinks::kMax; ++i)
       if (here_.peers[i].cut && here_.Present(i) && now - here_.peers[i].heard > 3 * kSecond)
         unheard.push_back(static_cast<std::uint16_t>(i));
     if (unheard == links_.unheard && (unheard.empty() || now < links_at_)) return;
@@ -312,14 +312,14 @@
 void Membership::Beat(Time now) { state_->Pass(now); }
 Time Membership::DueAt() const { return state_->DueAt(); }
 
-std::vector<PeerPart::Word> Membership::Tell(Time now) {
+std::vector<PeerProtocol::Word> Membership::Tell(Time now) {
   state_->Pass(now);
   return state_->Tell();
 }
 
-bool Membership::Hear(int peer, std::string_view body, Time now) {
+bool Membership::HandleMessage(int peer, std::string_view body, Time now) {
   state_->Pass(now);
-  return state_->Hear(peer, body);
+  return state_->HandleMessage(peer, body);
 }
 
 const TierView& Membership::View() const { return state_->view(); }
--- a/src/peers/membership.h
+++ b/src/peers/membership.h
@@ -13,7 +13,7 @@
 
 namespace lichenlug {
 
-class Membership : public PeerPart {
+class Membership : public PeerProtocol {
  public:
   struct Place {
     int number = 0;  // of this dispatcher
@@ -40,7 +40,7 @@
 
   Time DueAt() const override;
   std::vector<Word> Tell(Time now) override;
-  bool Hear(int peer, std::string_view body, Time now) override;
+  bool HandleMessage(int peer, std::string_view body, Time now) override;
 
   // As of the last call that was given a time.
   const TierView& View() const;
--- a/src/peers/membership_facts.cpp
+++ b/src/peers/membership_facts.cpp
@@ -24,13 +24,13 @@
   std::vector<std::vector<Accuser>> ranked;
   for (auto& [zone, some] : zones) {
     std::ranges::sort(some, Heavier);
-    if (some.size() > Fact::kMostOfZone) some.resize(Fact::kMostOfZone);
+    if (some.size() > Fact::kMaxPerZone) some.resize(Fact::kMaxPerZone);
     ranked.push_back(std::move(some));
   }
   std::ranges::sort(ranked, [](const auto& x, const auto& y) {
     return std::tuple(y[0].weight, x[0].zone) < std::tuple(x[0].weight, y[0].zone);
   });
-  if (ranked.size() > Fact::kMostZones) ranked.resize(Fact::kMostZones);
+  if (ranked.size() > Fact::kMaxZones) ranked.resize(Fact::kMaxZones);
   std::vector<Accuser> kept;
   for (const auto& some : ranked) kept.insert(kept.end(), some.begin(), some.end());
   std::ranges::sort(kept);
--- a/src/peers/membership_facts.h
+++ b/src/peers/membership_facts.h
@@ -13,11 +13,11 @@
 
 namespace lichenlug::membership {
 
-inline constexpr int kMostTier = 4096;  // members that a configuration names
+inline constexpr int kMaxTier = 4096;  // members that a configuration names
 inline constexpr std::uint8_t kAnyZone = 255;
-inline constexpr std::uint64_t kMostLife = (std::uint64_t{1} << 56) - 1;  // microseconds: the year 4253
-inline constexpr std::uint16_t kMostIncarnation = 65535;
-inline constexpr std::uint8_t kMostRound = 255;
+inline constexpr std::uint64_t kMaxLife = (std::uint64_t{1} << 56) - 1;  // microseconds: the year 4253
+inline constexpr std::uint16_t kMaxIncarnation = 65535;
+inline constexpr std::uint8_t kMaxRound = 255;
 
 // What an accusation is worth. Weak: its author has reason to doubt itself. Refused: the address itself said
 // that nobody listens there.
@@ -31,7 +31,7 @@
 };
 
 struct Fact {
-  static constexpr int kMostOfZone = 2, kMostZones = 4;  // accusers kept
+  static constexpr int kMaxPerZone = 2, kMaxZones = 4;  // accusers kept
 
   std::uint64_t life = 0;         // 0: never heard of
   bool left = false;              // final within a life
@@ -51,7 +51,7 @@
 
 // The members that one observer does not hear. Only the observer itself writes it.
 struct BadLinks {
-  static constexpr std::size_t kMost = 8;  // those of the lowest numbers
+  static constexpr std::size_t kMax = 8;  // those of the lowest numbers
 
   std::uint64_t life = 0;
   std::uint16_t version = 0;
--- a/src/peers/membership_here.h
+++ b/src/peers/membership_here.h
@@ -78,7 +78,7 @@
   // News ride along where there is room for them. False: there are no bytes left for it.
   bool Send(int peer, Message message, double reserve, Time now) {
     level_ = std::min(kBurst, level_ + kRate * static_cast<double>(now - std::exchange(at_, now)) / kSecond);
-    if (level_ - kMostHead < reserve) return false;
+    if (level_ - kMaxHead < reserve) return false;
     if (now - started_ < kIntroduces && message.facts.empty())
       message.facts.emplace_back(static_cast<std::uint16_t>(own_), table_->Of(own_));
     if (level_ >= kForNews) table_->Fill(&message);
--- a/src/peers/membership_judge.cpp
+++ b/src/peers/membership_judge.cpp
@@ -72,7 +72,7 @@
   const Time now = here_->now();
   const Fact& fact = here_->table.Of(member);
   // Where the link is known to be bad, its silence means little.
-  if (peer.cut && !fact.Accused() && now - peer.sign < kCutPatience) return;
+  if (peer.cut && !fact.Accused() && now - peer.sign < kCutTimeout) return;
   // One that was accused and spoke up time and again is not accused again at once.
   const Time rest = 250 * kMillisecond << std::clamp(peer.cleared, 0, 4);
   if (peer.cleared > 1 && now - peer.cleared_at < rest) return;
@@ -114,7 +114,7 @@
   int strong = 0;
   for (const Accuser& it : here_->table.Of(member).accusers) strong += it.weight != Weight::kWeak;
   const double shrunk = std::min(1.0, std::log(std::max(strong, 1)) / std::log(4));
-  return kMostObjection - static_cast<Time>(shrunk * (kMostObjection - kLeastObjection));
+  return kMaxObjection - static_cast<Time>(shrunk * (kMaxObjection - kMinObjection));
 }
 
 void Judge::Step() {
@@ -126,7 +126,7 @@
     const Fact& fact = here_->table.Of(i);
     if (i == here_->number || fact.left || !fact.Accused()) continue;
     if (peer.heard > peer.since) {
-      if (now - peer.since < kWitness || fact.round == kMostRound) continue;
+      if (now - peer.since < kWitness || fact.round == kMaxRound) continue;
       Fact told = fact;
       ++told.round, told.dead = false, told.accusers.clear();
       Put(i, told, true);
@@ -151,32 +151,33 @@
 
 bool Judge::Isolated() const { return here_->now() - here_->round_trip_at >= kIsolated; }
 
-Standing Judge::Of(int member) const {
+MemberStatus Judge::Of(int member) const {
   const Fact& fact = here_->table.Of(member);
   const Peer& peer = here_->peers[member];
   const Time now = here_->now();
   if (fact.life == 0)
-    return peer.heard != 0 && now - peer.heard < 5 * kSecond ? Standing::kJoining : Standing::kUnknown;
-  if (fact.left) return Standing::kLeft;
-  if (fact.dead) return Standing::kDead;
-  if (Isolated() || peer.cut) return Standing::kCutOff;
-  if (!fact.Accused() || peer.heard > peer.since) return Standing::kAlive;
-  return now - peer.since < kMostObjection + kSecond / 5 ? Standing::kSuspected : Standing::kCutOff;
+    return peer.heard != 0 && now - peer.heard < 5 * kSecond ? MemberStatus::kJoining
+                                                             : MemberStatus::kUnknown;
+  if (fact.left) return MemberStatus::kLeft;
+  if (fact.dead) return MemberStatus::kDead;
+  if (Isolated() || peer.cut) return MemberStatus::kCutOff;
+  if (!fact.Accused() || peer.heard > peer.since) return MemberStatus::kAlive;
+  return now - peer.since < kMaxObjection + kSecond / 5 ? MemberStatus::kSuspected : MemberStatus::kCutOff;
 }
 
 // One that comes back time and again has to stay a while before it counts.
-Standing Judge::Held(int member, Standing standing) {
+MemberStatus Judge::Held(int member, MemberStatus status) {
   Shown& shown = shown_[member];
   const Time now = here_->now();
   if (shown.comebacks > 0 && now - shown.comeback_at > kForget) --shown.comebacks, shown.comeback_at = now;
-  if (!TierView::Counts(standing)) return standing;
-  if (shown.standing == Standing::kDead || shown.standing == Standing::kCutOff) {
+  if (!TierView::Counts(status)) return status;
+  if (shown.status == MemberStatus::kDead || shown.status == MemberStatus::kCutOff) {
     if (shown.life == here_->table.Of(member).life && now >= here_->trusted_at) {
       ++shown.comebacks, shown.comeback_at = now;
       shown.held_until = shown.comebacks < 2 ? 0 : now + (kSecond << std::min(shown.comebacks - 2, 3));
     }
   }
-  return now < shown.held_until ? Standing::kJoining : standing;
+  return now < shown.held_until ? MemberStatus::kJoining : status;
 }
 
 bool Judge::Show(TierView* view) {
@@ -184,11 +185,13 @@
   for (int i = 0; i < here_->tier(); ++i) {
     const Fact& fact = here_->table.Of(i);
     TierMember& it = view->members[i];
-    Standing standing = i != here_->number ? Held(i, Of(i)) : fact.left ? Standing::kLeft : Standing::kAlive;
+    MemberStatus status = i != here_->number ? Held(i, Of(i))
+                          : fact.left        ? MemberStatus::kLeft
+                                             : MemberStatus::kAlive;
     const int zone = fact.life == 0 || fact.zone == kAnyZone ? -1 : fact.zone;
-    changed = changed || it.standing != standing || it.life != fact.life || it.zone != zone;
-    it.standing = standing, it.life = fact.life, it.zone = zone;
-    shown_[i].standing = standing, shown_[i].life = fact.life;
+    changed = changed || it.status != status || it.life != fact.life || it.zone != zone;
+    it.status = status, it.life = fact.life, it.zone = zone;
+    shown_[i].status = status, shown_[i].life = fact.life;
   }
   if (changed) ++view->version;
   return changed;
--- a/src/peers/membership_judge.h
+++ b/src/peers/membership_judge.h
@@ -17,11 +17,11 @@
   // From the first accusation, silent observers of two zones; the more agree, the sooner. A pause of 2 s is
   // over before it; with 0.7 s (p99 at 300) until the first accusation and 0.2 s until all know, a death is
   // known to all within 3 s.
-  static constexpr Time kMostObjection = 2400 * kMillisecond, kLeastObjection = 1850 * kMillisecond;
+  static constexpr Time kMaxObjection = 2400 * kMillisecond, kMinObjection = 1850 * kMillisecond;
   static constexpr Time kRefusedObjection = 300 * kMillisecond;  // where its address itself refuses
   static constexpr Time kWitness = 400 * kMillisecond;           // it may first object for itself
   static constexpr Time kLook = 400 * kMillisecond;              // all look for themselves within it
-  static constexpr Time kCutPatience = 3 * kSecond;              // of one who does not hear it, but others do
+  static constexpr Time kCutTimeout = 3 * kSecond;               // of one who does not hear it, but others do
   static constexpr Time kIsolated = 1500 * kMillisecond;         // no ping came back from anywhere
   static constexpr Time kForget = 60 * kSecond;                  // one of its flaps
   static constexpr int kConfirmers = 3;                          // of each zone, who probe it at once
@@ -41,7 +41,7 @@
 
  private:
   struct Shown {
-    Standing standing = Standing::kUnknown;
+    MemberStatus status = MemberStatus::kUnknown;
     std::uint64_t life = 0;
     int comebacks = 0;  // less one a minute
     Time comeback_at = 0, held_until = 0;
@@ -53,8 +53,8 @@
   Time ObjectionTime(int member) const;
   bool Confirms(int member) const;
   bool Doubts() const;
-  Standing Of(int member) const;
-  Standing Held(int member, Standing standing);
+  MemberStatus Of(int member) const;
+  MemberStatus Held(int member, MemberStatus status);
 
   Here* here_;
   Prober* prober_;
--- a/src/peers/membership_probe.cpp
+++ b/src/peers/membership_probe.cpp
@@ -26,11 +26,11 @@
 }
 
 Time Prober::DirectTime() const {
-  return std::clamp(static_cast<Time>(2 * way_) + 20 * kMillisecond, kLeastDirect, kMostDirect);
+  return std::clamp(static_cast<Time>(2 * way_) + 20 * kMillisecond, kMinDirect, kMaxDirect);
 }
 
 void Prober::Begin(int member) {
-  if (series_.contains(member) || series_.size() >= kMostSeries) return;
+  if (series_.contains(member) || series_.size() >= kMaxSeries) return;
   Series series;
   series.nonce = static_cast<std::uint16_t>(here_->random());
   series.begun = here_->now(), series.due = here_->now() + DirectTime();
@@ -120,7 +120,7 @@
     }
     const bool alive = here_->peers[member].sign >= series.begun;
     if (!alive && series.round + 1 < Rounds()) {
-      series.due = now + (Again(member, &series) ? kIndirect : kLeastDirect);
+      series.due = now + (Again(member, &series) ? kIndirect : kMinDirect);
       ++it;
       continue;
     }
@@ -175,7 +175,7 @@
   if (ShareInVain() > 0.25) rounds += 1;
   if (ShareInVain() > 0.5) rounds += 2;
   if (here_->time.LateWithin(kSecond)) rounds += 1;
-  return std::min(rounds, kMostRounds);
+  return std::min(rounds, kMaxRounds);
 }
 
 }  // namespace lichenlug::membership
--- a/src/peers/membership_probe.h
+++ b/src/peers/membership_probe.h
@@ -18,10 +18,10 @@
   static constexpr Time kEvery = 100 * kMillisecond;        // a series of probes is begun
   static constexpr Time kFresh = 250 * kMillisecond;        // heard within it: need not be asked,
   static constexpr Time kFreshAnswer = 500 * kMillisecond;  // if it has answered within this
-  static constexpr Time kLeastDirect = 60 * kMillisecond, kMostDirect = 100 * kMillisecond;  // for an answer
+  static constexpr Time kMinDirect = 60 * kMillisecond, kMaxDirect = 100 * kMillisecond;  // for an answer
   static constexpr Time kIndirect = 120 * kMillisecond;  // links take up to 22 ms, and it is four of them
-  static constexpr int kRelays = 3, kRounds = 2, kMostRounds = 8;
-  static constexpr std::size_t kMostSeries = 16;     // at one time
+  static constexpr int kRelays = 3, kRounds = 2, kMaxRounds = 8;
+  static constexpr std::size_t kMaxSeries = 16;      // at one time
   static constexpr int kCutAfter = 3, kCutEnds = 3;  // series in a row
 
   explicit Prober(Here* here)
--- a/src/peers/membership_table.cpp
+++ b/src/peers/membership_table.cpp
@@ -32,7 +32,7 @@
 
 int Table::Tellings() const {
   const int all = 2 + std::bit_width(static_cast<unsigned>(tier()));
-  return pending_.size() > kMany ? kLeastTellings : all;
+  return pending_.size() > kMany ? kMinTellings : all;
 }
 
 void Table::Queue(int member) { QueueKey(member); }
@@ -44,13 +44,13 @@
 }
 
 bool Table::Fill(Message* message) {
-  std::size_t size = kMostHead;
+  std::size_t size = kMaxHead;
   for (const auto& [number, fact] : message->facts) size += SizeOf(fact);
   std::vector<int> chosen;
   for (const auto& [times, key] : pending_) {
     const bool fact = key < tier();
     const std::size_t more = fact ? SizeOf(facts_[key]) : SizeOf(links_[key - tier()]);
-    if (size + more > PeerPart::kMostBody) break;
+    if (size + more > PeerProtocol::kMaxBody) break;
     size += more;
     chosen.push_back(key);
     if (!fact)
--- a/src/peers/membership_table.h
+++ b/src/peers/membership_table.h
@@ -20,7 +20,7 @@
  public:
   static constexpr int kSlice = 16;  // members: as many as a datagram holds
 
-  static constexpr int kLeastTellings = 3;
+  static constexpr int kMinTellings = 3;
   static constexpr std::size_t kMany = 24;  // to be told at once: each is told less often
 
   explicit Table(int tier);
--- a/src/peers/membership_words.cpp
+++ b/src/peers/membership_words.cpp
@@ -55,7 +55,7 @@
   const int flags = in->Get<std::uint8_t>(), count = flags >> kCountShift;
   fact.left = flags & kLeft, fact.dead = flags & kDead;
   in->Need(number < tier && fact.life != 0 && (flags & 0xc) == 0 &&
-           count <= Fact::kMostOfZone * Fact::kMostZones);
+           count <= Fact::kMaxPerZone * Fact::kMaxZones);
   for (int i = 0; i < count && in->good(); ++i) {
     const auto who = in->Get<std::uint16_t>();
     const auto zone = in->Get<std::uint8_t>();
@@ -78,7 +78,7 @@
   links.life = in->Get(kLifeBytes);
   links.version = in->Get<std::uint16_t>();
   const std::size_t count = in->Get<std::uint8_t>();
-  in->Need(number < tier && links.life != 0 && count <= BadLinks::kMost);
+  in->Need(number < tier && links.life != 0 && count <= BadLinks::kMax);
   for (std::size_t i = 0; i < count && in->good(); ++i) {
     links.unheard.push_back(in->Get<std::uint16_t>());
     in->Need(links.unheard.back() < tier);
@@ -97,14 +97,14 @@
   Put(&bytes, message.nonce, 2), Put(&bytes, message.other, 2), Put(&bytes, message.slice ? kHasSlice : 0, 1);
   if (message.slice) Put(&bytes, message.slice->index, 1), Put(&bytes, message.slice->hash, 4);
   for (const auto& [number, fact] : message.facts)
-    if (bytes.size() + SizeOf(fact) <= PeerPart::kMostBody) PutFact(&bytes, number, fact);
+    if (bytes.size() + SizeOf(fact) <= PeerProtocol::kMaxBody) PutFact(&bytes, number, fact);
   for (const auto& [number, links] : message.links)
-    if (bytes.size() + SizeOf(links) <= PeerPart::kMostBody) PutLinks(&bytes, number, links);
+    if (bytes.size() + SizeOf(links) <= PeerProtocol::kMaxBody) PutLinks(&bytes, number, links);
   return bytes;
 }
 
 std::optional<Message> ReadMessage(std::string_view body, int tier) {
-  if (body.size() > PeerPart::kMostBody + 1) return std::nullopt;
+  if (body.size() > PeerProtocol::kMaxBody + 1) return std::nullopt;
   Reader in(body);
   Message message;
   const auto head = in.Get<std::uint8_t>();
--- a/src/peers/membership_words.h
+++ b/src/peers/membership_words.h
@@ -49,7 +49,7 @@
 std::string Write(const Message& message);
 std::size_t SizeOf(const Fact& fact);
 std::size_t SizeOf(const BadLinks& links);
-inline constexpr std::size_t kMostHead = 11;
+inline constexpr std::size_t kMaxHead = 11;
 
 // `tier`: a number past it is malformed.
 std::optional<Message> ReadMessage(std::string_view body, int tier);
--- a/src/peers/relay.cpp
+++ b/src/peers/relay.cpp
@@ -9,7 +9,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr std::size_t kMostFailures = 32;  // kept to be told; more in one interval say nothing new
+constexpr std::size_t kMaxFailures = 32;  // kept to be told; more in one interval say nothing new
 
 std::string Head(int version, int life, int number) {
   return {static_cast<char>(version << 6 | life << 3 | number)};
@@ -65,9 +65,9 @@
 }
 
 void Relay::Failed(const std::string& runner, int cls, Time now) {
-  if (cls < 0 || cls >= kMostClasses) return;
+  if (cls < 0 || cls >= kMaxClasses) return;
   Group& group = groups_[sums_->ZoneOf(runner)];
-  if (group.failed.size() < kMostFailures)
+  if (group.failed.size() < kMaxFailures)
     group.failed.push_back(static_cast<std::uint16_t>(Sums::Short(runner) << 4 | (kFailed + cls)));
   Due(now);
 }
@@ -138,12 +138,12 @@
     if (home == number_) {
       served_at_ = now;
       for (const std::uint16_t entry : group->failed)
-        if (sums_->Accuse(entry, number_, now) && agreed_.size() < kMostFailures) agreed_.push_back(entry);
+        if (sums_->Accuse(entry, number_, now) && agreed_.size() < kMaxFailures) agreed_.push_back(entry);
     } else if (home != kUnheard) {
       std::string bytes = Head(kWord, life_, group->number);
       for (const std::uint16_t entry : group->failed) AppendEntry(&bytes, entry >> 4, entry & 0xf);
       for (const auto& [runner, slots] : group->held)
-        if (bytes.size() + kEntry <= kMostBytes)
+        if (bytes.size() + kEntry <= kMaxBytes)
           AppendEntry(&bytes, runner, SlotsToSay(slots));
         else
           ++left_out_;
@@ -163,7 +163,7 @@
   digest_at_ = now;
   std::vector<ShortId> said;  // what has changed, and what has not been told for long
   for (auto& [runner, sum] : total_) {
-    if (!sum.changed && now - sum.told < kWholeEvery) continue;
+    if (!sum.changed && now - sum.told < kWholeInterval) continue;
     said.push_back(runner);
     sum.changed = false, sum.told = now;
   }
@@ -171,7 +171,7 @@
   do {
     std::string base = Head(kDigest, life_, digest_number_);
     digest_number_ = (digest_number_ + 1) % 8;
-    const auto fits = [&base] { return base.size() + kEntry <= kMostBytes; };
+    const auto fits = [&base] { return base.size() + kEntry <= kMaxBytes; };
     for (; !agreed_.empty() && fits(); agreed_.pop_back())
       AppendEntry(&base, agreed_.back() >> 4, agreed_.back() & 0xf);
     const std::size_t first = base.size(), from = at_runner;
@@ -209,7 +209,7 @@
     for (std::size_t i = 0; i < runners.size(); ++i) {
       const auto own = peer.word.told.find(runners[i]);
       const int slots = total_[runners[i]].slots - (own == peer.word.told.end() ? 0 : own->second.slots);
-      all->back().bytes[first + kEntry * i + 1] |= static_cast<char>(std::clamp(slots, 0, kMostSlots));
+      all->back().bytes[first + kEntry * i + 1] |= static_cast<char>(std::clamp(slots, 0, kMaxSlots));
     }
   }
 }
@@ -225,7 +225,7 @@
   for (const auto& [number, peer] : peers_) {
     if (peer.word.told.empty() || peer.zone != zone_ || number == home) continue;
     bytes += static_cast<char>(number >> 8), bytes += static_cast<char>(number & 0xff);
-    if (bytes.size() + kEntry > kMostBytes) send();
+    if (bytes.size() + kEntry > kMaxBytes) send();
   }
   send();
 }
@@ -244,8 +244,8 @@
   if (sum.slots == 0) sum.empty_since = now;
 }
 
-bool Relay::Hear(int peer, std::string_view bytes, Time now) {
-  if (bytes.empty() || bytes.size() > kMostBytes || bytes.size() % kEntry == 0) return false;
+bool Relay::HandleMessage(int peer, std::string_view bytes, Time now) {
+  if (bytes.empty() || bytes.size() > kMaxBytes || bytes.size() % kEntry == 0) return false;
   const auto head = static_cast<std::uint8_t>(bytes[0]);
   if (head >> 6 == kMembers) return Members(bytes.substr(1)), true;
   Peer& from = peers_[peer];
@@ -275,7 +275,7 @@
     const int said = entry & 0xf;
     if (said < kFailed)
       told[entry >> 4] = {said, now};
-    else if (sums_->Known(entry) && sums_->Accuse(entry, peer, now) && agreed_.size() < kMostFailures) {
+    else if (sums_->Known(entry) && sums_->Accuse(entry, peer, now) && agreed_.size() < kMaxFailures) {
       agreed_.push_back(entry);
       sums_->Failing(entry);
     }
--- a/src/peers/relay.h
+++ b/src/peers/relay.h
@@ -38,17 +38,17 @@
 class Relay {
  public:
   static constexpr int kMembers = 0, kWord = 2, kDigest = 3;  // versions
-  static constexpr std::size_t kMostBytes = 256;              // of a datagram, by PROTOCOL
+  static constexpr std::size_t kMaxBytes = 256;               // of a datagram, by PROTOCOL
   static constexpr Time kGather = 20 * kMillisecond;          // between digests: changes wait for company
   static constexpr Time kBeat = 200 * kMillisecond;           // a digest comes at least so often
   static constexpr Time kRepeat = 250 * kMillisecond;   // a word comes at least so often while slots are held
   static constexpr Time kSilent = 600 * kMillisecond;   // a relay not heard for so long is none
   static constexpr Time kAnswers = 300 * kMillisecond;  // a word to a new relay brings a digest within this
   static constexpr Time kTriedInVain = 5 * kSecond;     // and is not tried again for so long
-  static constexpr Time kWordFade = 1500 * kMillisecond;    // six words
-  static constexpr Time kDigestFade = 1500 * kMillisecond;  // of one entry, too
-  static constexpr Time kWholeEvery = 500 * kMillisecond;   // each sum is told at least so often
-  static constexpr Time kServes = 2 * kSecond;              // a relay goes on for so long after the last word
+  static constexpr Time kWordFade = 1500 * kMillisecond;      // six words
+  static constexpr Time kDigestFade = 1500 * kMillisecond;    // of one entry, too
+  static constexpr Time kWholeInterval = 500 * kMillisecond;  // each sum is told at least so often
+  static constexpr Time kServes = 2 * kSecond;  // a relay goes on for so long after the last word
 
   struct Datagram {
     int peer;
@@ -69,7 +69,7 @@
   std::vector<Datagram> Tell(Time now);
 
   // A word, a digest or the members of a peer. False: older than the last one, or it makes no sense.
-  bool Hear(int peer, std::string_view bytes, Time now);
+  bool HandleMessage(int peer, std::string_view bytes, Time now);
 
   void Fade(Time now);
 
--- a/src/peers/sums.cpp
+++ b/src/peers/sums.cpp
@@ -19,7 +19,7 @@
 }
 
 int SlotsToSay(double slots) {
-  return static_cast<int>(std::lround(std::clamp(slots, 0.0, static_cast<double>(kMostSlots))));
+  return static_cast<int>(std::lround(std::clamp(slots, 0.0, static_cast<double>(kMaxSlots))));
 }
 
 ShortId Sums::Short(std::string_view runner) {
--- a/src/peers/sums.h
+++ b/src/peers/sums.h
@@ -22,7 +22,7 @@
 using ShortId = std::uint16_t;  // twelve bits
 
 inline constexpr std::size_t kEntry = 2;
-inline constexpr int kMostSlots = 11, kFailed = 12, kMostClasses = 4;
+inline constexpr int kMaxSlots = 11, kFailed = 12, kMaxClasses = 4;
 inline constexpr int kNoZone = 255, kUnheard = -1;  // all zones alike; a peer whose zone is not known
 
 void AppendEntry(std::string* bytes, ShortId runner, int said);
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr int kMostAtOnce = 64;  // datagrams taken in one turn of the loop
+constexpr int kMaxAtOnce = 64;  // datagrams taken in one turn of the loop
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 
 void PeerTransport::Take() {
   const Time now = deadlines_->Now();
-  for (int i = 0; i < kMostAtOnce; ++i) {
+  for (int i = 0; i < kMaxAtOnce; ++i) {
     asio::ip::udp::endpoint from;
     std::error_code error;
     bool greet = false;
@@ -44,7 +44,7 @@
     if (peer == numbers_.end())
       ++strangers_;
     else
-      holdings_->Hear(peer->second, {bytes_.data(), size}, now, &greet);
+      holdings_->HandleMessage(peer->second, {bytes_.data(), size}, now, &greet);
     if (greet) Greet(from, holdings_->Answer(peer->second));
   }
   Changed();  // what is heard may be to be passed on
--- a/src/peers/transport.h
+++ b/src/peers/transport.h
@@ -51,7 +51,7 @@
   Deadlines* deadlines_;
   asio::ip::udp::socket socket_;
   std::map<asio::ip::udp::endpoint, int> numbers_;
-  std::array<char, Holdings::kMostBytes + 1> bytes_;
+  std::array<char, Holdings::kMaxBytes + 1> bytes_;
   Deadlines::Key due_;
   Time due_at_ = 0;
   Time greeted_ = 0;
--- a/src/placement/demand_table.cpp
+++ b/src/placement/demand_table.cpp
@@ -10,7 +10,7 @@
 constexpr Time kForgetAfter = 120 * kSecond;  // a key that nobody asks for
 constexpr Time kForgetSource = 30 * kSecond;  // a dispatcher that is gone
 constexpr double kFallTime = 5.0 * kSecond;   // to 1/e
-constexpr std::size_t kMostKeys = 20000;
+constexpr std::size_t kMaxKeys = 20000;
 
 const Demand kNone;
 
@@ -32,7 +32,7 @@
   for (auto& [name, demand] : *table)
     if (!sums.count(name)) Take(now, kept, kNone, &demand);
   for (const auto& [name, sum] : sums) {
-    if (!table->count(name) && table->size() >= kMostKeys) continue;
+    if (!table->count(name) && table->size() >= kMaxKeys) continue;
     Take(now, kept, sum, &(*table)[name]);
   }
   std::erase_if(*table, [&](const auto& entry) { return now - entry.second.last_asked > kForgetAfter; });
--- a/src/placement/eviction.cpp
+++ b/src/placement/eviction.cpp
@@ -18,8 +18,8 @@
 constexpr double kNewRareLast = 30;  // of late brought for requests: it gives way to what is overloaded alone
 constexpr double kSecondCopy = 12;   // of one whose loss would cost more than a load
 constexpr double kAskedMargin = 5;   // over a seldom asked one that stands, so that such models take turns
-constexpr Time kLeastStay = 15 * kSecond;        // from its assignment, so that they take turns slowly
-constexpr Time kLeastAdapterStay = 3 * kSecond;  // an adapter is there again in some ms
+constexpr Time kMinStay = 15 * kSecond;        // from its assignment, so that they take turns slowly
+constexpr Time kMinAdapterStay = 3 * kSecond;  // an adapter is there again in some ms
 constexpr double kAdapter = 2, kAdapterArrival = 2, kAdapterRunning = 5;  // the only copy, in demand
 constexpr double kLastAdapter = 5;  // for each that the unload of a model's copy would leave nowhere
 constexpr double kSparedFill = 0.5;
@@ -33,15 +33,15 @@
   return demand.last_asked == 0 ? 1e12 : static_cast<double>(context.now - demand.last_asked);
 }
 
-bool IsNew(const PlanContext& context, const Key& key, Time least_stay) {
+bool IsNew(const PlanContext& context, const Key& key, Time min_stay) {
   if (!context.placed) return false;
   const auto placed = context.placed->find(key);
-  return placed != context.placed->end() && context.now - placed->second < least_stay;
+  return placed != context.placed->end() && context.now - placed->second < min_stay;
 }
 
 // The only copy of an adapter that is asked for. Such adapters take turns, as their loads are short.
 double ValueOfLastAdapter(const PlanContext& context, const Key& key, const Demand& demand) {
-  if (IsNew(context, key, kLeastAdapterStay)) return kNever;
+  if (IsNew(context, key, kMinAdapterStay)) return kNever;
   return kAdapter + kAdapterArrival * demand.arrivals_per_s + kAdapterRunning * demand.running;
 }
 
@@ -60,7 +60,7 @@
   if (!key.is_model() && demand.present()) return ValueOfLastAdapter(context, key, demand);
   if (demand.running > 0.5 || demand.arrivals_per_s >= kBusyArrivals || demand.unserved > kStillUnserved)
     return kNever;
-  if (demand.present() && IsNew(context, key, kLeastStay)) return kNewRareLast;
+  if (demand.present() && IsNew(context, key, kMinStay)) return kNewRareLast;
   if (demand.present()) return kRareLast + kRareArrival * demand.arrivals_per_s;
   return kIdleLast + kJustIdleLast * std::exp(-IdleTime(context, demand) / kIdleFade);
 }
--- a/src/placement/explain.cpp
+++ b/src/placement/explain.cpp
@@ -6,7 +6,7 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr std::size_t kMostNames = 8;
+constexpr std::size_t kMaxNames = 8;
 
 std::string Number(double value) {
   char text[32];
@@ -37,9 +37,9 @@
   std::size_t named = 0;
   const auto& holders = view_.HoldersOf(key);
   for (std::size_t holder : holders)
-    if (named++ < kMostNames) line += ' ' + view_.runners[holder].id;
+    if (named++ < kMaxNames) line += ' ' + view_.runners[holder].id;
   if (holders.empty()) line += " no runner";
-  if (named > kMostNames) line += " and " + std::to_string(named - kMostNames) + " more";
+  if (named > kMaxNames) line += " and " + std::to_string(named - kMaxNames) + " more";
   const auto wish = planner_.wishes().find(key);
   if (wish != planner_.wishes().end()) {
     line += "; wants " + std::to_string(wish->second.copies);
--- a/src/placement/fleet_scaler.cpp
+++ b/src/placement/fleet_scaler.cpp
@@ -12,9 +12,9 @@
 constexpr Time kRunnersHeardAfter = 4 * kSecond;  // since the epoch began; heartbeats come more often
 // Models differ in size, so a part of each runner's memory stays free.
 constexpr double kPacking = 0.95;
-constexpr double kCopyFill = 0.4;             // of a runner's slots that a copy of a busy model is to bear
-constexpr int kLeastStep = 2, kStepPart = 3;  // a zone grows by so many, or by that part, at a time
-constexpr std::size_t kMostZones = 1000;
+constexpr double kCopyFill = 0.4;           // of a runner's slots that a copy of a busy model is to bear
+constexpr int kMinStep = 2, kStepPart = 3;  // a zone grows by so many, or by that part, at a time
+constexpr std::size_t kMaxZones = 1000;
 
 void Stretch(Time now, bool holds, Time* since) {
   if (!holds)
@@ -54,14 +54,14 @@
 
 void FleetScaler::Restart(Time now) {
   zones_.clear();
-  under_way_.reset();
+  in_flight_.reset();
   started_at_ = now;
 }
 
 void FleetScaler::Measure(const PlanContext& context) {
   for (auto& [name, zone] : zones_) zone.runners = 0, zone.load = 0, zone.may_lose_one = true;
   for (const RunnerView& runner : context.view->runners) {
-    if (!zones_.count(runner.zone) && zones_.size() >= kMostZones) continue;
+    if (!zones_.count(runner.zone) && zones_.size() >= kMaxZones) continue;
     Zone& zone = zones_[runner.zone];
     ++zone.runners;
     zone.load += runner.load;
@@ -92,7 +92,7 @@
 
 int FleetScaler::SizeFor(const PlanContext& context, const Zone& zone, const messages::Fleet& fleet) {
   const int size = std::max(zone.ordered, zone.runners);
-  if (zone.wanted > size) return std::min(zone.wanted, size + std::max(kLeastStep, size / kStepPart));
+  if (zone.wanted > size) return std::min(zone.wanted, size + std::max(kMinStep, size / kStepPart));
   if (zone.full_since != 0 && context.now - zone.full_since >= kFullFor) return size + 1;
   const bool idle = zone.idle_since != 0 && context.now - zone.idle_since >= kIdleFor;
   if (idle && zone.may_lose_one && size > std::max(1, fleet.minimum())) return size - 1;
@@ -101,7 +101,7 @@
 
 std::optional<FleetChange> FleetScaler::Decide(const PlanContext& context, const messages::Fleet& fleet) {
   Measure(context);
-  if (under_way_ || fleet.maximum() <= 0 || context.now - started_at_ < kRunnersHeardAfter)
+  if (in_flight_ || fleet.maximum() <= 0 || context.now - started_at_ < kRunnersHeardAfter)
     return std::nullopt;
   const int for_models = RunnersForModels(context);
   ShareOut(for_models, fleet.maximum());
@@ -116,20 +116,20 @@
     if (wanted == size || wanted > fleet.maximum() || shrinks_too_far) continue;
     zone.changed = context.now;
     zone.full_since = zone.idle_since = 0;
-    under_way_ = FleetChange{name, wanted};
-    return under_way_;
+    in_flight_ = FleetChange{name, wanted};
+    return in_flight_;
   }
   return std::nullopt;
 }
 
 void FleetScaler::Ended(Time now, bool taken) {
-  if (!under_way_) return;
-  const auto zone = zones_.find(under_way_->zone);
+  if (!in_flight_) return;
+  const auto zone = zones_.find(in_flight_->zone);
   if (zone != zones_.end()) {
     zone->second.changed = now;
-    if (taken) zone->second.ordered = under_way_->size;
+    if (taken) zone->second.ordered = in_flight_->size;
   }
-  under_way_.reset();
+  in_flight_.reset();
 }
 
 }  // namespace lichenlug::placement
--- a/src/placement/fleet_scaler.h
+++ b/src/placement/fleet_scaler.h
@@ -42,7 +42,7 @@
   static int SizeFor(const PlanContext& context, const Zone& zone, const messages::Fleet& fleet);
 
   std::map<std::string, Zone> zones_;
-  std::optional<FleetChange> under_way_;
+  std::optional<FleetChange> in_flight_;
   Time started_at_ = 0;  // of the epoch
 };
 
--- a/src/placement/fleet_view.cpp
+++ b/src/placement/fleet_view.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kRounds = 4;
-constexpr double kLeastWeight = 0.05;
+constexpr double kMinWeight = 0.05;
 const std::vector<std::size_t> kNobody;
 
 }  // namespace
@@ -51,9 +51,7 @@
     std::vector<double> next(load.size(), 0.0);
     for (const auto& [key, entry] : demand.keys()) {
       const std::vector<std::size_t>& holders = view->HoldersOf(key);
-      const auto weight = [&](std::size_t runner) {
-        return std::max(kLeastWeight, 1 - load[runner] / slots);
-      };
+      const auto weight = [&](std::size_t runner) { return std::max(kMinWeight, 1 - load[runner] / slots); };
       double sum = 0;
       for (std::size_t runner : holders) sum += weight(runner);
       for (std::size_t runner : holders) next[runner] += entry.running * weight(runner) / sum;
--- a/src/placement/load_budget.cpp
+++ b/src/placement/load_budget.cpp
@@ -12,8 +12,8 @@
 constexpr int kUsedBurst = 1;  // of these are used, the others are a margin
 constexpr Time kArrivalMargin = 500 * kMillisecond;
 constexpr Time kAgeStep = 100 * kMillisecond;  // ages are told in steps, rounded down
-constexpr int kLeastAllowance = 2;
-constexpr std::uint32_t kMostInherited = 10'000;  // of one entry: more than any store gives in a window
+constexpr int kMinAllowance = 2;
+constexpr std::uint32_t kMaxInherited = 10'000;  // of one entry: more than any store gives in a window
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   std::erase_if(loads_, [](const auto& entry) { return entry.second.settled; });
   for (const messages::LoadsBegun& begun : history.begun()) {
     const Time latest = told_at - static_cast<Time>(std::min<std::uint64_t>(begun.age_us(), 3600 * kSecond));
-    for (std::uint32_t i = 0; i < std::min(begun.loads(), kMostInherited); ++i)
+    for (std::uint32_t i = 0; i < std::min(begun.loads(), kMaxInherited); ++i)
       loads_[next_++] = Load{true, latest, latest, false};
   }
 }
@@ -63,7 +63,7 @@
     begun->set_loads(loads);
   }
   const double seconds = static_cast<double>(lease_) / kSecond / duties::kRenewalsInLease;
-  const int usual = std::max(kLeastAllowance, static_cast<int>(std::ceil(loads_per_s_ * seconds)) + 1);
+  const int usual = std::max(kMinAllowance, static_cast<int>(std::ceil(loads_per_s_ * seconds)) + 1);
   // Never less than what is in force: until this renewal is known to be chosen, that may be used.
   history.set_allowance(static_cast<std::uint32_t>(HasAllowance() ? std::max(usual, allowance_) : usual));
   return history;
--- a/src/placement/order_codec.cpp
+++ b/src/placement/order_codec.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostReportBytes = 256 * 1024;
+constexpr std::size_t kMaxReportBytes = 256 * 1024;
 constexpr Time kOrderGiveUp = kSecond, kReportGiveUp = 800 * kMillisecond, kFleetGiveUp = 2 * kSecond;
 
 const json* Field(const json& object, const char* name) {
@@ -48,7 +48,7 @@
   call.method = "POST";
   call.path = "/-/order";
   call.body = body.dump(-1, ' ', false, json::error_handler_t::replace);
-  call.give_up_after = kOrderGiveUp;
+  call.timeout = kOrderGiveUp;
   return call;
 }
 
@@ -56,7 +56,7 @@
   duties::HttpCall call;
   call.method = "GET";
   call.path = "/-/report";
-  call.give_up_after = kReportGiveUp;
+  call.timeout = kReportGiveUp;
   return call;
 }
 
@@ -68,13 +68,13 @@
   call.body = json{{"line", service}, {"zone", zone}, {"fleet_size", size}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
   call.fence = epoch;
-  call.give_up_after = kFleetGiveUp;
+  call.timeout = kFleetGiveUp;
   return call;
 }
 
 std::variant<RunnerReport, ReportError> ReadReport(const duties::HttpResult& result) {
   if (result.status != 200) return ReportError::kNoAnswer;
-  if (result.body.size() > kMostReportBytes) return ReportError::kNotRead;
+  if (result.body.size() > kMaxReportBytes) return ReportError::kNotRead;
   const json body = json::parse(result.body, nullptr, false);
   if (!body.is_object()) return ReportError::kNotRead;
   const json* models = Field(body, "models");
@@ -95,7 +95,7 @@
     case 200:
       return OrderOutcome::kHolds;
     case 202:
-      return OrderOutcome::kTaken;
+      return OrderOutcome::kAccepted;
     case 400:
       return OrderOutcome::kInvalid;
     case 409:
--- a/src/placement/order_codec.h
+++ b/src/placement/order_codec.h
@@ -27,7 +27,7 @@
 };
 
 enum class OrderOutcome {
-  kTaken,        // it is being done
+  kAccepted,     // it is being done
   kHolds,        // there was nothing to do
   kConflict,     // another order is under way, or it has taken orders since it was read
   kFenced,       // a later holder of the duty has acted
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -14,7 +14,7 @@
 constexpr Time kSettleAfterTakeOver = 300 * kMillisecond;
 constexpr Time kRefuseFor = 10 * kSecond;
 constexpr std::size_t kPromptFleet = 200;  // so few runners are planned for after each answer
-constexpr std::size_t kMostDisks = 40000, kMostRunners = 20000;
+constexpr std::size_t kMaxDisks = 40000, kMaxRunners = 20000;
 
 }  // namespace
 
@@ -47,11 +47,11 @@
       continue;
     auto it = runners_.find(record.runner_id());
     if (it == runners_.end()) {
-      if (runners_.size() >= kMostRunners) continue;
+      if (runners_.size() >= kMaxRunners) continue;
       it = runners_.emplace(record.runner_id(), Runner()).first;
     }
     if (!it->second.ledger.Observe(now, record)) continue;
-    if (disks_.size() >= kMostDisks) disks_.clear();
+    if (disks_.size() >= kMaxDisks) disks_.clear();
     std::set<std::string>& disk = disks_[record.address()];
     for (const messages::HeldModel& model : record.models())
       if (catalog_.Find(model.name()) || catalog_.models().empty()) disk.insert(model.name());
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -20,7 +20,7 @@
 constexpr Time kUrgentAfter = 500 * kMillisecond, kOptionalAfter = 3 * kSecond;
 constexpr Time kRememberPlaced = 60 * kSecond;
 constexpr std::size_t kRunnersPerOptional = 8;
-constexpr std::size_t kMostRefused = 1000;
+constexpr std::size_t kMaxRefused = 1000;
 constexpr int kLoadsKept = 2;  // that the weight store allows, for what is asked for
 constexpr double kFillCost = 3, kColdCost = 1, kZoneCost = 0.3, kAdapterCost = 0.05, kOrderCost = 0.1;
 
@@ -50,7 +50,7 @@
 }  // namespace
 
 void Planner::Refuse(const Key& key, Time until) {
-  if (refused_.size() >= kMostRefused) refused_.clear();
+  if (refused_.size() >= kMaxRefused) refused_.clear();
   refused_[key] = until;
 }
 
@@ -70,9 +70,9 @@
   int loads_left = context.loads_left;
   Pass pass{&context, &assignments, most > pending ? most - pending : 0, &loads_left};
   NoteCrowded(context);
-  for (const double least_worth : {kUrgentWorth, 0.0}) {
-    PlaceMissing(pass, least_worth);
-    PlaceCopies(&pass, least_worth);
+  for (const double min_worth : {kUrgentWorth, 0.0}) {
+    PlaceMissing(pass, min_worth);
+    PlaceCopies(&pass, min_worth);
   }
   std::erase_if(short_since_, [&](const auto& entry) { return !wishes_.count(entry.first); });
   Prefetch(&pass);
@@ -105,12 +105,12 @@
   for (const std::string& model : homeless) crowded_[model] = (adapters[model] + places - 1) / places;
 }
 
-void Planner::PlaceMissing(const Pass& pass, double least_worth) {
+void Planner::PlaceMissing(const Pass& pass, double min_worth) {
   const PlanContext& context = *pass.context;
   for (const Key& key : KeysInDemand(context)) {
     const Demand& demand = DemandOf(context, key);
     if (!context.view->HoldersOf(key).empty() || !Missing(demand)) continue;
-    if (WorthOfCopy(context, key, Urgency::kAsked) < least_worth) continue;
+    if (WorthOfCopy(context, key, Urgency::kAsked) < min_worth) continue;
     Wish& wish = wishes_[key] = {1, Urgency::kAsked, kAnyFill, ""};
     if (Refused(context.now, key)) {
       wish.hindrance = "a runner refused the order as invalid";
@@ -121,7 +121,7 @@
   }
 }
 
-void Planner::PlaceCopies(Pass* pass, double least_worth) {
+void Planner::PlaceCopies(Pass* pass, double min_worth) {
   const PlanContext& context = *pass->context;
   for (const Key& key : KeysInDemand(context)) {
     const std::vector<std::size_t> holders = context.view->HoldersOf(key);
@@ -129,11 +129,11 @@
     const double fill = FillOf(context, holders);
     const Wish wish = wishes_[key] = WishFor(context, key, DemandOf(context, key), fill);
     if (!Ripe(context.now, key, wish, holders.size())) continue;
-    if (WorthOfCopy(context, key, wish.urgency) < least_worth) continue;
+    if (WorthOfCopy(context, key, wish.urgency) < min_worth) continue;
     const bool urgent = wish.urgency <= Urgency::kOverload;
     for (std::size_t copies = holders.size(); copies < wish.copies; ++copies) {
       if (!urgent && pass->optional_left == 0) break;
-      if (!Place(*pass, key, wish.urgency, wish.most_fill)) {
+      if (!Place(*pass, key, wish.urgency, wish.max_fill)) {
         wishes_[key].hindrance = "no runner with less load has room, or the weight store's turn comes later";
         break;
       }
@@ -176,7 +176,7 @@
   return now - since >= (wish.urgency == Urgency::kSpare ? kOptionalAfter : kUrgentAfter);
 }
 
-bool Planner::Place(const Pass& pass, const Key& key, Urgency urgency, double most_fill) {
+bool Planner::Place(const Pass& pass, const Key& key, Urgency urgency, double max_fill) {
   const PlanContext& context = *pass.context;
   if (key.is_model() && *pass.loads_left <= 0) return false;
   const double worth = WorthOfCopy(context, key, urgency);
@@ -187,7 +187,7 @@
     if (!runner.available || runner.expected.Holds(key)) continue;
     const Key model{key.model, ""};  // held, and not about to go
     if (!key.is_model() && !(runner.held.Holds(model) && runner.expected.Holds(model))) continue;
-    if (runner.load / context.catalog->slots() > most_fill) continue;
+    if (runner.load / context.catalog->slots() > max_fill) continue;
     const auto victims = FindVictims(context, runner, key, worth);
     if (!victims) continue;
     const double orders = kOrderCost * static_cast<double>(victims->keys.size());
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -31,7 +31,7 @@
   struct Wish {
     std::size_t copies = 0;
     Urgency urgency = Urgency::kAsked;
-    double most_fill = 0;  // of a runner that is worth a copy: its load over its slots
+    double max_fill = 0;  // of a runner that is worth a copy: its load over its slots
     const char* hindrance = "";
     bool flooded = false;  // more requests than its runners have slots for
   };
@@ -45,16 +45,16 @@
     int* loads_left;            // of models: one that has to wait would keep its runner from adapters
   };
   bool Refused(Time now, const Key& key) const;
-  bool Place(const Pass& pass, const Key& key, Urgency urgency, double most_fill);
+  bool Place(const Pass& pass, const Key& key, Urgency urgency, double max_fill);
   double CostOf(const PlanContext& context, const RunnerView& runner, const Key& key,
                 double victims_cost) const;
   Wish WishFor(const PlanContext& context, const Key& key, const Demand& demand, double fill) const;
   bool Ripe(Time now, const Key& key, const Wish& wish, std::size_t copies);
   void NoteCrowded(const PlanContext& context);
   // Only what is worth so much at least.
-  void PlaceMissing(const Pass& pass, double least_worth);
+  void PlaceMissing(const Pass& pass, double min_worth);
   void Prefetch(Pass* pass);
-  void PlaceCopies(Pass* pass, double least_worth);
+  void PlaceCopies(Pass* pass, double min_worth);
 
   std::uint64_t seed_;
   std::map<Key, Wish> wishes_;
--- a/src/placement/runner_ledger.cpp
+++ b/src/placement/runner_ledger.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr Time kFirstBackOff = 300 * kMillisecond;
-constexpr int kMostDoublings = 5;
+constexpr int kMaxDoublings = 5;
 constexpr Time kReportLag = 150 * kMillisecond;  // a report shows the state of some time ago
-constexpr Time kMostBusyWait = 2 * kSecond, kOtherRunnerWait = 2 * kSecond, kUnusableWait = 5 * kSecond;
+constexpr Time kMaxBusyWait = 2 * kSecond, kOtherRunnerWait = 2 * kSecond, kUnusableWait = 5 * kSecond;
 constexpr Time kShortWork = 100 * kMillisecond;
-constexpr int kEarlyAsks = 5;         // before the heartbeats are left to tell
-constexpr int kMostStaleReports = 3;  // in a row, before they are believed
-constexpr Time kLateAskEvery = 3 * kSecond;
+constexpr int kEarlyAsks = 5;        // before the heartbeats are left to tell
+constexpr int kMaxStaleReports = 3;  // in a row, before they are believed
+constexpr Time kLatePollInterval = 3 * kSecond;
 constexpr int kWorkTimeFactor = 3;
 constexpr Time kWorkTimeSlack = 3 * kSecond;
 
@@ -44,15 +44,15 @@
 
 // The load under way is done if a heartbeat after it shows so.
 void RunnerLedger::Finish() {
-  if (!record_tells_ || record_.call_count() <= record_at_order_ || !told_.Shows(*under_way_)) return;
+  if (!record_tells_ || record_.call_count() <= record_at_order_ || !told_.Shows(*in_flight_)) return;
   HeldSet held = confirmed_;
-  held.Add(under_way_->key);
+  held.Add(in_flight_->key);
   Confirm(held);
 }
 
 void RunnerLedger::Restart() {
-  if (phase_ == Phase::kOrdered && under_way_->kind == Order::Kind::kLoad) unanswered_.Add(under_way_->key);
-  under_way_.reset();
+  if (phase_ == Phase::kOrdered && in_flight_->kind == Order::Kind::kLoad) unanswered_.Add(in_flight_->key);
+  in_flight_.reset();
   awaits_report_ = false;
   phase_ = Phase::kUnread;
   asks_ = failures_ = stale_reports_ = 0;
@@ -64,7 +64,7 @@
   if (phase_ == Phase::kUnread) return wanted;
   if (phase_ != Phase::kWorking) return false;
   if (now >= ordered_at_ + work_time_ * kWorkTimeFactor + kWorkTimeSlack)
-    return now >= asked_at_ + kLateAskEvery;
+    return now >= asked_at_ + kLatePollInterval;
   const Time due = std::max(ordered_at_ + work_time_, asked_at_) + (kReportLag << asks_);
   return (wanted || !record_tells_) && asks_ < kEarlyAsks && now >= due;
 }
@@ -89,12 +89,12 @@
       BackOff(now, std::get<ReportError>(answer) == ReportError::kFieldMissing ? kUnusableWait : 0);
     return;
   }
-  if (report->orders_taken < orders_taken_ && ++stale_reports_ <= kMostStaleReports) {  // of before the order
+  if (report->orders_taken < orders_taken_ && ++stale_reports_ <= kMaxStaleReports) {  // of before the order
     if (!working) not_before_ = now + kFirstBackOff;
     return;
   }
   if (report->busy) {
-    if (!working) not_before_ = now + std::clamp(work_time_ / 2, kFirstBackOff, kMostBusyWait);
+    if (!working) not_before_ = now + std::clamp(work_time_ / 2, kFirstBackOff, kMaxBusyWait);
     return;
   }
   // A load with no answer that wasn't taken may still arrive, until an order with its number is taken.
@@ -104,7 +104,7 @@
 }
 
 void RunnerLedger::OrderSent(Time now, const Order& order, Time work_time, std::uint64_t load) {
-  under_way_ = order;
+  in_flight_ = order;
   if (load != 0) load_ = load;
   phase_ = Phase::kOrdered;
   ordered_at_ = now;
@@ -119,7 +119,7 @@
 void RunnerLedger::OrderAnswered(Time now, OrderOutcome outcome) {
   if (phase_ != Phase::kOrdered) return;
   switch (outcome) {
-    case OrderOutcome::kTaken:
+    case OrderOutcome::kAccepted:
       phase_ = Phase::kWorking;
       ++orders_taken_;
       failures_ = 0;
@@ -127,7 +127,7 @@
       Finish();
       return;
     case OrderOutcome::kUnknown:
-      if (under_way_->kind == Order::Kind::kLoad) unanswered_.Add(under_way_->key);
+      if (in_flight_->kind == Order::Kind::kLoad) unanswered_.Add(in_flight_->key);
       break;
     case OrderOutcome::kConflict:
     case OrderOutcome::kOtherRunner:
@@ -139,7 +139,7 @@
       if (unanswered_.models().empty()) DropUnanswered();
       break;
   }
-  under_way_.reset();
+  in_flight_.reset();
   phase_ = Phase::kUnread;
   BackOff(now, outcome == OrderOutcome::kOtherRunner ? kOtherRunnerWait : 0);
 }
@@ -151,16 +151,16 @@
 
 bool RunnerLedger::Available(Time now) const {
   if (record_.state() != messages::RUNNER_READY || (failures_ > 0 && now < not_before_)) return false;
-  return !under_way_ || work_time_ <= kShortWork;
+  return !in_flight_ || work_time_ <= kShortWork;
 }
 
 HeldSet RunnerLedger::Expected() const {
   HeldSet expected = held();
-  if (!under_way_) return expected;
-  if (under_way_->kind == Order::Kind::kLoad)
-    expected.Add(under_way_->key);
+  if (!in_flight_) return expected;
+  if (in_flight_->kind == Order::Kind::kLoad)
+    expected.Add(in_flight_->key);
   else
-    expected.Remove(under_way_->key);
+    expected.Remove(in_flight_->key);
   return expected;
 }
 
@@ -168,7 +168,7 @@
   HeldSet held = this->held();
   if (phase_ == Phase::kUnread || phase_ == Phase::kReading) held.AddAll(confirmed_);
   held.AddAll(unanswered_);
-  if (under_way_ && under_way_->kind == Order::Kind::kLoad) held.Add(under_way_->key);
+  if (in_flight_ && in_flight_->kind == Order::Kind::kLoad) held.Add(in_flight_->key);
   return held;
 }
 
@@ -179,14 +179,14 @@
 
 void RunnerLedger::Confirm(const HeldSet& held) {
   confirmed_ = held;
-  under_way_.reset();
+  in_flight_.reset();
   phase_ = Phase::kIdle;
   failures_ = asks_ = stale_reports_ = 0;
   not_before_ = 0;
 }
 
 void RunnerLedger::BackOff(Time now, Time least) {
-  not_before_ = now + std::max(least, kFirstBackOff << std::min(failures_, kMostDoublings));
+  not_before_ = now + std::max(least, kFirstBackOff << std::min(failures_, kMaxDoublings));
   ++failures_;
 }
 
--- a/src/placement/runner_ledger.h
+++ b/src/placement/runner_ledger.h
@@ -51,7 +51,7 @@
   const HeldSet& held() const;  // as best known
   HeldSet MayHold() const;      // with what may be or come, and all that isn't seen gone
   HeldSet Expected() const;     // after the order under way
-  const std::optional<Order>& under_way() const { return under_way_; }
+  const std::optional<Order>& in_flight() const { return in_flight_; }
   std::uint64_t unsettled_load() const { return load_; }
   // The number of a load that can't begin any more since the last call, if any.
   std::optional<std::uint64_t> TakeSettledLoad();
@@ -67,7 +67,7 @@
   HeldSet confirmed_;  // at `orders_taken_`, with nothing under way
   Phase phase_ = Phase::kUnread;
   std::uint64_t orders_taken_ = 0;
-  std::optional<Order> under_way_;  // sent, and not known to be done or refused
+  std::optional<Order> in_flight_;  // sent, and not known to be done or refused
   HeldSet unanswered_;         // loads that may still arrive while the runner's number is `orders_taken_`
   bool record_tells_ = false;  // a heartbeat can show that the order under way is done
   bool awaits_report_ = false;
--- a/src/placement/steps.cpp
+++ b/src/placement/steps.cpp
@@ -7,18 +7,18 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr Time kPlanEvery = 200 * kMillisecond, kLargePlanEvery = kSecond;
+constexpr Time kPlanInterval = 200 * kMillisecond, kLargePlanInterval = kSecond;
 constexpr std::size_t kLargeFleet = 1000;
 constexpr Time kIntentLasts = 15 * kSecond;
-constexpr int kMostFailures = 3;
-constexpr std::size_t kLeastPrepared = 2, kRunnersPerPrepared = 4;  // make room before the store's turn comes
-constexpr Time kStepEvery = 50 * kMillisecond;
+constexpr int kMaxFailures = 3;
+constexpr std::size_t kMinPrepared = 2, kRunnersPerPrepared = 4;  // make room before the store's turn comes
+constexpr Time kStepInterval = 50 * kMillisecond;
 
 }  // namespace
 
 void Placement::Impl::Plan(Time now, const Input& input, Calls* calls) {
   static const std::vector<messages::DemandReport> kNoReports;
-  next_plan_ = now + (runners_.size() > kLargeFleet ? kLargePlanEvery : kPlanEvery);
+  next_plan_ = now + (runners_.size() > kLargeFleet ? kLargePlanInterval : kPlanInterval);
   Forget(now);
   catalog_.Assign(input.service->engine());
   budget_.SetRate(catalog_.loads_per_s());
@@ -43,7 +43,7 @@
     const auto& [id, runner] = entry;
     return runner.intent && runner.intent->target.is_model() && runner.ledger.unsettled_load() == 0;
   });
-  const std::size_t prepared = std::max(kLeastPrepared, runners_.size() / kRunnersPerPrepared);
+  const std::size_t prepared = std::max(kMinPrepared, runners_.size() / kRunnersPerPrepared);
   return budget_.Left(now) + static_cast<int>(prepared) - static_cast<int>(waiting);
 }
 
@@ -53,7 +53,7 @@
     const Key& target = runner.intent->target;
     const Demand& demand = target.is_model() ? demand_.OfModel(target.model) : demand_.Of(target);
     const bool usable = runner.ledger.record().state() == messages::RUNNER_READY &&
-                        runner.ledger.last_seen() == now && runner.ledger.failures() < kMostFailures;
+                        runner.ledger.last_seen() == now && runner.ledger.failures() < kMaxFailures;
     const bool wanted = demand.present() || runner.intent->urgency == Urgency::kPrefetch;
     if (!usable || !wanted || !catalog_.Knows(target) || now - runner.intent->since > kIntentLasts)
       runner.intent.reset();
@@ -100,7 +100,7 @@
     Step(now, *id, &runner, calls);
     waiting = waiting || runner.intent || runner.ledger.phase() == RunnerLedger::Phase::kWorking;
   }
-  next_timer_ = waiting ? std::min(next_plan_, now + kStepEvery) : next_plan_;
+  next_timer_ = waiting ? std::min(next_plan_, now + kStepInterval) : next_plan_;
 }
 
 void Placement::Impl::Step(Time now, const std::string& id, Runner* runner, Calls* calls) {
@@ -167,7 +167,7 @@
     call.expect_runner = pending.runner_id;
   }
   pending.epoch = epoch_;
-  pending.expires = now + call.give_up_after;
+  pending.expires = now + call.timeout;
   calls_.emplace(call.tag, std::move(pending));
   calls->push_back(std::move(call));
 }
--- a/src/quarantine/background.cpp
+++ b/src/quarantine/background.cpp
@@ -25,7 +25,7 @@
 }
 
 Background::Rate* Background::In(std::map<std::uint32_t, Rate>* of, std::uint32_t which) {
-  if (of->size() >= kMostRates && !of->contains(which)) return nullptr;
+  if (of->size() >= kMaxRates && !of->contains(which)) return nullptr;
   return &(*of)[which];
 }
 
@@ -43,7 +43,7 @@
   for (const End& known : ends_)
     if (known.job == end.job && SamePlace(known.sign, end.sign)) return;
   ends_.push_back(end);
-  if (ends_.size() > kMostEnds) ends_.pop_front();
+  if (ends_.size() > kMaxEnds) ends_.pop_front();
 }
 
 double Background::Tries(const std::map<std::uint32_t, Rate>& of, std::uint32_t which, Time now) const {
@@ -79,7 +79,7 @@
   for (const End& other : ends_) {
     if (other.job == end.job || std::abs(other.sign.at - sign.at) > kWindow) continue;
     tier += 1;
-    if (other.job_class == end.job_class && class_jobs.size() < kMostNear) add(&class_jobs, other.job);
+    if (other.job_class == end.job_class && class_jobs.size() < kMaxNear) add(&class_jobs, other.job);
     if (Repeats(other.sign, sign)) runner += 1;
     if (other.sign.zone == sign.zone && other.sign.runner != sign.runner &&
         zone_runners.size() < kManyOfZone && std::abs(other.sign.at - sign.at) <= kTogether)
@@ -99,7 +99,7 @@
 
 std::vector<Background::End> Background::Near(const End& end) const {
   std::vector<End> near;
-  for (auto it = ends_.rbegin(); it != ends_.rend() && near.size() < kMostNear; ++it)
+  for (auto it = ends_.rbegin(); it != ends_.rend() && near.size() < kMaxNear; ++it)
     if (it->job != end.job && std::abs(it->sign.at - end.sign.at) <= kWindow &&
         (it->sign.runner == end.sign.runner || it->job_class == end.job_class ||
          (it->sign.zone == end.sign.zone && std::abs(it->sign.at - end.sign.at) <= kTogether)))
@@ -110,7 +110,7 @@
 void Background::TakeBack(const Fingerprint& poison, const std::vector<Sign>& signs) {
   for (const Sign& sign : signs) {
     if (!sign.bad()) continue;
-    if (explained_.size() >= kMostExplained) explained_.clear();  // older than the window by then
+    if (explained_.size() >= kMaxExplained) explained_.clear();  // older than the window by then
     explained_[{sign.runner, sign.life}] = poison;
   }
   std::erase_if(ends_, [&](const End& it) {
--- a/src/quarantine/background.h
+++ b/src/quarantine/background.h
@@ -24,7 +24,7 @@
   static constexpr Time kTogether =
       2 * kSecond;  // kManyOfZone others of a zone that die within it have one cause
   static constexpr std::size_t kManyOfZone = 3;
-  static constexpr std::size_t kMostEnds = 512, kMostNear = 32, kMostRates = 4096, kMostExplained = 4096;
+  static constexpr std::size_t kMaxEnds = 512, kMaxNear = 32, kMaxRates = 4096, kMaxExplained = 4096;
   static constexpr double kFewTries = 20;  // own ones; with fewer, nothing is known of tier and class
   static constexpr double kFloor = 0.002;  // no run is taken for safer than that
   static constexpr double kFailedFloor = 0.05, kFailedIfPoison = 0.5;
--- a/src/quarantine/codec.cpp
+++ b/src/quarantine/codec.cpp
@@ -95,7 +95,7 @@
     dot.what = static_cast<Decided>(what);
     it.decisions.Load(dot);
   }
-  if (!in.good() || in.left() > kMostLine) return std::nullopt;
+  if (!in.good() || in.left() > kMaxLine) return std::nullopt;
   it.line = in.Text(in.left());
   for (char& c : it.line)
     if (c < ' ' || c > '~') c = '?';
--- a/src/quarantine/codec.h
+++ b/src/quarantine/codec.h
@@ -51,9 +51,9 @@
 }
 
 // At most `most` bytes; the line for people is left out where it does not fit. Without it a record has at
-// most kMostRecord bytes whatever the ticket.
-inline constexpr std::size_t kMostRecord = 252;
-std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now, std::size_t most = kMostRecord);
+// most kMaxRecord bytes whatever the ticket.
+inline constexpr std::size_t kMaxRecord = 252;
+std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now, std::size_t most = kMaxRecord);
 
 // Nothing: malformed.
 std::optional<std::pair<Fingerprint, Ticket>> Decode(std::string_view record, Time now);
--- a/src/quarantine/decisions.cpp
+++ b/src/quarantine/decisions.cpp
@@ -13,7 +13,7 @@
 bool Decisions::Decide(std::uint32_t by, Decided what, std::uint32_t until) {
   auto own = std::ranges::lower_bound(dots_, by, {}, &Dot::by);
   if (own == dots_.end() || own->by != by) {
-    if (dots_.size() >= kMostToDecide) return false;
+    if (dots_.size() >= kMaxToDecide) return false;
     own = dots_.insert(own, Dot{.by = by});
   }
   if (own->count == UINT16_MAX) return false;
@@ -39,7 +39,7 @@
       ++a, ++b;
     }
   }
-  if (merged.size() > kMost) merged.erase(merged.begin(), merged.end() - kMost);
+  if (merged.size() > kMax) merged.erase(merged.begin(), merged.end() - kMax);
   const bool news = merged != dots_;
   dots_ = std::move(merged);
   return news;
@@ -47,10 +47,10 @@
 
 void Decisions::Load(const Dot& dot) {
   const auto at = std::ranges::lower_bound(dots_, dot.by, {}, &Dot::by);
-  if (dots_.size() < kMost && (at == dots_.end() || at->by != dot.by)) dots_.insert(at, dot);
+  if (dots_.size() < kMax && (at == dots_.end() || at->by != dot.by)) dots_.insert(at, dot);
 }
 
-Decisions::Dot Decisions::Standing(std::uint32_t now) const {
+Decisions::Dot Decisions::MemberStatus(std::uint32_t now) const {
   Dot strongest;
   for (const Dot& dot : dots_)
     if (Stands(dot, now) &&
--- a/src/quarantine/decisions.h
+++ b/src/quarantine/decisions.h
@@ -20,8 +20,8 @@
 class Decisions {
  public:
   // Who decides is a number made of a dispatcher and its life, so that a restarted one never uses a dot
-  // twice. Merging may go over kMostToDecide up to kMost; there the smallest numbers are let go of.
-  static constexpr std::size_t kMostToDecide = 8, kMost = 10;
+  // twice. Merging may go over kMaxToDecide up to kMax; there the smallest numbers are let go of.
+  static constexpr std::size_t kMaxToDecide = 8, kMax = 10;
 
   struct Dot {
     std::uint32_t by = 0;
@@ -37,7 +37,7 @@
   void Load(const Dot& dot);           // of a register read from bytes
 
   // The strongest that stands at this time (Unix seconds).
-  Dot Standing(std::uint32_t now) const;
+  Dot MemberStatus(std::uint32_t now) const;
   const std::vector<Dot>& dots() const { return dots_; }
   bool operator==(const Decisions&) const = default;
 
--- a/src/quarantine/evidence.cpp
+++ b/src/quarantine/evidence.cpp
@@ -8,9 +8,9 @@
   if (sign.what == Outcome::kNothing) return false;
   const auto at = std::ranges::lower_bound(signs_, sign, std::less<>());
   if (at == signs_.end() || !at->SameAs(sign)) {
-    if (signs_.size() >= kMost && at == signs_.end()) return false;
+    if (signs_.size() >= kMax && at == signs_.end()) return false;
     signs_.insert(at, sign);
-    if (signs_.size() > kMost) signs_.pop_back();
+    if (signs_.size() > kMax) signs_.pop_back();
     return true;
   }
   const Sign merged{.runner = sign.runner,
@@ -65,8 +65,8 @@
     sum += std::max(kind.bad - kind.lived, 0.0);
     lowest = std::min(lowest, kind.bad - kind.lived);
   }
-  if (sum <= 0) return std::min(lowest + std::min(failed, kMostOfFailed), kMostOfFailed);
-  return sum + std::min(failed, kMostOfFailed);
+  if (sum <= 0) return std::min(lowest + std::min(failed, kMaxFailedWeight), kMaxFailedWeight);
+  return sum + std::min(failed, kMaxFailedWeight);
 }
 
 int Evidence::strikes() const {
--- a/src/quarantine/evidence.h
+++ b/src/quarantine/evidence.h
@@ -32,9 +32,9 @@
 inline constexpr double kInnocent = 1e-5, kMissed = 0.01;
 inline const double kCondemnAt = std::log((1 - kMissed) / kInnocent);  // 11.5
 inline const double kSettledAt = std::log(kMissed / (1 - kInnocent));  // -4.6: no more watched
-inline constexpr double kStrongAt = 4;      // from here on one run at a time in the whole tier
-inline constexpr double kMostOfFailed = 3;  // all `failed` together: never strong by themselves
-inline constexpr double kLived = 2.3;       // ln(1 / (1 - kBadIfPoison)): what a success takes off
+inline constexpr double kStrongAt = 4;         // from here on one run at a time in the whole tier
+inline constexpr double kMaxFailedWeight = 3;  // all `failed` together: never strong by themselves
+inline constexpr double kLived = 2.3;          // ln(1 / (1 - kBadIfPoison)): what a success takes off
 inline constexpr Time kHalfLife = 1800 * kSecond;
 
 struct Sign {
@@ -60,7 +60,7 @@
 
 class Evidence {
  public:
-  static constexpr std::size_t kMost = 8;  // bad ends stay longest
+  static constexpr std::size_t kMax = 8;  // bad ends stay longest
 
   // True: something new. Of the same place the smaller weight, the worse end and the earlier time stay.
   bool Add(const Sign& sign);
--- a/src/quarantine/fingerprint.cpp
+++ b/src/quarantine/fingerprint.cpp
@@ -48,9 +48,9 @@
         parts.object}) {
     if (part.empty()) continue;
     if (!line.empty()) line += ' ';
-    line += part.substr(0, kMostLine);
+    line += part.substr(0, kMaxLine);
   }
-  line.resize(std::min(line.size(), kMostLine));
+  line.resize(std::min(line.size(), kMaxLine));
   for (char& c : line)
     if (c < ' ' || c > '~') c = '?';
   return line;
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -29,10 +29,10 @@
 // tenant's jobs collide.
 Fingerprint FingerprintOf(const JobParts& parts);
 
-inline constexpr std::size_t kMostLine = 64;  // bytes
+inline constexpr std::size_t kMaxLine = 64;  // bytes
 
 // "publish POST /index object-17": method, path without its query (which may hold what is nobody else's
-// business), object. Bytes that are not printable ASCII become '?'; at most kMostLine of them.
+// business), object. Bytes that are not printable ASCII become '?'; at most kMaxLine of them.
 std::string LineOf(const JobParts& parts);
 
 std::uint64_t ShortHash(std::string_view text);
