--- a/tests/system/dataplane/world.cpp
+++ b/tests/system/dataplane/world.cpp
@@ -57,8 +57,8 @@
   return configuration;
 }
 
-World::World(const std::vector<RunnerPlan>& runners, messages::Configuration configuration, bool install,
-             Time grace, Time configuration_wait)
+Testbed::Testbed(const std::vector<RunnerPlan>& runners, messages::Configuration configuration, bool install,
+                 Time grace, Time configuration_wait)
     : plans_(runners) {
   for (std::size_t i = 0; i < runners.size(); ++i) listening_.push_back(std::make_unique<Listening>());
   port_ = Listening().port();
@@ -74,7 +74,7 @@
   if (install) Install(std::move(configuration));
 }
 
-void World::Install(messages::Configuration configuration) {
+void Testbed::Install(messages::Configuration configuration) {
   auto snapshot = std::make_shared<routing::Snapshot>();
   snapshot->revision = ++revision_;
   snapshot->configuration = std::make_shared<const messages::Configuration>(std::move(configuration));
@@ -96,26 +96,26 @@
   plane_->Install(std::move(snapshot));
 }
 
-void World::Load(std::size_t runner, const std::string& model) {
+void Testbed::Load(std::size_t runner, const std::string& model) {
   plans_[runner].models.push_back(model);
   Install(UsualConfiguration());
 }
 
-std::size_t World::RunnerIndex(const std::string& runner_id) const {
+std::size_t Testbed::RunnerIndex(const std::string& runner_id) const {
   for (std::size_t i = 0; i < plans_.size(); ++i)
     if (plans_[i].id == runner_id) return i;
   throw std::runtime_error("no such runner");
 }
 
-std::pair<Socket, std::size_t> World::AcceptAny() {
-  for (int tries = 0; tries < kPatienceSeconds * 100; ++tries)
+std::pair<Socket, std::size_t> Testbed::AcceptAny() {
+  for (int tries = 0; tries < kTimeoutSeconds * 100; ++tries)
     for (std::size_t i = 0; i < listening_.size(); ++i)
       if (listening_[i]->Waiting(10 / static_cast<int>(listening_.size())))
         return {listening_[i]->Accept(), i};
   throw std::runtime_error("no runner was called");
 }
 
-void World::Pause() { poll(nullptr, 0, 5); }
+void Testbed::Pause() { poll(nullptr, 0, 5); }
 
 std::string Get(std::string_view target, std::string_view id, std::string_view more) {
   std::string out;
--- a/tests/system/dataplane/world.h
+++ b/tests/system/dataplane/world.h
@@ -20,11 +20,11 @@
   std::vector<std::string> models;
 };
 
-class World {
+class Testbed {
  public:
-  explicit World(const std::vector<RunnerPlan>& runners = {{.id = "r1", .models = {}}},
-                 messages::Configuration configuration = UsualConfiguration(), bool install = true,
-                 Time grace = 8 * kSecond, Time configuration_wait = 0);
+  explicit Testbed(const std::vector<RunnerPlan>& runners = {{.id = "r1", .models = {}}},
+                   messages::Configuration configuration = UsualConfiguration(), bool install = true,
+                   Time grace = 8 * kSecond, Time configuration_wait = 0);
 
   DataPlane& plane() { return *plane_; }
   Listening& runner(std::size_t at) { return *listening_[at]; }
--- a/tests/system/duties/load_history_test.cpp
+++ b/tests/system/duties/load_history_test.cpp
@@ -65,16 +65,16 @@
 }
 
 TEST_CASE("who takes over finds what the one before told, and its allowance as begun") {
-  OwnershipWorld world(3, 4);
-  world.loads = {History("llm", 5, 3)};
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  REQUIRE(FindLoads(world.nodes[first].ownership->state(), "llm") != nullptr);
-  world.Kill(first);
-  world.TellMembers();
-  world.loads.clear();  // the next owner has placed nothing yet
-  while (!world.Holder()) world.RunFor(10 * kMillisecond);
-  const auto& taken = world.nodes[*world.Holder()].ownership;
+  OwnershipWorld testbed(3, 4);
+  testbed.loads = {History("llm", 5, 3)};
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  REQUIRE(FindLoads(testbed.nodes[first].ownership->state(), "llm") != nullptr);
+  testbed.Kill(first);
+  testbed.TellMembers();
+  testbed.loads.clear();  // the next owner has placed nothing yet
+  while (!testbed.Holder()) testbed.RunFor(10 * kMillisecond);
+  const auto& taken = testbed.nodes[*testbed.Holder()].ownership;
   const messages::LoadHistory* history = FindLoads(taken->state(), "llm");
   REQUIRE(history != nullptr);
   CHECK(Total(*history) == 8);
@@ -84,15 +84,16 @@
 }
 
 TEST_CASE("one that resigns tells its loads once more, with no allowance") {
-  OwnershipWorld world(3, 5);
-  world.loads = {History("llm", 5, 3)};
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.loads = {History("llm", 6, 0)};
-  world.Resign(first);
-  world.loads.clear();
-  while (!world.Holder() || *world.Holder() == first) world.RunFor(10 * kMillisecond);
-  const messages::LoadHistory* history = FindLoads(world.nodes[*world.Holder()].ownership->state(), "llm");
+  OwnershipWorld testbed(3, 5);
+  testbed.loads = {History("llm", 5, 3)};
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.loads = {History("llm", 6, 0)};
+  testbed.Resign(first);
+  testbed.loads.clear();
+  while (!testbed.Holder() || *testbed.Holder() == first) testbed.RunFor(10 * kMillisecond);
+  const messages::LoadHistory* history =
+      FindLoads(testbed.nodes[*testbed.Holder()].ownership->state(), "llm");
   REQUIRE(history != nullptr);
   CHECK(Total(*history) == 6);
 }
--- a/tests/system/duties/ownership_simulation_test.cpp
+++ b/tests/system/duties/ownership_simulation_test.cpp
@@ -10,18 +10,18 @@
   std::size_t acts = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
-    OwnershipWorld world(4, seed);
-    world.is_rough = true;
-    for (auto& node : world.nodes) {
-      node.clock_rate = 0.99 + static_cast<double>(world.Random(200)) / 10000;
-      node.clock_offset = world.Random(1000 * kSecond);
+    OwnershipWorld testbed(4, seed);
+    testbed.is_rough = true;
+    for (auto& node : testbed.nodes) {
+      node.clock_rate = 0.99 + static_cast<double>(testbed.Random(200)) / 10000;
+      node.clock_offset = testbed.Random(1000 * kSecond);
     }
-    for (std::size_t i = 0; i < 4; ++i) world.Start(i);
-    world.TellMembers();
+    for (std::size_t i = 0; i < 4; ++i) testbed.Start(i);
+    testbed.TellMembers();
     std::map<std::int64_t, std::string> chosen;
     std::uint64_t last_epoch = 0;
-    world.on_change = [&] {
-      const auto state = StateOf(world.payload);
+    testbed.on_change = [&] {
+      const auto state = StateOf(testbed.payload);
       REQUIRE(state.epoch() >= last_epoch);
       last_epoch = state.epoch();
       REQUIRE(state.tallies_size() <= 16);
@@ -33,35 +33,35 @@
     };
     std::int64_t window = 0;
     for (int step = 0; step < 1200; ++step) {
-      world.RunFor(100 * kMillisecond);
-      const auto i = static_cast<std::size_t>(world.Random(4));
-      switch (world.Random(80)) {
+      testbed.RunFor(100 * kMillisecond);
+      const auto i = static_cast<std::size_t>(testbed.Random(4));
+      switch (testbed.Random(80)) {
         case 0:
-          world.Kill(i);
+          testbed.Kill(i);
           break;
         case 1:
-          if (!world.nodes[i].is_running) world.Start(i);
+          if (!testbed.nodes[i].is_running) testbed.Start(i);
           break;
         case 2:
-          world.Freeze(i);
+          testbed.Freeze(i);
           break;
         case 3:
-          world.Thaw(i);
+          testbed.Thaw(i);
           break;
         case 4:
-          if (world.Runs(i)) world.Resign(i);
+          if (testbed.Runs(i)) testbed.Resign(i);
           break;
         case 5:
-          world.nodes[i].is_cut_off = !world.nodes[i].is_cut_off;
+          testbed.nodes[i].is_cut_off = !testbed.nodes[i].is_cut_off;
           break;
         case 6:  // its clock pauses for a moment, within the margin of two leases
-          if (step % 100 == 0) world.nodes[i].clock_offset -= 150 * kMillisecond;
+          if (step % 100 == 0) testbed.nodes[i].clock_offset -= 150 * kMillisecond;
           break;
         case 8:
-          world.nodes[i].is_suspected = !world.nodes[i].is_suspected;
+          testbed.nodes[i].is_suspected = !testbed.nodes[i].is_suspected;
           break;
         case 7:
-          world.nodes[i].wanted = !world.nodes[i].wanted;
+          testbed.nodes[i].wanted = !testbed.nodes[i].wanted;
           break;
         default:
           break;
@@ -69,22 +69,22 @@
       if (step % 10 == 0) {
         ++window;
         for (std::size_t k = 0; k < 4; ++k)
-          if (world.Holds(k))
-            world.ChooseTally(k, MakeTally(window, static_cast<std::uint64_t>(world.Random(100))));
+          if (testbed.Holds(k))
+            testbed.ChooseTally(k, MakeTally(window, static_cast<std::uint64_t>(testbed.Random(100))));
       }
-      if (world.Random(15) == 0) world.TellMembers();
+      if (testbed.Random(15) == 0) testbed.TellMembers();
     }
-    CheckActs(world.acts);
-    acts += world.acts.size();
+    CheckActs(testbed.acts);
+    acts += testbed.acts.size();
 
-    world.is_rough = false;
+    testbed.is_rough = false;
     for (std::size_t i = 0; i < 4; ++i) {
-      world.Start(i);
-      world.TellMembers();
+      testbed.Start(i);
+      testbed.TellMembers();
     }
-    world.RunFor(12 * kSecond);
-    REQUIRE(world.Holder());
-    CheckActs(world.acts);
+    testbed.RunFor(12 * kSecond);
+    REQUIRE(testbed.Holder());
+    CheckActs(testbed.acts);
   }
   CHECK(acts > 60 * 2000);  // of 12,000 steps each: the duty was held for a good part of these days
 }
--- a/tests/system/duties/ownership_test.cpp
+++ b/tests/system/duties/ownership_test.cpp
@@ -12,16 +12,16 @@
 namespace lichenlug::duties {
 namespace {
 
-std::size_t FirstInOrder(const OwnershipWorld& world, const std::vector<std::size_t>& live) {
+std::size_t FirstInOrder(const OwnershipWorld& testbed, const std::vector<std::size_t>& live) {
   std::vector<Member> members;
   for (const std::size_t i : live) {
     Member member;
-    member.name = world.Name(i);
+    member.name = testbed.Name(i);
     members.push_back(member);
   }
   const std::string first = AgreedOrder("duties/0", members).front().name;
   for (const std::size_t i : live)
-    if (world.Name(i) == first) return i;
+    if (testbed.Name(i) == first) return i;
   return 0;
 }
 
@@ -48,128 +48,129 @@
 }
 
 TEST_CASE("the first in the order takes a duty that nobody ever held, soon, and keeps it") {
-  OwnershipWorld world(5, 1);
-  world.RunFor(kSecond / 2);
-  const std::size_t first = FirstInOrder(world, {0, 1, 2, 3, 4});
-  REQUIRE(world.Holder() == first);
-  CHECK(world.nodes[first].ownership->epoch() == 1);
-  world.operations = 0;
+  OwnershipWorld testbed(5, 1);
+  testbed.RunFor(kSecond / 2);
+  const std::size_t first = FirstInOrder(testbed, {0, 1, 2, 3, 4});
+  REQUIRE(testbed.Holder() == first);
+  CHECK(testbed.nodes[first].ownership->epoch() == 1);
+  testbed.operations = 0;
   for (int i = 0; i < 600; ++i) {
-    world.RunFor(kSecond / 10);
-    REQUIRE(world.Holder() == first);
+    testbed.RunFor(kSecond / 10);
+    REQUIRE(testbed.Holder() == first);
   }
-  CHECK(world.operations <= 60 + 25);  // a renewal a second, and now and then a look by the next candidate
-  CHECK(world.nodes[first].ownership->epoch() == 1);
+  CHECK(testbed.operations <= 60 + 25);  // a renewal a second, and now and then a look by the next candidate
+  CHECK(testbed.nodes[first].ownership->epoch() == 1);
 }
 
 TEST_CASE("only members with a store hold duties, where there are any") {
-  OwnershipWorld world(5, 1);
-  world.stores = 1;
-  world.TellMembers();
-  world.RunFor(5 * kSecond);
-  CHECK(world.Holder() == std::size_t{0});
+  OwnershipWorld testbed(5, 1);
+  testbed.stores = 1;
+  testbed.TellMembers();
+  testbed.RunFor(5 * kSecond);
+  CHECK(testbed.Holder() == std::size_t{0});
 }
 
 TEST_CASE("a holder that died is replaced after its lease, and does not take the duty back") {
-  OwnershipWorld world(3, 2);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  const Time killed_at = world.now;
-  world.Kill(first);
-  world.TellMembers();
-  while (!world.Holder() && world.now < killed_at + 20 * kSecond) world.RunFor(10 * kMillisecond);
-  REQUIRE(world.Holder());
-  const std::size_t second = *world.Holder();
-  CHECK(world.now - killed_at >= OwnershipWorld::kLease - kSecond);
-  CHECK(world.now - killed_at <= OwnershipWorld::kLease + 2 * kSecond);
-  CHECK(world.nodes[second].ownership->epoch() == 2);
-  world.Start(first);
-  world.TellMembers();
-  world.RunFor(30 * kSecond);
-  CHECK(world.Holder() == second);
-  CheckActs(world.acts);
+  OwnershipWorld testbed(3, 2);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  const Time killed_at = testbed.now;
+  testbed.Kill(first);
+  testbed.TellMembers();
+  while (!testbed.Holder() && testbed.now < killed_at + 20 * kSecond) testbed.RunFor(10 * kMillisecond);
+  REQUIRE(testbed.Holder());
+  const std::size_t second = *testbed.Holder();
+  CHECK(testbed.now - killed_at >= OwnershipWorld::kLease - kSecond);
+  CHECK(testbed.now - killed_at <= OwnershipWorld::kLease + 2 * kSecond);
+  CHECK(testbed.nodes[second].ownership->epoch() == 2);
+  testbed.Start(first);
+  testbed.TellMembers();
+  testbed.RunFor(30 * kSecond);
+  CHECK(testbed.Holder() == second);
+  CheckActs(testbed.acts);
 }
 
 TEST_CASE("a holder is replaced a lease after its last renewal, however late its death is known") {
   constexpr Time kKnownAfter = 2300 * kMillisecond;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    OwnershipWorld world(3, seed);
-    world.RunFor(10 * kSecond + world.Random(kSecond));
-    const Time killed_at = world.now;
-    world.Kill(world.Holder().value());
-    world.RunFor(kKnownAfter);
-    world.TellMembers();
-    while (!world.Holder() && world.now < killed_at + 20 * kSecond) world.RunFor(10 * kMillisecond);
+    OwnershipWorld testbed(3, seed);
+    testbed.RunFor(10 * kSecond + testbed.Random(kSecond));
+    const Time killed_at = testbed.now;
+    testbed.Kill(testbed.Holder().value());
+    testbed.RunFor(kKnownAfter);
+    testbed.TellMembers();
+    while (!testbed.Holder() && testbed.now < killed_at + 20 * kSecond) testbed.RunFor(10 * kMillisecond);
     INFO("seed " << seed);
-    CHECK(world.now - killed_at <= OwnershipWorld::kLease + 600 * kMillisecond);
-    CheckActs(world.acts);
+    CHECK(testbed.now - killed_at <= OwnershipWorld::kLease + 600 * kMillisecond);
+    CheckActs(testbed.acts);
   }
 }
 
 TEST_CASE("a renewal that few replicas accepted is not taken for the one that was chosen later") {
-  OwnershipWorld world(2, 3);
-  world.RunFor(10 * kSecond);
-  const std::size_t owner = world.Holder().value(), other = 1 - owner;
+  OwnershipWorld testbed(2, 3);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t owner = testbed.Holder().value(), other = 1 - owner;
   std::optional<consensus::ChangeFunction> renewal;
   OwnershipOutput output;
   while (output.operations.empty()) {  // its next renewal, which comes to nothing
-    world.now += 10 * kMillisecond;
-    world.nodes[owner].ownership->Tick(world.LocalTime(owner), &output);
+    testbed.now += 10 * kMillisecond;
+    testbed.nodes[owner].ownership->Tick(testbed.LocalTime(owner), &output);
   }
-  const auto unchosen = std::get<consensus::NewPayload>(output.operations[0].change(world.payload)).payload;
-  world.nodes[other].ownership->Accepting(world.LocalTime(other), *ReadState(unchosen));
-  world.now = output.operations[0].give_up_at;
+  const auto unchosen = std::get<consensus::NewPayload>(output.operations[0].change(testbed.payload)).payload;
+  testbed.nodes[other].ownership->Accepting(testbed.LocalTime(other), *ReadState(unchosen));
+  testbed.now = output.operations[0].deadline;
   OwnershipOutput again;
-  world.nodes[owner].ownership->Completed(world.LocalTime(owner), output.operations[0].tag, {}, &again);
+  testbed.nodes[owner].ownership->Completed(testbed.LocalTime(owner), output.operations[0].tag, {}, &again);
   while (again.operations.empty()) {
-    world.now += 10 * kMillisecond;
-    world.nodes[owner].ownership->Tick(world.LocalTime(owner), &again);
+    testbed.now += 10 * kMillisecond;
+    testbed.nodes[owner].ownership->Tick(testbed.LocalTime(owner), &again);
   }
-  const auto chosen = std::get<consensus::NewPayload>(again.operations[0].change(world.payload)).payload;
+  const auto chosen = std::get<consensus::NewPayload>(again.operations[0].change(testbed.payload)).payload;
   CHECK(RenewalOf(*ReadState(unchosen)) != RenewalOf(*ReadState(chosen)));
 }
 
 TEST_CASE("a holder that was frozen finds its lease over before it acts") {
-  OwnershipWorld world(3, 3);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.Freeze(first);
-  world.RunFor(2 * kSecond);
-  world.TellMembers();
-  world.RunFor(6 * kSecond);
-  REQUIRE(world.Holder());
-  world.nodes[first].is_frozen = false;
-  CHECK_FALSE(world.Holds(first));
-  world.nodes[first].is_frozen = true;
-  world.Thaw(first);
-  world.TellMembers();
-  world.RunFor(20 * kSecond);
-  CheckActs(world.acts);
+  OwnershipWorld testbed(3, 3);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.Freeze(first);
+  testbed.RunFor(2 * kSecond);
+  testbed.TellMembers();
+  testbed.RunFor(6 * kSecond);
+  REQUIRE(testbed.Holder());
+  testbed.nodes[first].is_frozen = false;
+  CHECK_FALSE(testbed.Holds(first));
+  testbed.nodes[first].is_frozen = true;
+  testbed.Thaw(first);
+  testbed.TellMembers();
+  testbed.RunFor(20 * kSecond);
+  CheckActs(testbed.acts);
 }
 
 TEST_CASE("calls of a holder that is cut off have left before another acts") {
   std::size_t turns = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
-    OwnershipWorld world(3, seed);
-    for (auto& node : world.nodes) node.clock_rate = 0.99 + static_cast<double>(world.Random(200)) / 10000;
-    for (std::size_t i = 0; i < world.nodes.size(); ++i) world.Start(i);
-    world.is_rough = true;
+    OwnershipWorld testbed(3, seed);
+    for (auto& node : testbed.nodes)
+      node.clock_rate = 0.99 + static_cast<double>(testbed.Random(200)) / 10000;
+    for (std::size_t i = 0; i < testbed.nodes.size(); ++i) testbed.Start(i);
+    testbed.is_rough = true;
     for (int turn = 0; turn < 4; ++turn) {
-      world.TellMembers();
-      world.RunFor(10 * kSecond + world.Random(kSecond));
-      const std::optional<std::size_t> holder = world.Holder();
+      testbed.TellMembers();
+      testbed.RunFor(10 * kSecond + testbed.Random(kSecond));
+      const std::optional<std::size_t> holder = testbed.Holder();
       if (!holder) continue;
-      world.nodes[*holder].is_cut_off = true;
-      world.nodes[*holder].is_suspected = true;
-      world.TellMembers();
-      world.RunFor(10 * kSecond);
-      world.nodes[*holder].is_cut_off = false;
-      world.nodes[*holder].is_suspected = false;
+      testbed.nodes[*holder].is_cut_off = true;
+      testbed.nodes[*holder].is_suspected = true;
+      testbed.TellMembers();
+      testbed.RunFor(10 * kSecond);
+      testbed.nodes[*holder].is_cut_off = false;
+      testbed.nodes[*holder].is_suspected = false;
     }
-    for (std::size_t k = 1; k < world.acts.size(); ++k) {
-      const auto& before = world.acts[k - 1];
-      const auto& act = world.acts[k];
+    for (std::size_t k = 1; k < testbed.acts.size(); ++k) {
+      const auto& before = testbed.acts[k - 1];
+      const auto& act = testbed.acts[k];
       if (act.node == before.node) continue;
       ++turns;
       REQUIRE(act.at > before.calls_end_by);
@@ -179,47 +180,47 @@
 }
 
 TEST_CASE("one that resigns is replaced at once, and its next life waits for a whole lease") {
-  OwnershipWorld world(2, 4);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.Resign(first);
-  CHECK_FALSE(world.Holds(first));
-  world.RunFor(200 * kMillisecond);
-  world.Kill(first);
-  world.TellMembers();
-  world.RunFor(kSecond);
-  REQUIRE(world.Holder() == 1 - first);
-  world.Start(first);
-  world.TellMembers();
-  world.Resign(1 - first);
-  world.RunFor(kSecond);
-  world.Kill(1 - first);
-  world.TellMembers();
-  world.RunFor(10 * kSecond);
-  CHECK(world.Holder() == first);
-  CheckActs(world.acts);
+  OwnershipWorld testbed(2, 4);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.Resign(first);
+  CHECK_FALSE(testbed.Holds(first));
+  testbed.RunFor(200 * kMillisecond);
+  testbed.Kill(first);
+  testbed.TellMembers();
+  testbed.RunFor(kSecond);
+  REQUIRE(testbed.Holder() == 1 - first);
+  testbed.Start(first);
+  testbed.TellMembers();
+  testbed.Resign(1 - first);
+  testbed.RunFor(kSecond);
+  testbed.Kill(1 - first);
+  testbed.TellMembers();
+  testbed.RunFor(10 * kSecond);
+  CHECK(testbed.Holder() == first);
+  CheckActs(testbed.acts);
 }
 
 // A first holder that drains stays a live member for seconds, and comes first by its hash.
 TEST_CASE("a duty left by one that drains is taken by the next one at once") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    OwnershipWorld world(3, seed);
-    world.RunFor(10 * kSecond);
-    const std::size_t first = world.Holder().value();
-    world.nodes[first].is_ready = false;
-    world.Resign(first);
-    world.TellMembers();
-    world.RunFor(1500 * kMillisecond);
-    REQUIRE(world.Holder());
-    CHECK(*world.Holder() != first);
-    CheckActs(world.acts);
+    OwnershipWorld testbed(3, seed);
+    testbed.RunFor(10 * kSecond);
+    const std::size_t first = testbed.Holder().value();
+    testbed.nodes[first].is_ready = false;
+    testbed.Resign(first);
+    testbed.TellMembers();
+    testbed.RunFor(1500 * kMillisecond);
+    REQUIRE(testbed.Holder());
+    CHECK(*testbed.Holder() != first);
+    CheckActs(testbed.acts);
   }
 }
 
 TEST_CASE("one that drains does not stand before the others when a holder dies") {
-  OwnershipWorld world(3, 5);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
+  OwnershipWorld testbed(3, 5);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
   const std::size_t second = (first + 1) % 3, third = (first + 2) % 3;
   for (const std::size_t drains : {second, third}) {
     OwnershipWorld again(3, 5);
@@ -236,159 +237,159 @@
 
 TEST_CASE("a holder that is live again in a later life is replaced without the wait for its lease") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    OwnershipWorld world(3, seed);
-    world.RunFor(10 * kSecond);
-    const std::size_t first = world.Holder().value();
-    world.Kill(first);
-    world.RunFor(500 * kMillisecond);
-    world.Start(first);
-    world.TellMembers();
-    world.RunFor(1200 * kMillisecond);
-    REQUIRE(world.Holder());
-    CHECK(*world.Holder() != first);
-    CheckActs(world.acts);
+    OwnershipWorld testbed(3, seed);
+    testbed.RunFor(10 * kSecond);
+    const std::size_t first = testbed.Holder().value();
+    testbed.Kill(first);
+    testbed.RunFor(500 * kMillisecond);
+    testbed.Start(first);
+    testbed.TellMembers();
+    testbed.RunFor(1200 * kMillisecond);
+    REQUIRE(testbed.Holder());
+    CHECK(*testbed.Holder() != first);
+    CheckActs(testbed.acts);
   }
 }
 
 // The holder is not the first in the order here, and the one before it looks seldom while the holder is live.
 TEST_CASE("a holder that objected to a suspicion is in the same life still") {
-  OwnershipWorld world(3, 6);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.Kill(first);
-  world.TellMembers();
-  world.RunFor(10 * kSecond);
-  const std::size_t second = world.Holder().value();
-  world.Start(first);
-  world.TellMembers();
-  world.RunFor(10 * kSecond);
-  REQUIRE(world.Holder() == second);
-  world.objections = 3;
-  world.TellMembers();
-  world.operations = 0;
-  world.RunFor(20 * kSecond);
-  CHECK(world.Holder() == second);
-  CHECK(world.operations <= 20 + 10);
-  CHECK(world.nodes[second].ownership->epoch() == 2);
+  OwnershipWorld testbed(3, 6);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.Kill(first);
+  testbed.TellMembers();
+  testbed.RunFor(10 * kSecond);
+  const std::size_t second = testbed.Holder().value();
+  testbed.Start(first);
+  testbed.TellMembers();
+  testbed.RunFor(10 * kSecond);
+  REQUIRE(testbed.Holder() == second);
+  testbed.objections = 3;
+  testbed.TellMembers();
+  testbed.operations = 0;
+  testbed.RunFor(20 * kSecond);
+  CHECK(testbed.Holder() == second);
+  CHECK(testbed.operations <= 20 + 10);
+  CHECK(testbed.nodes[second].ownership->epoch() == 2);
 }
 
 TEST_CASE("a renewal is no change to tell") {
-  OwnershipWorld world(3, 7);
-  world.RunFor(10 * kSecond);
-  world.changes_told = 0;
-  world.RunFor(60 * kSecond);
-  CHECK(world.changes_told == 0);
+  OwnershipWorld testbed(3, 7);
+  testbed.RunFor(10 * kSecond);
+  testbed.changes_told = 0;
+  testbed.RunFor(60 * kSecond);
+  CHECK(testbed.changes_told == 0);
 }
 
 TEST_CASE("a duty that is not wanted is not taken, and one held lapses") {
-  OwnershipWorld world(3, 5);
-  for (auto& node : world.nodes) node.wanted = false;
-  world.TellMembers();
-  world.RunFor(10 * kSecond);
-  CHECK_FALSE(world.Holder());
-  CHECK(world.operations == 0);
-  for (auto& node : world.nodes) node.wanted = true;
-  world.TellMembers();
-  world.RunFor(5 * kSecond);
-  REQUIRE(world.Holder());
-  for (auto& node : world.nodes) node.wanted = false;
-  world.TellMembers();
-  world.RunFor(3 * kSecond);
-  CHECK_FALSE(world.Holder());
+  OwnershipWorld testbed(3, 5);
+  for (auto& node : testbed.nodes) node.wanted = false;
+  testbed.TellMembers();
+  testbed.RunFor(10 * kSecond);
+  CHECK_FALSE(testbed.Holder());
+  CHECK(testbed.operations == 0);
+  for (auto& node : testbed.nodes) node.wanted = true;
+  testbed.TellMembers();
+  testbed.RunFor(5 * kSecond);
+  REQUIRE(testbed.Holder());
+  for (auto& node : testbed.nodes) node.wanted = false;
+  testbed.TellMembers();
+  testbed.RunFor(3 * kSecond);
+  CHECK_FALSE(testbed.Holder());
 }
 
 TEST_CASE("a holder without a quorum stops in time, and one that is live but does not renew is replaced") {
-  OwnershipWorld world(3, 6);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.nodes[first].is_cut_off = true;  // but live, as members see it
-  world.RunFor(3 * kSecond);
-  CHECK_FALSE(world.Holds(first));
-  world.RunFor(12 * kSecond);
-  REQUIRE(world.Holder());
-  CHECK(world.Holder() != first);
-  CheckActs(world.acts);
+  OwnershipWorld testbed(3, 6);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.nodes[first].is_cut_off = true;  // but live, as members see it
+  testbed.RunFor(3 * kSecond);
+  CHECK_FALSE(testbed.Holds(first));
+  testbed.RunFor(12 * kSecond);
+  REQUIRE(testbed.Holder());
+  CHECK(testbed.Holder() != first);
+  CheckActs(testbed.acts);
 }
 
 TEST_CASE("where the first candidate can't act the second does") {
-  OwnershipWorld world(3, 6);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.Kill(first);
+  OwnershipWorld testbed(3, 6);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.Kill(first);
   std::vector<std::size_t> rest;
   for (std::size_t i = 0; i < 3; ++i)
     if (i != first) rest.push_back(i);
-  const std::size_t next = FirstInOrder(world, rest);
-  world.nodes[next].is_cut_off = true;
-  world.TellMembers();
-  world.RunFor(15 * kSecond);
-  REQUIRE(world.Holder());
-  CHECK(world.Holder() != next);
-  CheckActs(world.acts);
+  const std::size_t next = FirstInOrder(testbed, rest);
+  testbed.nodes[next].is_cut_off = true;
+  testbed.TellMembers();
+  testbed.RunFor(15 * kSecond);
+  REQUIRE(testbed.Holder());
+  CHECK(testbed.Holder() != next);
+  CheckActs(testbed.acts);
 }
 
 TEST_CASE("a tally is chosen with a renewal at once, each window once, the newest sixteen") {
-  OwnershipWorld world(3, 7);
-  world.RunFor(5 * kSecond);
-  const std::size_t holder = world.Holder().value();
+  OwnershipWorld testbed(3, 7);
+  testbed.RunFor(5 * kSecond);
+  const std::size_t holder = testbed.Holder().value();
   for (std::int64_t window = 100; window < 130; ++window) {
-    world.ChooseTally(holder, MakeTally(window, 5));
-    world.RunFor(150 * kMillisecond);
-    REQUIRE(StateOf(world.payload).tallies().rbegin()->window() == window);
-    world.ChooseTally(holder, MakeTally(window, 6));
-    world.ChooseTally(holder, MakeTally(window - 1, 6));
-    world.RunFor(100 * kMillisecond);
+    testbed.ChooseTally(holder, MakeTally(window, 5));
+    testbed.RunFor(150 * kMillisecond);
+    REQUIRE(StateOf(testbed.payload).tallies().rbegin()->window() == window);
+    testbed.ChooseTally(holder, MakeTally(window, 6));
+    testbed.ChooseTally(holder, MakeTally(window - 1, 6));
+    testbed.RunFor(100 * kMillisecond);
   }
-  const auto state = StateOf(world.payload);
+  const auto state = StateOf(testbed.payload);
   REQUIRE(state.tallies_size() == 16);
   for (const auto& tally : state.tallies()) CHECK(tally.counts(0).count() == 5);
   CHECK(state.tallies(0).window() == 114);
 }
 
 TEST_CASE("a payload that is no state stops nobody but the duty") {
-  OwnershipWorld world(2, 8);
-  world.payload = "\xff\xff";
-  world.RunFor(10 * kSecond);
-  CHECK_FALSE(world.Holder());
-  CHECK(world.operations < 150);
-  CHECK(world.payload == "\xff\xff");
+  OwnershipWorld testbed(2, 8);
+  testbed.payload = "\xff\xff";
+  testbed.RunFor(10 * kSecond);
+  CHECK_FALSE(testbed.Holder());
+  CHECK(testbed.operations < 150);
+  CHECK(testbed.payload == "\xff\xff");
 }
 
 TEST_CASE("a renewal that is answered only after a freeze counts from its start") {
-  OwnershipWorld world(3, 9);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.operations = 0;
-  while (world.operations == 0) world.RunFor(10 * kMillisecond);  // a renewal is under way
-  world.Freeze(first);
-  world.TellMembers();
-  world.RunFor(10 * kSecond);
-  REQUIRE(world.Holder());
-  world.Thaw(first);
-  CHECK_FALSE(world.Holds(first));
-  world.RunFor(5 * kSecond);
-  CheckActs(world.acts);
+  OwnershipWorld testbed(3, 9);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.operations = 0;
+  while (testbed.operations == 0) testbed.RunFor(10 * kMillisecond);  // a renewal is under way
+  testbed.Freeze(first);
+  testbed.TellMembers();
+  testbed.RunFor(10 * kSecond);
+  REQUIRE(testbed.Holder());
+  testbed.Thaw(first);
+  CHECK_FALSE(testbed.Holds(first));
+  testbed.RunFor(5 * kSecond);
+  CheckActs(testbed.acts);
 }
 
 TEST_CASE("a former holder waits for a whole lease though the next one resigns at once") {
-  OwnershipWorld world(2, 10);
-  world.RunFor(10 * kSecond);
-  const std::size_t first = world.Holder().value();
-  world.nodes[first].is_suspected = true;  // so the other looks often, and sees the last renewal soon
-  world.TellMembers();
-  world.RunFor(5 * kSecond);
-  REQUIRE(world.Holder() == first);
-  world.nodes[first].is_cut_off = true;
-  while (world.Holder() != 1 - first) world.RunFor(10 * kMillisecond);
-  world.nodes[first].is_cut_off = false;
-  world.nodes[first].is_suspected = false;
-  world.Resign(1 - first);
-  world.RunFor(100 * kMillisecond);
-  world.Kill(1 - first);
-  world.TellMembers();
-  world.RunFor(10 * kSecond);
-  CHECK(world.Holder() == first);
-  CheckActs(world.acts);
+  OwnershipWorld testbed(2, 10);
+  testbed.RunFor(10 * kSecond);
+  const std::size_t first = testbed.Holder().value();
+  testbed.nodes[first].is_suspected = true;  // so the other looks often, and sees the last renewal soon
+  testbed.TellMembers();
+  testbed.RunFor(5 * kSecond);
+  REQUIRE(testbed.Holder() == first);
+  testbed.nodes[first].is_cut_off = true;
+  while (testbed.Holder() != 1 - first) testbed.RunFor(10 * kMillisecond);
+  testbed.nodes[first].is_cut_off = false;
+  testbed.nodes[first].is_suspected = false;
+  testbed.Resign(1 - first);
+  testbed.RunFor(100 * kMillisecond);
+  testbed.Kill(1 - first);
+  testbed.TellMembers();
+  testbed.RunFor(10 * kSecond);
+  CHECK(testbed.Holder() == first);
+  CheckActs(testbed.acts);
 }
 
 TEST_CASE("a take-over of unknown outcome that was chosen holds only from its first renewal on") {
--- a/tests/system/duties/ownership_world.h
+++ b/tests/system/duties/ownership_world.h
@@ -167,22 +167,22 @@
 
   void Submit(std::size_t i, const RegisterOperation& operation) {
     ++operations;
-    const Time patience = std::max<Time>(0, operation.give_up_at - LocalTime(i));
+    const Time timeout = std::max<Time>(0, operation.deadline - LocalTime(i));
     const std::uint64_t incarnation = nodes[i].incarnation;
     const auto answer = [this, i, incarnation, tag = operation.tag](const consensus::Completion& completion) {
       if (nodes[i].incarnation == incarnation) Complete(i, tag, completion);
     };
     if (nodes[i].is_cut_off || (is_rough && Random(20) == 0)) {
-      At(now + patience, [answer] { answer({}); });  // never proposed
+      At(now + timeout, [answer] { answer({}); });  // never proposed
       return;
     }
     const bool is_slow = is_rough && Random(8) == 0;
     const Time applied = now + kMillisecond + Random(is_slow ? 5 * kSecond : 20 * kMillisecond);
     const Time answered = applied + Random(is_slow ? 2 * kSecond : 20 * kMillisecond);
-    if (answered > now + patience) {
+    if (answered > now + timeout) {
       consensus::Completion unknown;
       unknown.outcome = consensus::Outcome::kUnknown;
-      At(now + patience, [answer, unknown] { answer(unknown); });
+      At(now + timeout, [answer, unknown] { answer(unknown); });
       if (Random(2) == 0)
         At(applied, [this, change = operation.change] { AcceptedByFew(change); });
       else
--- a/tests/system/duties/usage_simulation_test.cpp
+++ b/tests/system/duties/usage_simulation_test.cpp
@@ -24,13 +24,13 @@
     std::map<std::int64_t, std::string> told;
     std::map<std::int64_t, CountByTenant> truth;
     std::set<std::int64_t> acknowledged;
-    struct UnderWay {
+    struct InFlight {
       std::size_t duty;
       std::uint64_t tag;
       int status;
       Time at;
     };
-    std::vector<UnderWay> answers;
+    std::vector<InFlight> answers;
     std::vector<Time> losses;  // of the holder
     std::size_t holder = 0;
     std::uint64_t epoch = 1, count = 0;
@@ -51,7 +51,7 @@
         pending.clear();
         if (chance(2)) {  // a fresh process
           duties[holder] = std::make_unique<UsageDuty>(UsageDuty::Settings{kWindow, kLate});
-          std::erase_if(answers, [&](const UnderWay& answer) { return answer.duty == holder; });
+          std::erase_if(answers, [&](const InFlight& answer) { return answer.duty == holder; });
         }
         for (const auto& other : duties)
           for (const auto& report : other->Reports()) duties[holder]->Merge(wall, report);
@@ -78,7 +78,7 @@
           answers.push_back(
               {holder, call.tag, status, now + static_cast<Time>(random() % 400) * kMillisecond});
       }
-      std::erase_if(answers, [&](const UnderWay& answer) {
+      std::erase_if(answers, [&](const InFlight& answer) {
         if (answer.at > now) return false;
         UsageDuty::Output more;
         duties[answer.duty]->Completed(now, answer.tag, {answer.status, ""}, &more);
--- a/tests/system/duties/usage_test.cpp
+++ b/tests/system/duties/usage_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // A duty, its register's state, and a platform that answers as told.
-struct World {
+struct Testbed {
   UsageDuty duty{UsageDuty::Settings{kWindow, kLate}};
   messages::OwnershipState state;
   Time now = 77 * kSecond;
@@ -60,29 +60,29 @@
       for (const auto& [tenant, count] : counts) truth[tenant] += count;
     }
     std::erase_if(truth, [](const auto& entry) { return entry.second == 0; });
-    World world;
+    Testbed testbed;
     for (int copy = 0; copy < 2; ++copy) {
       std::shuffle(reports.begin(), reports.end(), random);
-      for (const auto& report : reports) world.duty.Merge(kStart, report);
+      for (const auto& report : reports) testbed.duty.Merge(kStart, report);
     }
     UsageDuty other{UsageDuty::Settings{kWindow, kLate}};  // told by this one alone
-    for (const auto& report : world.duty.Reports()) other.Merge(kStart, report);
+    for (const auto& report : testbed.duty.Reports()) other.Merge(kStart, report);
     UsageDuty::Output output;
-    other.Act(world.now, kStart + kWindow + kLate / 2, 1, {}, &output);
+    other.Act(testbed.now, kStart + kWindow + kLate / 2, 1, {}, &output);
     REQUIRE(output.choose.size() == 1);
     REQUIRE(CountsOf(output.choose[0]) == truth);
   }
 }
 
 TEST_CASE("a window is chosen between two and three fifths of the time allowed, and reported then") {
-  World world;
-  world.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t2", 7}, {"t1", 3}, {"none", 0}}));
-  world.RunFor(kWindow + kLate * 2 / 5, 4);
-  CHECK(world.chosen.empty());
-  world.RunFor(kLate / 5, 4);
-  REQUIRE(world.chosen.size() == 1);
-  REQUIRE(world.calls.size() == 1);
-  const HttpCall& call = world.calls[0];
+  Testbed testbed;
+  testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t2", 7}, {"t1", 3}, {"none", 0}}));
+  testbed.RunFor(kWindow + kLate * 2 / 5, 4);
+  CHECK(testbed.chosen.empty());
+  testbed.RunFor(kLate / 5, 4);
+  REQUIRE(testbed.chosen.size() == 1);
+  REQUIRE(testbed.calls.size() == 1);
+  const HttpCall& call = testbed.calls[0];
   CHECK(call.method == "POST");
   CHECK(call.path == "/usage");
   CHECK(call.address.empty());
@@ -92,89 +92,89 @@
 }
 
 TEST_CASE("every window is reported once, the empty ones too, and in order") {
-  World world;
-  world.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 1}}));
-  world.duty.Merge(kStart + 4 * kWindow, MakeReport("d", 1, kFirst + 4, {{"t", 2}}));
-  world.RunFor(100 * kSecond, 1);
-  REQUIRE(world.calls.size() >= 18);
-  for (std::size_t i = 0; i < world.calls.size(); ++i)
-    CHECK(WindowIn(world.calls[i]) == kFirst + static_cast<std::int64_t>(i));
-  CHECK(nlohmann::json::parse(world.calls[1].body)["tallies"] == nlohmann::json::object());
+  Testbed testbed;
+  testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 1}}));
+  testbed.duty.Merge(kStart + 4 * kWindow, MakeReport("d", 1, kFirst + 4, {{"t", 2}}));
+  testbed.RunFor(100 * kSecond, 1);
+  REQUIRE(testbed.calls.size() >= 18);
+  for (std::size_t i = 0; i < testbed.calls.size(); ++i)
+    CHECK(WindowIn(testbed.calls[i]) == kFirst + static_cast<std::int64_t>(i));
+  CHECK(nlohmann::json::parse(testbed.calls[1].body)["tallies"] == nlohmann::json::object());
 }
 
 TEST_CASE("what was chosen is told exactly so until it is acknowledged, with pauses") {
-  World world;
-  world.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 5}}));
-  world.platform_status = GENERATE(0, 429, 500, 503);
-  const bool answers = world.platform_status != 0;  // else the call is never heard of again
-  world.RunFor(kWindow + kLate * 9 / 20, 1, answers);
-  world.duty.Merge(world.wall, MakeReport("d", 1, kFirst, {{"t", 6}}));  // too late to be counted
-  world.RunFor(8 * kSecond, 1, answers);
+  Testbed testbed;
+  testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 5}}));
+  testbed.platform_status = GENERATE(0, 429, 500, 503);
+  const bool answers = testbed.platform_status != 0;  // else the call is never heard of again
+  testbed.RunFor(kWindow + kLate * 9 / 20, 1, answers);
+  testbed.duty.Merge(testbed.wall, MakeReport("d", 1, kFirst, {{"t", 6}}));  // too late to be counted
+  testbed.RunFor(8 * kSecond, 1, answers);
   std::size_t repeats = 0;
-  for (const HttpCall& call : world.calls) {
+  for (const HttpCall& call : testbed.calls) {
     if (WindowIn(call) != kFirst) continue;
     ++repeats;
-    CHECK(call.body == world.calls[0].body);
+    CHECK(call.body == testbed.calls[0].body);
   }
   CHECK(repeats >= 3);
-  CHECK(repeats <= 8);                 // each pause is twice the one before, up to 2 s
-  CHECK(world.calls.size() <= 4 * 9);  // a few calls a second at the most
-  CHECK(nlohmann::json::parse(world.calls[0].body)["tallies"]["t"] == 5);
-
-  world.platform_status = 200;
-  world.RunFor(5 * kSecond, 1);
-  const auto told = world.calls.size();
-  world.RunFor(kWindow, 1);
-  CHECK(world.calls.size() <= told + 2);  // the windows that fell due meanwhile
+  CHECK(repeats <= 8);                   // each pause is twice the one before, up to 2 s
+  CHECK(testbed.calls.size() <= 4 * 9);  // a few calls a second at the most
+  CHECK(nlohmann::json::parse(testbed.calls[0].body)["tallies"]["t"] == 5);
+
+  testbed.platform_status = 200;
+  testbed.RunFor(5 * kSecond, 1);
+  const auto told = testbed.calls.size();
+  testbed.RunFor(kWindow, 1);
+  CHECK(testbed.calls.size() <= told + 2);  // the windows that fell due meanwhile
 }
 
 TEST_CASE("a window is given up after four times the time allowed") {
-  World world;
-  world.platform_status = 503;
-  world.RunFor(200 * kSecond, 1);
-  for (const HttpCall& call : world.calls) REQUIRE_FALSE(call.body.empty());
+  Testbed testbed;
+  testbed.platform_status = 503;
+  testbed.RunFor(200 * kSecond, 1);
+  for (const HttpCall& call : testbed.calls) REQUIRE_FALSE(call.body.empty());
   std::set<std::int64_t> late_calls;
-  world.calls.clear();
-  world.RunFor(5 * kSecond, 1);
-  for (const HttpCall& call : world.calls) late_calls.insert(WindowIn(call));
+  testbed.calls.clear();
+  testbed.RunFor(5 * kSecond, 1);
+  for (const HttpCall& call : testbed.calls) late_calls.insert(WindowIn(call));
   for (const std::int64_t window : late_calls)
-    CHECK(world.wall <= (window + 1) * kWindow + 4 * kLate + 5 * kSecond);
+    CHECK(testbed.wall <= (window + 1) * kWindow + 4 * kLate + 5 * kSecond);
 }
 
 TEST_CASE("one that the platform refuses for a higher fence stops until it has a newer epoch") {
-  World world;
-  world.RunFor(kWindow + kLate * 9 / 20, 1);
-  REQUIRE(world.calls.size() == 1);
-  world.platform_status = 409;
-  world.RunFor(20 * kSecond, 1);
-  CHECK(world.calls.size() == 2);
-  const auto chosen = world.chosen.size();
-  world.platform_status = 200;
-  world.RunFor(20 * kSecond, 1);
-  CHECK(world.calls.size() == 2);
-  CHECK(world.chosen.size() == chosen);
-  world.RunFor(20 * kSecond, 3);
-  CHECK(world.calls.size() > 4);
-  CHECK(world.calls.back().fence == 3);
+  Testbed testbed;
+  testbed.RunFor(kWindow + kLate * 9 / 20, 1);
+  REQUIRE(testbed.calls.size() == 1);
+  testbed.platform_status = 409;
+  testbed.RunFor(20 * kSecond, 1);
+  CHECK(testbed.calls.size() == 2);
+  const auto chosen = testbed.chosen.size();
+  testbed.platform_status = 200;
+  testbed.RunFor(20 * kSecond, 1);
+  CHECK(testbed.calls.size() == 2);
+  CHECK(testbed.chosen.size() == chosen);
+  testbed.RunFor(20 * kSecond, 3);
+  CHECK(testbed.calls.size() > 4);
+  CHECK(testbed.calls.back().fence == 3);
 }
 
 TEST_CASE("a new holder repeats the chosen windows that are in time, exactly, and goes on from there") {
-  World world;
-  world.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 5}}));
-  world.RunFor(60 * kSecond, 1);
-  World next;
-  next.state = world.state;
+  Testbed testbed;
+  testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 5}}));
+  testbed.RunFor(60 * kSecond, 1);
+  Testbed next;
+  next.state = testbed.state;
   next.now = 5 * kSecond;  // another machine's clock
-  next.wall = world.wall;
+  next.wall = testbed.wall;
   next.duty.Merge(next.wall, MakeReport("d", 1, kFirst, {{"t", 9}}));
   const std::int64_t newest = next.state.tallies().rbegin()->window();
   next.RunFor(20 * kSecond, 2);
   std::map<std::int64_t, std::string> told;
-  for (const HttpCall& call : world.calls) told[WindowIn(call)] = call.body;
+  for (const HttpCall& call : testbed.calls) told[WindowIn(call)] = call.body;
   REQUIRE(next.calls.size() >= 4);
   for (const HttpCall& call : next.calls) {
     const std::int64_t window = WindowIn(call);
-    CHECK((window + 1) * kWindow + kLate >= world.wall);
+    CHECK((window + 1) * kWindow + kLate >= testbed.wall);
     if (window <= newest) CHECK(call.body == told.at(window));
     CHECK(call.fence == 2);
   }
@@ -183,27 +183,27 @@
 }
 
 TEST_CASE("a holder after a long silence skips windows that are far too late") {
-  World world;
-  world.RunFor(30 * kSecond, 1);
-  world.wall += 1000 * kSecond;
-  world.now += 1000 * kSecond;
-  const auto before = world.chosen.size();
-  world.Step(1);
-  REQUIRE(world.chosen.size() > before);
-  CHECK((world.chosen[before].window() + 1) * kWindow + 4 * kLate >= world.wall - kWindow);
-  CHECK(world.chosen.size() <= before + 8);
+  Testbed testbed;
+  testbed.RunFor(30 * kSecond, 1);
+  testbed.wall += 1000 * kSecond;
+  testbed.now += 1000 * kSecond;
+  const auto before = testbed.chosen.size();
+  testbed.Step(1);
+  REQUIRE(testbed.chosen.size() > before);
+  CHECK((testbed.chosen[before].window() + 1) * kWindow + 4 * kLate >= testbed.wall - kWindow);
+  CHECK(testbed.chosen.size() <= before + 8);
 }
 
 TEST_CASE("counts are bounded: old windows, windows to come, dispatchers") {
-  World world;
+  Testbed testbed;
   for (std::uint64_t life = 0; life < 9000; ++life)
-    world.duty.Merge(kStart, MakeReport("d" + std::to_string(life), 1, kFirst, {{"t", 1}}));
-  CHECK(world.duty.Reports().size() == 8192);
-  world.duty.Merge(kStart + 100 * kWindow, MakeReport("new", 1, kFirst + 100, {{"t", 1}}));
-  CHECK(world.duty.Reports().size() == 1);
-  world.duty.Merge(kStart + 100 * kWindow, MakeReport("new", 1, kFirst + 80, {{"t", 1}}));
-  world.duty.Merge(kStart + 100 * kWindow, MakeReport("new", 1, kFirst + 120, {{"t", 1}}));
-  CHECK(world.duty.Reports()[0].windows_size() == 1);
+    testbed.duty.Merge(kStart, MakeReport("d" + std::to_string(life), 1, kFirst, {{"t", 1}}));
+  CHECK(testbed.duty.Reports().size() == 8192);
+  testbed.duty.Merge(kStart + 100 * kWindow, MakeReport("new", 1, kFirst + 100, {{"t", 1}}));
+  CHECK(testbed.duty.Reports().size() == 1);
+  testbed.duty.Merge(kStart + 100 * kWindow, MakeReport("new", 1, kFirst + 80, {{"t", 1}}));
+  testbed.duty.Merge(kStart + 100 * kWindow, MakeReport("new", 1, kFirst + 120, {{"t", 1}}));
+  CHECK(testbed.duty.Reports()[0].windows_size() == 1);
 }
 
 }  // namespace lichenlug::duties
--- a/tests/system/node/configuration_reader_test.cpp
+++ b/tests/system/node/configuration_reader_test.cpp
@@ -21,7 +21,7 @@
   const auto read = reader->Next(at);
   REQUIRE(read);
   CHECK(read->push == push);
-  CHECK(read->give_up_at > at);
+  CHECK(read->deadline > at);
   return at;
 }
 
--- a/tests/system/node/end_acknowledgements_test.cpp
+++ b/tests/system/node/end_acknowledgements_test.cpp
@@ -56,7 +56,7 @@
 
 TEST_CASE("ends that wait are bounded") {
   Fixture fixture;
-  for (std::size_t i = 0; i <= kMostWaitingEnds; ++i) fixture.Add("i-" + std::to_string(i));
+  for (std::size_t i = 0; i <= kMaxWaitingEnds; ++i) fixture.Add("i-" + std::to_string(i));
   CHECK(fixture.answers == std::vector{503});
 }
 
--- a/tests/system/node/group_mover_test.cpp
+++ b/tests/system/node/group_mover_test.cpp
@@ -8,7 +8,7 @@
 
 const std::string kRegister = "configuration";
 constexpr int kTolerated = 2;
-constexpr Time kLookEvery = 300 * kMillisecond;
+constexpr Time kCheckInterval = 300 * kMillisecond;
 constexpr Time kStart = 100 * kSecond;
 
 Member Store(int number) {
@@ -43,7 +43,7 @@
   explicit Looker(int number) : mover(std::to_string(number), kTolerated, 1) {}
 
   std::optional<GroupMove> Look(const messages::ReplicaGroup& group, const std::vector<Member>& live) {
-    now += kLookEvery;
+    now += kCheckInterval;
     return mover.Next(now, kRegister, group, live, /*may_change=*/true);
   }
 
@@ -125,7 +125,7 @@
   CHECK(looker.mover.AbsentMembersOf(looker.now, kRegister) == AbsentMembers::kMayStart);
   looker.LooksUntilMove(group, {Store(1)}, 2 * kStartOfAllTakes);
   CHECK(looker.mover.AbsentMembersOf(looker.now, kRegister) == AbsentMembers::kMayStart);
-  looker.LooksUntilMove(group, Stores(1, 2), kStartOfAllTakes + 2 * kLookEvery);
+  looker.LooksUntilMove(group, Stores(1, 2), kStartOfAllTakes + 2 * kCheckInterval);
   CHECK(looker.mover.AbsentMembersOf(looker.now, kRegister) == AbsentMembers::kAreGone);
 }
 
@@ -135,16 +135,16 @@
   auto move = looker.Look(group, Stores(1, 7));
   REQUIRE(move);
   CHECK_FALSE(looker.LooksUntilMove(group, Stores(1, 7), 10 * kSecond));  // not ended yet
-  Time pause = 0, allowed = move->give_up_at - kStart;
+  Time pause = 0, allowed = move->deadline - kStart;
   for (int failure = 0; failure < 4; ++failure) {
     looker.mover.Completed(looker.now, kRegister, /*settled=*/false);
     const Time failed_at = looker.now;
     do move = looker.Look(group, Stores(1, 7));
     while (!move);
     CHECK(looker.now - failed_at >= pause);
-    CHECK(move->give_up_at - looker.now >= allowed);
+    CHECK(move->deadline - looker.now >= allowed);
     pause = (250 * kMillisecond) << failure;
-    allowed = move->give_up_at - looker.now;
+    allowed = move->deadline - looker.now;
   }
   CHECK(allowed > 10 * kSecond);
   looker.mover.Completed(looker.now, kRegister, /*settled=*/true);
--- a/tests/system/node/recovery_test.cpp
+++ b/tests/system/node/recovery_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kCore = 5;
 constexpr std::size_t kConfigurationBytes = 60'000;
-constexpr Time kAskEvery = 100 * kMillisecond;
+constexpr Time kPollInterval = 100 * kMillisecond;
 
 // As seen in logs of such days: processes start within 0.3 s, stores open up to 0.35 s later, and each
 // machine knows all members, and who keeps a store, up to 0.7 s after its start.
@@ -85,7 +85,7 @@
       const std::size_t asked = std::stoul(address);
       network_.Send(index, asked, question.ByteSizeLong(), [this, index, asked] { Answer(asked, index); });
     }
-    network_.At(network_.now() + kAskEvery, [this, index] { Ask(index); });
+    network_.At(network_.now() + kPollInterval, [this, index] { Ask(index); });
   }
 
   void Answer(std::size_t asked, std::size_t asker) {
@@ -117,9 +117,9 @@
     if (!read) return;
     consensus::RegisterOutput output;
     if (index < kCore)
-      nodes_[index]->Submit(network_.now(), consensus::kName, consensus::Reads(), read->give_up_at, &output);
+      nodes_[index]->Submit(network_.now(), consensus::kName, consensus::Reads(), read->deadline, &output);
     else
-      nodes_[index]->Read(network_.now(), consensus::kName, read->give_up_at, &output);
+      nodes_[index]->Read(network_.now(), consensus::kName, read->deadline, &output);
     Carry(index, std::move(output));
   }
 
--- a/tests/system/node/start_of_stores_test.cpp
+++ b/tests/system/node/start_of_stores_test.cpp
@@ -21,8 +21,8 @@
 constexpr int kTolerated = 2;
 constexpr std::size_t kConfigurationBytes = 60'000;
 constexpr std::size_t kPushBytes = 400;  // of a difference
-constexpr Time kPollEvery = 300 * kMillisecond;
-constexpr Time kLookEvery = 300 * kMillisecond;
+constexpr Time kPollInterval = 300 * kMillisecond;
+constexpr Time kCheckInterval = 300 * kMillisecond;
 
 // As seen in logs of such days.
 constexpr Time kStartSpread = 600 * kMillisecond;
@@ -131,7 +131,7 @@
   }
 
   void Look(std::size_t index) {
-    network_.At(network_.now() + kLookEvery, [this, index] { Look(index); });
+    network_.At(network_.now() + kCheckInterval, [this, index] { Look(index); });
     if (!nodes_[index]) return;
     auto move = dispatchers_[index].mover.Next(network_.now(), consensus::kName,
                                                nodes_[index]->KnownGroup(consensus::kName), LiveFor(index),
@@ -140,7 +140,7 @@
     ++group_moves_;
     const consensus::NewGroup change{std::move(move->members), move->if_version};
     dispatchers_[index].moving = Submit(
-        index, [change](const std::string&) { return change; }, move->give_up_at);
+        index, [change](const std::string&) { return change; }, move->deadline);
   }
 
   void Call(std::size_t number) {
@@ -155,10 +155,10 @@
     call.operation = Submit(call.asked, change, network_.now() + kCallGivesUp);
   }
 
-  consensus::OperationId Submit(std::size_t index, consensus::ChangeFunction change, Time give_up_at) {
+  consensus::OperationId Submit(std::size_t index, consensus::ChangeFunction change, Time deadline) {
     consensus::RegisterOutput output;
     const auto id =
-        nodes_[index]->Submit(network_.now(), consensus::kName, std::move(change), give_up_at, &output);
+        nodes_[index]->Submit(network_.now(), consensus::kName, std::move(change), deadline, &output);
     // Completions that come at once are seen after the caller has noted the operation.
     network_.At(network_.now(), [this, index, output] { Carry(index, output); });
     return id;
@@ -176,8 +176,8 @@
     consensus::RegisterOutput output;
     dispatchers_[index].reading =
         index < kStores ? nodes_[index]->Submit(network_.now(), consensus::kName, consensus::Reads(),
-                                                read->give_up_at, &output)
-                        : nodes_[index]->Read(network_.now(), consensus::kName, read->give_up_at, &output);
+                                                read->deadline, &output)
+                        : nodes_[index]->Read(network_.now(), consensus::kName, read->deadline, &output);
     pushes_.insert_or_assign(index, read->push);
     network_.At(network_.now(), [this, index, output] { Carry(index, output); });
   }
@@ -232,7 +232,7 @@
   void Pushed(std::size_t index, const std::string& payload) {
     if (!nodes_[index]) return;
     if (!dispatchers_[index].known.empty()) return Learn(index, payload, false);
-    network_.At(network_.now() + kPollEvery, [this, index, payload] { Pushed(index, payload); });
+    network_.At(network_.now() + kPollInterval, [this, index, payload] { Pushed(index, payload); });
   }
 
   void Sending(std::size_t index, const consensus::RegisterSend& send) override {
@@ -252,7 +252,7 @@
 };
 
 // The configuration once for each that has no store, for some of them twice, as it changes while they read.
-constexpr double kMostMegabytes = 1.75 * kOthers * kConfigurationBytes / 1e6;
+constexpr double kMaxMegabytes = 1.75 * kOthers * kConfigurationBytes / 1e6;
 
 }  // namespace
 
@@ -264,7 +264,7 @@
     start.Run(kLasts);
     CAPTURE(seed, start.megabytes(), start.group_moves());
     CHECK(start.group_moves() == 0);
-    CHECK(start.megabytes() <= kMostMegabytes);
+    CHECK(start.megabytes() <= kMaxMegabytes);
     for (const OperatorCall& call : start.calls()) {
       CAPTURE(call.letter);
       REQUIRE(call.acknowledged_at);
@@ -286,7 +286,7 @@
     REQUIRE(start.died_at());
     REQUIRE(start.InForceSince('a'));
     CHECK(*start.InForceSince('a') <= *start.died_at() + 3 * kSecond);
-    CHECK(start.megabytes() <= kMostMegabytes);
+    CHECK(start.megabytes() <= kMaxMegabytes);
     CHECK(start.group_moves() == 0);
   }
 }
--- a/tests/system/placement/load_budget_test.cpp
+++ b/tests/system/placement/load_budget_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr Time kWindow = 5 * kSecond, kLease = 3 * kSecond;
 
-std::size_t MostInWindow(std::vector<Time> begun) {
+std::size_t MaxInWindow(std::vector<Time> begun) {
   std::sort(begun.begin(), begun.end());
   std::size_t most = 0;
   for (std::size_t first = 0, last = 0; last < begun.size(); ++last) {
@@ -45,7 +45,7 @@
       }
     }
     INFO("seed " << seed << " rate " << rate);
-    CHECK(static_cast<double>(MostInWindow(begun)) <= rate * 5 * 1.1 + 3);
+    CHECK(static_cast<double>(MaxInWindow(begun)) <= rate * 5 * 1.1 + 3);
     CHECK(begun.size() > 3);
   }
 }
@@ -109,7 +109,7 @@
       now += static_cast<Time>(random() % 4) * kSecond;
     }
     INFO("seed " << seed << " rate " << rate);
-    CHECK(static_cast<double>(MostInWindow(begun)) <= rate * 5 * 1.1 + 3);
+    CHECK(static_cast<double>(MaxInWindow(begun)) <= rate * 5 * 1.1 + 3);
     CHECK(begun.size() > 3);
   }
 }
--- a/tests/system/placement/order_codec_test.cpp
+++ b/tests/system/placement/order_codec_test.cpp
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE("the outcome of an order by its status") {
-  CHECK(ReadOrderOutcome({202, ""}) == OrderOutcome::kTaken);
+  CHECK(ReadOrderOutcome({202, ""}) == OrderOutcome::kAccepted);
   CHECK(ReadOrderOutcome({200, ""}) == OrderOutcome::kHolds);
   CHECK(ReadOrderOutcome({409, ""}) == OrderOutcome::kConflict);
   CHECK(ReadOrderOutcome({412, ""}) == OrderOutcome::kFenced);
--- a/tests/system/placement/runner_ledger_test.cpp
+++ b/tests/system/placement/runner_ledger_test.cpp
@@ -65,7 +65,7 @@
   CHECK(ledger.unsettled_load() == 9);
   // An order with its number is taken: it never will.
   ledger.OrderSent(2 * kSecond, {Order::Kind::kUnload, kFirst}, 0, 0);
-  ledger.OrderAnswered(2 * kSecond, OrderOutcome::kTaken);
+  ledger.OrderAnswered(2 * kSecond, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.TakeSettledLoad() == std::optional<std::uint64_t>(9));
   CHECK(ledger.orders_taken() == 4);
@@ -84,7 +84,7 @@
 TEST_CASE("what is unloaded counts until a report shows it gone and nothing under way") {
   RunnerLedger ledger = IdleLedger({"m1"});
   ledger.OrderSent(0, {Order::Kind::kUnload, kFirst}, 0, 0);
-  ledger.OrderAnswered(0, OrderOutcome::kTaken);
+  ledger.OrderAnswered(0, OrderOutcome::kAccepted);
   ledger.Observe(kSecond, Record(6, {}));  // it may have only begun
   CHECK(ledger.MayHold().Holds(kFirst));
   CHECK_FALSE(ledger.CanOrder(kSecond));
@@ -104,7 +104,7 @@
 TEST_CASE("a load is done when a heartbeat after its order shows it") {
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
-  ledger.OrderAnswered(0, OrderOutcome::kTaken);
+  ledger.OrderAnswered(0, OrderOutcome::kAccepted);
   CHECK(ledger.phase() == Phase::kWorking);
   ledger.Observe(kSecond, Record(5, {"m1"}));  // not newer
   CHECK(ledger.phase() == Phase::kWorking);
@@ -117,14 +117,14 @@
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
   ledger.Observe(kSecond, Record(6, {"m1"}));
-  ledger.OrderAnswered(kSecond, OrderOutcome::kTaken);
+  ledger.OrderAnswered(kSecond, OrderOutcome::kAccepted);
   CHECK(ledger.phase() == Phase::kIdle);
 }
 
 TEST_CASE("an order that is never seen done is asked after") {
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
-  ledger.OrderAnswered(0, OrderOutcome::kTaken);
+  ledger.OrderAnswered(0, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.NeedsReport(8 * kSecond, false));
   CHECK(ledger.NeedsReport(9 * kSecond, false));
   ledger.ReportSent(9 * kSecond);
--- a/tests/system/placement/simulated_fleet.cpp
+++ b/tests/system/placement/simulated_fleet.cpp
@@ -7,8 +7,9 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr Time kStep = 10 * kMillisecond, kHeartbeat = 1200 * kMillisecond, kReportEvery = 250 * kMillisecond;
-constexpr Time kRenewEvery = kSecond;
+constexpr Time kStep = 10 * kMillisecond, kHeartbeat = 1200 * kMillisecond,
+               kReportInterval = 250 * kMillisecond;
+constexpr Time kRenewInterval = kSecond;
 constexpr Time kLostAfter = 2500 * kMillisecond, kOriginWindow = 5 * kSecond;
 constexpr double kCapacity = 200000;
 
@@ -157,7 +158,7 @@
     entry.unserved = (entry.unserved + (served ? 0 : entry.per_s * seconds)) * 0.99;
   }
   if (now_ < next_report_) return;
-  next_report_ = now_ + kReportEvery;
+  next_report_ = now_ + kReportInterval;
   input_changed_ = true;
   for (std::size_t i = 0; i < reports_.size(); ++i) {
     messages::DemandReport& report = reports_[i];
@@ -204,7 +205,7 @@
 
 // Chosen at once, as a holder that waits for it has the allowance of the renewal before.
 void SimulatedFleet::RenewLease() {
-  if (!holds_ || now_ < lease_started_at_ + kRenewEvery) return;
+  if (!holds_ || now_ < lease_started_at_ + kRenewInterval) return;
   if (auto told = placement_->TellLoads(now_, epoch_, false)) told_loads_ = std::move(told);
   lease_started_at_ = now_;
   input_changed_ = true;
@@ -243,14 +244,14 @@
     });
   };
   if (lost || late) {
-    tell(now_ + call.give_up_after, {});
+    tell(now_ + call.timeout, {});
     if (late) At(now_ + Between(kSecond, options_.latest), [this, call] { Serve(call, true); });
     return;
   }
   At(now_ + way, [this, call, way, tell] {
     const duties::HttpResult result = Serve(call, false);
     const bool unanswered = result.status == 0 || Chance(options_.lost_answer);
-    tell(unanswered ? now_ + call.give_up_after : now_ + way, unanswered ? duties::HttpResult{} : result);
+    tell(unanswered ? now_ + call.timeout : now_ + way, unanswered ? duties::HttpResult{} : result);
   });
 }
 
--- a/tests/system/processes/control_program_test.cpp
+++ b/tests/system/processes/control_program_test.cpp
@@ -36,7 +36,7 @@
     std::filesystem::remove(output);
     lab::Process process;
     process.Start(words, {}, output.string());
-    REQUIRE(loop->RunUntil([&] { return !process.Running(); }, kPatience));
+    REQUIRE(loop->RunUntil([&] { return !process.Running(); }, kTimeout));
     std::stringstream text;
     text << std::ifstream(output).rdbuf();
     return {WIFEXITED(process.status()) ? WEXITSTATUS(process.status()) : -1, text.str()};
@@ -88,9 +88,9 @@
 }
 
 TEST_CASE("status shows a dispatcher, store verify a stopped one's store", "[control-program]") {
-  World world(3, 0, 2);
-  REQUIRE(world.Found());
-  System& system = world.system();
+  Testbed testbed(3, 0, 2);
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
   ControlProgram program;
   const Ended status = program.Run(&system.loop(), {"status", system.dispatcher(0).control_address()});
   INFO(status.output);
@@ -101,7 +101,7 @@
   CHECK(Holds(status, "id: runner-2\n"));
 
   Dispatcher& stopped = system.dispatcher(2);
-  REQUIRE(stopped.Kill(kPatience));
+  REQUIRE(stopped.Kill(kTimeout));
   const Ended gone = program.Run(&system.loop(), {"status", stopped.control_address()});
   CHECK(gone.code == kFailed);
   CHECK(std::count(gone.output.begin(), gone.output.end(), '\n') == 1);
@@ -113,7 +113,7 @@
   CHECK(Holds(store, "all records can be read\n"));
   CHECK(program.Run(&system.loop(), {"store", "verify", "/nonexistent"}).code == kFailed);
   stopped.Start();  // the look at its store has changed nothing
-  REQUIRE(system.WaitReady(kPatience));
+  REQUIRE(system.WaitReady(kTimeout));
 }
 
 }  // namespace
--- a/tests/system/processes/drain_test.cpp
+++ b/tests/system/processes/drain_test.cpp
@@ -4,56 +4,56 @@
 namespace lichenlug::standins::test {
 namespace {
 
-std::vector<ClientRequest> Mixture(const World& world, int of_each, int events) {
+std::vector<ClientRequest> Mixture(const Testbed& testbed, int of_each, int events) {
   std::vector<ClientRequest> requests;
   for (int number = 0; number < of_each; ++number)
     for (const ClientKind kind : {ClientKind::kPlain, ClientKind::kStream, ClientKind::kResumable})
-      requests.push_back(world.Request(kind, events + number));
+      requests.push_back(testbed.Request(kind, events + number));
   return requests;
 }
 
 TEST_CASE("no request reaches a runner after the bound of its drain", "[drain]") {
-  World world;
-  REQUIRE(world.Found());
-  System& system = world.system();
-  system.clients().KeepUp(Mixture(world, 12, 5));
-  REQUIRE(world.RunUntil([&] { return system.runner(2).served() > 0 && system.runner(3).served() > 0; }));
+  Testbed testbed;
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
+  system.clients().KeepUp(Mixture(testbed, 12, 5));
+  REQUIRE(testbed.RunUntil([&] { return system.runner(2).served() > 0 && system.runner(3).served() > 0; }));
 
   // Acknowledged at one dispatcher each, of either zone and without a disk too.
   system.runner(2).Drain(system.dispatcher(0).control_address());
   system.runner(3).Drain(system.dispatcher(3).control_address());
-  REQUIRE(world.RunUntil(
+  REQUIRE(testbed.RunUntil(
       [&] { return system.runner(2).drain_acknowledged() && system.runner(3).drain_acknowledged(); }));
   system.loop().RunFor(system.runner(2).settings().drain_bound + 2 * kSecond);
   system.clients().StopNew();
-  REQUIRE(world.RunUntil([&] { return system.clients().under_way() == 0; }));
+  REQUIRE(testbed.RunUntil([&] { return system.clients().in_flight() == 0; }));
   CHECK(system.clients().figures().cut == 0);
   CHECK(system.clients().figures().failed == 0);
   CHECK(system.clients().figures().served > 100);
-  world.CheckNoRuleBroken();  // the runners judge each request that comes
+  testbed.CheckNoRuleBroken();  // the runners judge each request that comes
 }
 
 TEST_CASE("a rolling restart cuts no answer", "[rolling-restart]") {
-  World world(3, 0, 6);
-  REQUIRE(world.Found());
-  System& system = world.system();
-  system.clients().KeepUp(Mixture(world, 8, 20));
+  Testbed testbed(3, 0, 6);
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
+  system.clients().KeepUp(Mixture(testbed, 8, 20));
   for (std::size_t index = 0; index < system.dispatcher_count(); ++index) {
     Dispatcher& dispatcher = system.dispatcher(index);
     dispatcher.Terminate();
-    REQUIRE(dispatcher.Ended(kPatience));
+    REQUIRE(dispatcher.Ended(kTimeout));
     CHECK(dispatcher.EndedWell());
     dispatcher.Start();
-    REQUIRE(system.WaitReady(kPatience));
+    REQUIRE(system.WaitReady(kTimeout));
   }
   system.clients().StopNew();
-  REQUIRE(world.RunUntil([&] { return system.clients().under_way() == 0; }));
+  REQUIRE(testbed.RunUntil([&] { return system.clients().in_flight() == 0; }));
   const ClientFigures& figures = system.clients().figures();
   CHECK(figures.cut == 0);
   CHECK(figures.failed == 0);
   CHECK(figures.resumed == 0);
   CHECK(figures.served > 100);
-  world.CheckNoRuleBroken();
+  testbed.CheckNoRuleBroken();
 }
 
 }  // namespace
--- a/tests/system/processes/hostile_input_test.cpp
+++ b/tests/system/processes/hostile_input_test.cpp
@@ -42,9 +42,9 @@
 }
 
 TEST_CASE("malformed heartbeats are each refused and enter no runner", "[malformed-heartbeats]") {
-  World world(3, 0, 2);
-  REQUIRE(world.Found());
-  System& system = world.system();
+  Testbed testbed(3, 0, 2);
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
   const std::vector<std::string> bodies = {"",
                                            "{",
                                            "[]",
@@ -75,9 +75,9 @@
   CHECK(SendHeartbeat(system, std::string(300, 'a'), Heartbeat().dump()) == 400);
   CHECK(SendHeartbeat(system, "runner-1/x?y=%00", "{}") == 400);
   CHECK(system.Status(0).at("runners").size() == 2);
-  CHECK(world.AllRunning());
-  world.CheckServedEverywhere();
-  world.CheckNoRuleBroken();
+  CHECK(testbed.AllRunning());
+  testbed.CheckServedEverywhere();
+  testbed.CheckNoRuleBroken();
 }
 
 std::string Noise(std::mt19937* random, std::size_t size) {
@@ -117,9 +117,9 @@
 }
 
 TEST_CASE("nonsense on any port ends no process", "[nonsense-bytes]") {
-  World world(3, 0, 2);
-  REQUIRE(world.Found());
-  System& system = world.system();
+  Testbed testbed(3, 0, 2);
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
   const Dispatcher& target = system.dispatcher(0);
   for (const std::string& address : {target.front_address(), target.ready_address(), target.control_address(),
                                      target.internal_address()}) {
@@ -129,12 +129,12 @@
       REQUIRE(system.dispatcher(0).Running());
     }
   }
-  REQUIRE(system.WaitReady(kPatience));
-  world.CheckServedEverywhere();
-  CHECK(system.the_operator().Send(world.Patch(1, 2, "added"), kPatience).status == 200);
-  CHECK(world.EditionReadBack() == 2);
-  CHECK(world.AllRunning());
-  world.CheckNoRuleBroken();
+  REQUIRE(system.WaitReady(kTimeout));
+  testbed.CheckServedEverywhere();
+  CHECK(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
+  CHECK(testbed.EditionReadBack() == 2);
+  CHECK(testbed.AllRunning());
+  testbed.CheckNoRuleBroken();
 }
 
 }  // namespace
--- a/tests/system/processes/losses_test.cpp
+++ b/tests/system/processes/losses_test.cpp
@@ -5,26 +5,26 @@
 namespace {
 
 TEST_CASE("what was acknowledged is read back after the whole core was killed", "[whole-core-killed]") {
-  World world;
-  REQUIRE(world.Found());
-  System& system = world.system();
+  Testbed testbed;
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
   constexpr int kRounds = 3;
   for (int round = 0; round < kRounds; ++round) {
     const std::int64_t edition = 2 + round;
     REQUIRE(system.the_operator()
-                .Send(world.Patch(edition - 1, edition, "added-" + std::to_string(edition)), kPatience)
+                .Send(testbed.Patch(edition - 1, edition, "added-" + std::to_string(edition)), kTimeout)
                 .status == 200);
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index)
-      REQUIRE(system.dispatcher(index).Kill(kPatience));
+      REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index) system.dispatcher(index).Start();
-    CHECK(world.EditionReadBack() == edition);
+    CHECK(testbed.EditionReadBack() == edition);
   }
-  REQUIRE(system.WaitReady(kPatience));
-  REQUIRE(system.WaitEdition(1 + kRounds, kPatience));
-  world.CheckServedEverywhere();
-  CHECK(system.the_operator().Read(kPatience).at("routes").size() == 3 + kRounds);
-  CHECK(world.AllRunning());
-  world.CheckNoRuleBroken();
+  REQUIRE(system.WaitReady(kTimeout));
+  REQUIRE(system.WaitEdition(1 + kRounds, kTimeout));
+  testbed.CheckServedEverywhere();
+  CHECK(system.the_operator().Read(kTimeout).at("routes").size() == 3 + kRounds);
+  CHECK(testbed.AllRunning());
+  testbed.CheckNoRuleBroken();
 }
 
 // The replica of each member of the configuration's register, as one dispatcher knows them.
@@ -39,11 +39,11 @@
 }
 
 TEST_CASE("a machine with a wiped disk joins again and stands in for another that is lost", "[wiped-disk]") {
-  World world;
-  REQUIRE(world.Found());
-  System& system = world.system();
+  Testbed testbed;
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
   Dispatcher& wiped = system.dispatcher(1);
-  REQUIRE(wiped.Kill(kPatience));
+  REQUIRE(wiped.Kill(kTimeout));
   wiped.WipeStore();
   wiped.Start();
   const auto joined = [&] {
@@ -56,38 +56,38 @@
     }
     return replicas.size() == 3 && of_wiped == 1;
   };
-  REQUIRE(world.RunUntil(joined));
+  REQUIRE(testbed.RunUntil(joined));
   // As the deployment says, it counts as lost for a while after its return.
   system.loop().RunFor(wiped.settings().times.catch_up_s * kSecond);
 
-  REQUIRE(system.dispatcher(2).Kill(kPatience));
-  REQUIRE(system.the_operator().Send(world.Patch(1, 2, "added"), kPatience).status == 200);
-  CHECK(world.EditionReadBack() == 2);
-  REQUIRE(world.Send(world.Request(ClientKind::kStream), 1).outcome == ClientResult::Outcome::kServed);
+  REQUIRE(system.dispatcher(2).Kill(kTimeout));
+  REQUIRE(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
+  CHECK(testbed.EditionReadBack() == 2);
+  REQUIRE(testbed.Send(testbed.Request(ClientKind::kStream), 1).outcome == ClientResult::Outcome::kServed);
   system.dispatcher(2).Start();
-  REQUIRE(system.WaitReady(kPatience));
-  REQUIRE(system.WaitEdition(2, kPatience));
-  world.CheckServedEverywhere();
-  world.CheckNoRuleBroken();
+  REQUIRE(system.WaitReady(kTimeout));
+  REQUIRE(system.WaitEdition(2, kTimeout));
+  testbed.CheckServedEverywhere();
+  testbed.CheckNoRuleBroken();
 }
 
 // The power goes in the first moment: no machine of the core, or only one, has a store as it starts again.
 void CheckFoundedWithout(std::size_t kept_stores) {
-  World world;
-  System& system = world.system();
+  Testbed testbed;
+  System& system = testbed.system();
   system.StartDispatchers();
   constexpr std::size_t kCore = 3;
-  REQUIRE(world.RunUntil([&] { return system.dispatcher(0).LogHolds("store: opened as founder:"); }));
-  for (std::size_t index = 0; index < kCore; ++index) REQUIRE(system.dispatcher(index).Kill(kPatience));
+  REQUIRE(testbed.RunUntil([&] { return system.dispatcher(0).LogHolds("store: opened as founder:"); }));
+  for (std::size_t index = 0; index < kCore; ++index) REQUIRE(system.dispatcher(index).Kill(kTimeout));
   for (std::size_t index = kept_stores; index < kCore; ++index) system.dispatcher(index).WipeStore();
   for (std::size_t index = 0; index < kCore; ++index) system.dispatcher(index).Start();
   system.StartRunners();
-  REQUIRE(system.TakeFirstConfiguration(kPatience));
-  REQUIRE(system.WaitReady(kPatience));
-  CHECK(world.EditionReadBack() == 1);
-  world.CheckServedEverywhere();
-  CHECK(world.AllRunning());
-  world.CheckNoRuleBroken();
+  REQUIRE(system.TakeFirstConfiguration(kTimeout));
+  REQUIRE(system.WaitReady(kTimeout));
+  CHECK(testbed.EditionReadBack() == 1);
+  testbed.CheckServedEverywhere();
+  CHECK(testbed.AllRunning());
+  testbed.CheckNoRuleBroken();
 }
 
 TEST_CASE("a system whose first start left no store is founded", "[founded-without-stores]") {
--- a/tests/system/processes/separate_core_test.cpp
+++ b/tests/system/processes/separate_core_test.cpp
@@ -20,10 +20,10 @@
 }
 
 TEST_CASE("a core without clients holds the state of dispatchers without disks", "[separate-core]") {
-  World world(Plan());
-  REQUIRE(world.Found());
-  System& system = world.system();
-  world.CheckServedEverywhere();
+  Testbed testbed(Plan());
+  REQUIRE(testbed.Found());
+  System& system = testbed.system();
+  testbed.CheckServedEverywhere();
 
   SECTION("each process tells its roles") {
     CHECK(system.dispatcher(0).LogHolds("roles: control, store, quorum; not on this machine: clients"));
@@ -34,35 +34,35 @@
   }
 
   SECTION("two disks are lost at once, and nothing that was acknowledged") {
-    REQUIRE(system.the_operator().Send(world.Patch(1, 2, "added"), kPatience).status == 200);
-    for (const std::size_t index : {1, 3}) REQUIRE(system.dispatcher(index).Kill(kPatience));
+    REQUIRE(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
+    for (const std::size_t index : {1, 3}) REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (const std::size_t index : {1, 3}) system.dispatcher(index).WipeStore();
-    CHECK(world.EditionReadBack() == 2);
-    world.CheckServedEverywhere();
+    CHECK(testbed.EditionReadBack() == 2);
+    testbed.CheckServedEverywhere();
     for (const std::size_t index : {1, 3}) system.dispatcher(index).Start();
-    REQUIRE(system.WaitReady(kPatience));
-    CHECK(world.EditionReadBack() == 2);
+    REQUIRE(system.WaitReady(kTimeout));
+    CHECK(testbed.EditionReadBack() == 2);
   }
 
   SECTION("all are killed at once, and serve again") {
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index)
-      REQUIRE(system.dispatcher(index).Kill(kPatience));
+      REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index) system.dispatcher(index).Start();
-    REQUIRE(system.WaitReady(kPatience));
-    REQUIRE(system.WaitEdition(1, kPatience));
-    world.CheckServedEverywhere();
+    REQUIRE(system.WaitReady(kTimeout));
+    REQUIRE(system.WaitEdition(1, kTimeout));
+    testbed.CheckServedEverywhere();
   }
 
   SECTION("one of each kind is stopped") {
     system.dispatcher(0).Terminate();
     system.dispatcher(kCore).Terminate();
-    CHECK(system.dispatcher(0).Ended(kPatience));
-    CHECK(system.dispatcher(kCore).Ended(kPatience));
+    CHECK(system.dispatcher(0).Ended(kTimeout));
+    CHECK(system.dispatcher(kCore).Ended(kTimeout));
     CHECK(system.dispatcher(0).EndedWell());
     CHECK(system.dispatcher(kCore).EndedWell());
-    CHECK(world.EditionReadBack() == 1);
+    CHECK(testbed.EditionReadBack() == 1);
   }
-  world.CheckNoRuleBroken();
+  testbed.CheckNoRuleBroken();
 }
 
 }  // namespace
--- a/tests/system/processes/soak_test.cpp
+++ b/tests/system/processes/soak_test.cpp
@@ -12,7 +12,7 @@
 void CheckSoak(SoakPlan plan) {
   plan.system.program = LICHENLUGD_PATH;
   plan.length = kSoakLength;
-  plan.patience = 2 * kPatience;
+  plan.timeout = 2 * kTimeout;
   Soak soak(plan);
   const SoakReport report = soak.Play();
   INFO("seed " << plan.seed);
@@ -41,19 +41,19 @@
 }
 
 TEST_CASE("a dispatcher takes signals from its first moment to its last", "[signals]") {
-  World world(3, 1, 2);
-  REQUIRE(world.Found());
-  Dispatcher& dispatcher = world.system().dispatcher(3);
+  Testbed testbed(3, 1, 2);
+  REQUIRE(testbed.Found());
+  Dispatcher& dispatcher = testbed.system().dispatcher(3);
   for (int life = 0; life < 3; ++life) {
-    REQUIRE(dispatcher.Kill(kPatience));
+    REQUIRE(dispatcher.Kill(kTimeout));
     dispatcher.Start();
     while (dispatcher.Running() && !dispatcher.TakesSignals()) {
     }
     for (int time = 0; time < 3; ++time) dispatcher.Reload(dispatcher.SettingsText(false));
-    CHECK(world.RunUntil([&] { return world.system().SaysReady(3); }));
+    CHECK(testbed.RunUntil([&] { return testbed.system().SaysReady(3); }));
     CHECK(dispatcher.Running());
     dispatcher.Terminate();
-    CHECK(world.RunUntil([&] {
+    CHECK(testbed.RunUntil([&] {
       dispatcher.Reload(dispatcher.SettingsText(false));
       dispatcher.Terminate();
       return !dispatcher.Running();
--- a/tests/system/processes/thin_path_test.cpp
+++ b/tests/system/processes/thin_path_test.cpp
@@ -15,17 +15,17 @@
 }
 
 TEST_CASE(kThinPath, "[thin-path]") {
-  World world;
-  REQUIRE(world.Found());
-  world.CheckServedEverywhere();
-  ClientRequest other = world.Request(ClientKind::kStream);
+  Testbed testbed;
+  REQUIRE(testbed.Found());
+  testbed.CheckServedEverywhere();
+  ClientRequest other = testbed.Request(ClientKind::kStream);
   other.key = sample::kOtherKey;
-  CHECK(world.Send(other).outcome == ClientResult::Outcome::kServed);
+  CHECK(testbed.Send(other).outcome == ClientResult::Outcome::kServed);
 
-  System& system = world.system();
+  System& system = testbed.system();
   CHECK(system.ledger().begun(sample::kTenant) == 3 * system.dispatcher_count());
   CHECK(system.ledger().begun(sample::kOtherTenant) == 1);
-  REQUIRE(world.RunUntil(
+  REQUIRE(testbed.RunUntil(
       [&] { return AllReported(system, sample::kTenant) && AllReported(system, sample::kOtherTenant); }));
   CHECK(system.platform().Reported(sample::kTenant) == system.ledger().begun(sample::kTenant));
   CHECK(system.platform().Reported(sample::kOtherTenant) == system.ledger().begun(sample::kOtherTenant));
@@ -35,20 +35,20 @@
     INFO("window " << window);
     CHECK(count == 1);
   }
-  CHECK(world.AllRunning());
-  world.CheckNoRuleBroken();
+  CHECK(testbed.AllRunning());
+  testbed.CheckNoRuleBroken();
 }
 
 TEST_CASE("an unknown key and an unknown route are each refused", "[thin-path]") {
-  World world(3, 0, 2);
-  REQUIRE(world.Found());
-  ClientRequest request = world.Request(ClientKind::kStream);
+  Testbed testbed(3, 0, 2);
+  REQUIRE(testbed.Found());
+  ClientRequest request = testbed.Request(ClientKind::kStream);
   request.key = "nobody's";
-  CHECK(world.Send(request, 0).status == 401);
-  request = world.Request(ClientKind::kStream);
+  CHECK(testbed.Send(request, 0).status == 401);
+  request = testbed.Request(ClientKind::kStream);
   request.path = "/no-such-route/";
-  CHECK(world.Send(request, 0).status == 404);
-  world.CheckNoRuleBroken();
+  CHECK(testbed.Send(request, 0).status == 404);
+  testbed.CheckNoRuleBroken();
 }
 
 }  // namespace
--- a/tests/system/processes/world.cpp
+++ b/tests/system/processes/world.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Time kRawPatience = 100 * kMillisecond;
+constexpr Time kRawTimeout = 100 * kMillisecond;
 
 SystemPlan Plan(int core, int diskless, int runners) {
   SystemPlan plan;
@@ -21,16 +21,16 @@
 
 }  // namespace
 
-World::World(int core, int diskless, int runners) : World(Plan(core, diskless, runners)) {}
-World::World(const SystemPlan& plan) : system_(plan) {}
+Testbed::Testbed(int core, int diskless, int runners) : Testbed(Plan(core, diskless, runners)) {}
+Testbed::Testbed(const SystemPlan& plan) : system_(plan) {}
 
-World::~World() {
+Testbed::~Testbed() {
   if (std::uncaught_exceptions() > 0) std::cerr << system_.Logs();
 }
 
-bool World::Found() { return system_.Found(kPatience); }
+bool Testbed::Found() { return system_.Found(kTimeout); }
 
-ClientRequest World::Request(ClientKind kind, int events) const {
+ClientRequest Testbed::Request(ClientKind kind, int events) const {
   ClientRequest request;
   request.kind = kind;
   request.path = std::string(kind == ClientKind::kPlain    ? sample::kPlainPath
@@ -43,7 +43,7 @@
   return request;
 }
 
-ClientResult World::Send(const ClientRequest& request, std::size_t dispatcher) {
+ClientResult Testbed::Send(const ClientRequest& request, std::size_t dispatcher) {
   ClientRequest sent = request;
   if (dispatcher != kNoDispatcher) sent.front_address = system_.dispatcher(dispatcher).front_address();
   ClientResult result;
@@ -56,7 +56,7 @@
   return result;
 }
 
-void World::CheckServedEverywhere() {
+void Testbed::CheckServedEverywhere() {
   for (std::size_t dispatcher = 0; dispatcher < system_.dispatcher_count(); ++dispatcher) {
     if (!system_.dispatcher(dispatcher).settings().serves_clients) continue;
     for (const ClientKind kind : {ClientKind::kPlain, ClientKind::kStream, ClientKind::kResumable}) {
@@ -68,28 +68,28 @@
   }
 }
 
-void World::CheckNoRuleBroken() {
+void Testbed::CheckNoRuleBroken() {
   for (const std::string& what : system_.ledger().broken()) FAIL_CHECK(what);
 }
 
-bool World::AllRunning() {
+bool Testbed::AllRunning() {
   for (std::size_t index = 0; index < system_.dispatcher_count(); ++index)
     if (!system_.dispatcher(index).Running()) return false;
   return true;
 }
 
-Change World::Put(std::int64_t if_match, const Json& configuration) const {
+Change Testbed::Put(std::int64_t if_match, const Json& configuration) const {
   return {Change::Method::kPut, if_match, configuration.dump()};
 }
 
-Change World::Patch(std::int64_t if_match, std::int64_t edition, const std::string& route) const {
+Change Testbed::Patch(std::int64_t if_match, std::int64_t edition, const std::string& route) const {
   const Json body{{wire::kEdition, edition},
                   {"upsert", {{"routes", Json::array({sample::Route(route, "/" + route + "/", "safe")})}}}};
   return {Change::Method::kPatch, if_match, body.dump()};
 }
 
-std::int64_t World::EditionReadBack() {
-  const Json configuration = system_.the_operator().Read(kPatience);
+std::int64_t Testbed::EditionReadBack() {
+  const Json configuration = system_.the_operator().Read(kTimeout);
   return configuration.is_object() ? configuration.value(wire::kEdition, std::int64_t{0}) : 0;
 }
 
@@ -111,7 +111,7 @@
     });
   };
   if (!ended) read();
-  loop->RunUntil([&] { return ended; }, kRawPatience);
+  loop->RunUntil([&] { return ended; }, kRawTimeout);
   socket.close(error);
   loop->io().poll();  // the handler that looks at this frame
   return answer;
--- a/tests/system/processes/world.h
+++ b/tests/system/processes/world.h
@@ -14,15 +14,15 @@
 
 using Json = nlohmann::json;
 
-inline constexpr Time kPatience = 30 * kSecond;
+inline constexpr Time kTimeout = 30 * kSecond;
 inline constexpr std::size_t kNoDispatcher = static_cast<std::size_t>(-1);
 
 // A system that is founded and ready; the logs are told where a test fails.
-class World {
+class Testbed {
  public:
-  explicit World(int core = 3, int diskless = 1, int runners = 6);
-  explicit World(const SystemPlan& plan);
-  ~World();
+  explicit Testbed(int core = 3, int diskless = 1, int runners = 6);
+  explicit Testbed(const SystemPlan& plan);
+  ~Testbed();
 
   System& system() { return system_; }
   bool Found();
@@ -40,7 +40,7 @@
   // The edition that is read back; 0: none.
   std::int64_t EditionReadBack();
 
-  bool RunUntil(const Loop::Condition& condition) { return system_.loop().RunUntil(condition, kPatience); }
+  bool RunUntil(const Loop::Condition& condition) { return system_.loop().RunUntil(condition, kTimeout); }
 
  private:
   System system_;
--- a/tests/system/registry/registry_network.h
+++ b/tests/system/registry/registry_network.h
@@ -32,12 +32,12 @@
 }
 
 // One registry alone, of dispatcher-0 in zone-0, and others that it is told of.
-inline Registry MakeRegistry(std::size_t most_runners = 100) {
+inline Registry MakeRegistry(std::size_t max_runners = 100) {
   RegistrySettings settings;
   settings.self_name = "dispatcher-0";
   settings.zone = "zone-0";
-  settings.heartbeat_every = kBeat;
-  settings.most_runners = most_runners;
+  settings.heartbeat_interval = kBeat;
+  settings.max_runners = max_runners;
   return Registry(settings);
 }
 
@@ -103,7 +103,7 @@
     RegistrySettings settings;
     settings.self_name = Name(i);
     settings.zone = Zone(i);
-    settings.heartbeat_every = kBeat;
+    settings.heartbeat_interval = kBeat;
     settings.seed = random_();
     node.registry = std::make_unique<Registry>(settings);
     node.is_running = true;
--- a/tests/system/registry/registry_test.cpp
+++ b/tests/system/registry/registry_test.cpp
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("changes wait for the acknowledgement of what is under way, and each is sent once") {
-  constexpr int kChanges = 40, kMostAtOnce = 8;
+  constexpr int kChanges = 40, kMaxAtOnce = 8;
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
   const std::string peer = MakeMember(1).address;
@@ -92,7 +92,7 @@
   CHECK(sent.size() == 1);
   std::map<std::string, int> told;  // by runner
   for (std::size_t at = 0; at < sent.size(); ++at) {
-    CHECK(sent[at].records_size() <= kMostAtOnce);
+    CHECK(sent[at].records_size() <= kMaxAtOnce);
     for (const auto& record : sent[at].records()) ++told[record.runner_id()];
     messages::RegistryMessage ack;
     ack.mutable_ack()->set_number(sent[at].number());
--- a/tests/system/routing/attempts_test.cpp
+++ b/tests/system/routing/attempts_test.cpp
@@ -7,11 +7,11 @@
 namespace lichenlug::routing {
 namespace {
 
-World Runners(int count) {
-  World world;
-  world.bounds.retry_budget = false;
-  for (int i = 0; i < count; ++i) world.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
-  return world;
+Testbed Runners(int count) {
+  Testbed testbed;
+  testbed.bounds.retry_budget = false;
+  for (int i = 0; i < count; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
+  return testbed;
 }
 
 StartAttempt First(Dispatcher* dispatcher, bool repeatable, int tries = 2) {
@@ -68,13 +68,13 @@
 }
 
 TEST_CASE("a stream that nobody can take up fails at its deadline at the latest", "[attempts]") {
-  World world = Runners(2);
-  Dispatcher dispatcher(world);
+  Testbed testbed = Runners(2);
+  Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
   dispatcher.decisions.FirstEvent(dispatcher.now, first.request, 0);
-  world.Runner("r0").set_state(messages::RUNNER_DRAINING);
-  world.Runner("r1").set_state(messages::RUNNER_DRAINING);
-  dispatcher.Install(world);
+  testbed.Runner("r0").set_state(messages::RUNNER_DRAINING);
+  testbed.Runner("r1").set_state(messages::RUNNER_DRAINING);
+  dispatcher.Install(testbed);
   auto end = dispatcher.Ended(first, AttemptOutcome::kBroken);
   for (const Decision& decision : dispatcher.Wait(13 * kSecond)) end.push_back(decision);
   REQUIRE(end.size() == 1);
@@ -95,15 +95,15 @@
 }
 
 TEST_CASE("a runner without the model is not asked for it again before it has said more", "[attempts]") {
-  World world = Runners(2);
-  Dispatcher dispatcher(world);
+  Testbed testbed = Runners(2);
+  Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
   REQUIRE(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kModelMissing)).size() == 1);
-  dispatcher.Install(world);  // the same record again
+  dispatcher.Install(testbed);  // the same record again
   for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
   SECTION("a newer record") {
-    world.Runner(first.runner_id).set_call_count(2);
-    dispatcher.Install(world);
+    testbed.Runner(first.runner_id).set_call_count(2);
+    dispatcher.Install(testbed);
   }
   SECTION("some time") { dispatcher.Wait(1600 * kMillisecond); }
   std::set<std::string> used;
@@ -113,14 +113,14 @@
 
 TEST_CASE("a hardly used runner that rejects a model is passed over for it while another holds it",
           "[attempts]") {
-  World world = Runners(2);
-  for (const char* id : {"r0", "r1"}) world.Runner(id).add_models()->set_name("m2");
-  Dispatcher dispatcher(world);
+  Testbed testbed = Runners(2);
+  for (const char* id : {"r0", "r1"}) testbed.Runner(id).add_models()->set_name("m2");
+  Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
   REQUIRE(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kNotRun)).size() == 1);
   // Its order may still be under way when it next says what it holds.
-  world.Runner(first.runner_id).set_call_count(2);
-  dispatcher.Install(world);
+  testbed.Runner(first.runner_id).set_call_count(2);
+  dispatcher.Install(testbed);
   const auto used = [&](const std::string& model) {
     std::set<std::string> runners;
     for (int i = 0; i < 40; ++i) runners.insert(dispatcher.Send(model));
@@ -129,14 +129,14 @@
   REQUIRE_FALSE(used("m1").contains(first.runner_id));
   CHECK(used("m2").contains(first.runner_id));
   SECTION("until it holds it anew") {
-    messages::RunnerRecord& runner = world.Runner(first.runner_id);
+    messages::RunnerRecord& runner = testbed.Runner(first.runner_id);
     const auto models = runner.models();
     runner.clear_models();
     runner.set_call_count(3);
-    dispatcher.Install(world);
+    dispatcher.Install(testbed);
     *runner.mutable_models() = models;
     runner.set_call_count(4);
-    dispatcher.Install(world);
+    dispatcher.Install(testbed);
   }
   SECTION("for some time") { dispatcher.Wait(2100 * kMillisecond); }
   CHECK(used("m1").contains(first.runner_id));
@@ -161,15 +161,15 @@
 }
 
 TEST_CASE("another runner at the address: gone until a newer record", "[attempts]") {
-  World world = Runners(2);
-  Dispatcher dispatcher(world);
+  Testbed testbed = Runners(2);
+  Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
   dispatcher.Ended(first, AttemptOutcome::kWrongRunner);
-  dispatcher.Install(world);
+  dispatcher.Install(testbed);
   dispatcher.Wait(5 * kSecond);
   for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
-  world.Runner(first.runner_id).set_call_count(2);
-  dispatcher.Install(world);
+  testbed.Runner(first.runner_id).set_call_count(2);
+  dispatcher.Install(testbed);
   std::set<std::string> used;
   for (int i = 0; i < 20; ++i) used.insert(dispatcher.Send("m1"));
   CHECK(used.contains(first.runner_id));
@@ -183,10 +183,10 @@
 }
 
 TEST_CASE("an attempt that reached no runner draws nothing on the retry budget", "[attempts]") {
-  World world = Runners(3);
-  world.bounds.retry_budget = true;
-  world.bounds.retry_slack = 0;
-  Dispatcher dispatcher(world);
+  Testbed testbed = Runners(3);
+  testbed.bounds.retry_budget = true;
+  testbed.bounds.retry_slack = 0;
+  Dispatcher dispatcher(testbed);
   const auto second = Only<StartAttempt>(dispatcher.Ended(First(&dispatcher, true, 3),  //
                                                           AttemptOutcome::kConnectFailed));
   REQUIRE(second.size() == 1);
@@ -215,11 +215,11 @@
 }
 
 TEST_CASE("a runner that vanishes takes nothing new; its attempts end as they do", "[attempts]") {
-  World world = Runners(3);
-  Dispatcher dispatcher(world);
+  Testbed testbed = Runners(3);
+  Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
-  world.Remove(first.runner_id);
-  CHECK(dispatcher.Install(world).empty());
+  testbed.Remove(first.runner_id);
+  CHECK(dispatcher.Install(testbed).empty());
   const auto second = Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken));
   REQUIRE(second.size() == 1);
   CHECK(second[0].runner_id != first.runner_id);
--- a/tests/system/routing/budget_storm_test.cpp
+++ b/tests/system/routing/budget_storm_test.cpp
@@ -44,15 +44,15 @@
 };
 
 TEST_CASE("under a storm of failures all dispatchers together keep the retry budget", "[storm]") {
-  World world;
-  for (int i = 0; i < 9; ++i) world.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
-  world.live_dispatchers = kDispatchers;
+  Testbed testbed;
+  for (int i = 0; i < 9; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
+  testbed.live_dispatchers = kDispatchers;
   std::vector<std::unique_ptr<Dispatcher>> dispatchers;
   for (int i = 0; i < kDispatchers; ++i) {
-    dispatchers.push_back(std::make_unique<Dispatcher>(world, i + 1));
+    dispatchers.push_back(std::make_unique<Dispatcher>(testbed, i + 1));
   }
   std::mt19937_64 random(11);
-  BudgetRule rule(world.bounds);
+  BudgetRule rule(testbed.bounds);
   RequestNumber number = 0;
   std::size_t refused = 0;
   for (Time now = kWorldTime; now < kWorldTime + 60 * kSecond; now += kTick) {
@@ -61,11 +61,11 @@
     // work.
     const double per_tick = second < 15 ? 0.05 : second < 25 ? 0.5 : second < 40 ? 0.002 : 0.1;
     if (now % (7 * kSecond) == 0) {
-      world.live_dispatchers = second % 2 == 0 || second > 42 ? 4 : kDispatchers;
-      for (auto& dispatcher : dispatchers) dispatcher->Install(world);
+      testbed.live_dispatchers = second % 2 == 0 || second > 42 ? 4 : kDispatchers;
+      for (auto& dispatcher : dispatchers) dispatcher->Install(testbed);
     }
     if (second == 30 && now % kSecond == 0)
-      for (int i = 0; i < 3; ++i) dispatchers[i] = std::make_unique<Dispatcher>(world, 100 + i, now);
+      for (int i = 0; i < 3; ++i) dispatchers[i] = std::make_unique<Dispatcher>(testbed, 100 + i, now);
     for (auto& dispatcher : dispatchers) {
       dispatcher->now = now;
       std::bernoulli_distribution arrives(per_tick);
--- a/tests/system/routing/decisions_test.cpp
+++ b/tests/system/routing/decisions_test.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 // Nine runners of 64 slots; all hold m1, three m2, one m3 and m1/a1.
-World NineRunners() {
-  World world;
+Testbed NineRunners() {
+  Testbed testbed;
   for (int i = 0; i < 9; ++i) {
     std::vector<std::string> models{"m1"};
     if (i % 3 == 0) models.push_back("m2");
     if (i == 4) models.push_back("m3");
     if (i == 5) models.push_back("m1/a1");
-    world.AddRunner("r" + std::to_string(i), "pool", 64, models);
+    testbed.AddRunner("r" + std::to_string(i), "pool", 64, models);
   }
-  return world;
+  return testbed;
 }
 
 const Decisions::Demand* Find(const std::vector<Decisions::Demand>& demand, const std::string& model,
@@ -39,9 +39,9 @@
 }
 
 TEST_CASE("an attempt names the runner's address and the request's priority", "[decisions]") {
-  World world;
-  world.AddRunner("only", "pool", 64, {"m1"}).set_address("10.0.0.9:1234");
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.AddRunner("only", "pool", 64, {"m1"}).set_address("10.0.0.9:1234");
+  Dispatcher dispatcher(testbed);
   Arrival arrival = Asking(1, dispatcher.now, "m1");
   arrival.precedence = 1;
   const auto started = Only<StartAttempt>(dispatcher.Arrived(arrival));
@@ -53,9 +53,9 @@
 }
 
 TEST_CASE("a request that is late already comes after all that may be in time", "[decisions]") {
-  World world;
-  world.AddRunner("only", "pool", 64, {"m1"});
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.AddRunner("only", "pool", 64, {"m1"});
+  Dispatcher dispatcher(testbed);
   Arrival late = Asking(1, dispatcher.now, "m1");
   late.precedence = 0, late.came_back = true, late.late = true;
   Arrival least_urgent = Asking(2, dispatcher.now, "m1");
@@ -68,12 +68,12 @@
 }
 
 TEST_CASE("a draining runner gets nothing new, and its requests go on", "[decisions]") {
-  World world = NineRunners();
-  Dispatcher dispatcher(world);
+  Testbed testbed = NineRunners();
+  Dispatcher dispatcher(testbed);
   const std::string home = dispatcher.Send("m2");
-  world.Runner(home).set_state(messages::RUNNER_DRAINING);
-  world.Runner(home).set_call_count(2);
-  CHECK(dispatcher.Install(world).empty());
+  testbed.Runner(home).set_state(messages::RUNNER_DRAINING);
+  testbed.Runner(home).set_call_count(2);
+  CHECK(dispatcher.Install(testbed).empty());
   for (int i = 0; i < 120; ++i) {
     const std::string runner = dispatcher.Send("m2");
     REQUIRE(runner != home);
@@ -82,10 +82,10 @@
 }
 
 TEST_CASE("a model starts at its home, the same at every dispatcher", "[decisions]") {
-  const World world = NineRunners();
+  const Testbed testbed = NineRunners();
   std::set<std::string> homes;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Dispatcher dispatcher(world, seed);
+    Dispatcher dispatcher(testbed, seed);
     const auto started = Only<StartAttempt>(dispatcher.Arrived(Asking(1, dispatcher.now, "m1")));
     REQUIRE(started.size() == 1);
     homes.insert(started[0].runner_id);
@@ -99,13 +99,13 @@
 }
 
 TEST_CASE("a runner that joins or leaves moves few homes", "[decisions]") {
-  World world;
+  Testbed testbed;
   for (int i = 0; i < 9; ++i) {
     std::vector<std::string> adapters{"m1"};
     for (int a = 0; a < 200; ++a) adapters.push_back("m1/a" + std::to_string(a));
-    world.AddRunner("r" + std::to_string(i), "pool", 64, adapters);
+    testbed.AddRunner("r" + std::to_string(i), "pool", 64, adapters);
   }
-  const auto homes = [](const World& with) {
+  const auto homes = [](const Testbed& with) {
     Dispatcher dispatcher(with);
     std::vector<std::string> runners;
     for (int a = 0; a < 200; ++a) {
@@ -114,9 +114,9 @@
     }
     return runners;
   };
-  const auto before = homes(world);
-  world.Remove("r3");
-  const auto after = homes(world);
+  const auto before = homes(testbed);
+  testbed.Remove("r3");
+  const auto after = homes(testbed);
   for (std::size_t i = 0; i < before.size(); ++i)
     if (before[i] != "r3") CHECK(before[i] == after[i]);
   CHECK(std::set<std::string>(before.begin(), before.end()).size() == 9);
@@ -137,9 +137,9 @@
 }
 
 TEST_CASE("a request that finds no place waits within a part of its objective", "[decisions]") {
-  World world;
-  world.AddRunner("only", "pool", 2, {"m1"});
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.AddRunner("only", "pool", 2, {"m1"});
+  Dispatcher dispatcher(testbed);
   dispatcher.Send("m1"), dispatcher.Send("m1");
   const Time asked = dispatcher.now;
   REQUIRE(dispatcher.Arrived(Asking(3, asked, "m1")).empty());
@@ -165,9 +165,9 @@
 }
 
 TEST_CASE("the more urgent of the waiting go first", "[decisions]") {
-  World world;
-  world.AddRunner("only", "pool", 1, {"m1"});
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.AddRunner("only", "pool", 1, {"m1"});
+  Dispatcher dispatcher(testbed);
   dispatcher.Send("m1");
   Arrival late = Asking(2, dispatcher.now, "m1"), urgent = Asking(3, dispatcher.now, "m1");
   late.precedence = 2;
@@ -180,8 +180,8 @@
 }
 
 TEST_CASE("a model that no ready runner holds is refused at once and counted", "[decisions]") {
-  World world = NineRunners();
-  Dispatcher dispatcher(world);
+  Testbed testbed = NineRunners();
+  Dispatcher dispatcher(testbed);
   for (RequestNumber number = 1; number <= 20; ++number) {
     const auto refused = Only<Refuse>(dispatcher.Arrived(Asking(number, dispatcher.now, "unloaded")));
     REQUIRE(refused.size() == 1);
@@ -205,9 +205,9 @@
   CHECK(demand->running == 0);
   CHECK(Find(dispatcher.decisions.DemandNow(dispatcher.now + 11 * kSecond), "unloaded") == nullptr);
 
-  world.Runner("r2").add_models()->set_name("unloaded");
-  world.Runner("r2").set_call_count(2);
-  dispatcher.Install(world);
+  testbed.Runner("r2").add_models()->set_name("unloaded");
+  testbed.Runner("r2").set_call_count(2);
+  dispatcher.Install(testbed);
   CHECK(dispatcher.Send("unloaded") == "r2");
 }
 
@@ -242,9 +242,9 @@
 }
 
 TEST_CASE("a service without an engine is served by any of its runners", "[decisions]") {
-  World world;
-  for (const char* id : {"d1", "d2", "d3"}) world.AddRunner(id, "desk", 6, {});
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  for (const char* id : {"d1", "d2", "d3"}) testbed.AddRunner(id, "desk", 6, {});
+  Dispatcher dispatcher(testbed);
   std::map<std::string, int> held;
   for (int i = 0; i < 18; ++i) ++held[dispatcher.Send("")];
   CHECK(held == std::map<std::string, int>{{"d1", 6}, {"d2", 6}, {"d3", 6}});
@@ -252,11 +252,11 @@
 }
 
 TEST_CASE("runners of the own zone are preferred, and others take what overflows", "[decisions]") {
-  World world;
+  Testbed testbed;
   for (int i = 0; i < 6; ++i)
-    world.AddRunner("r" + std::to_string(i), "pool", 8, {"m1"}).set_zone(i < 3 ? "here" : "there");
-  world.zone = "here";
-  Dispatcher dispatcher(world);
+    testbed.AddRunner("r" + std::to_string(i), "pool", 8, {"m1"}).set_zone(i < 3 ? "here" : "there");
+  testbed.zone = "here";
+  Dispatcher dispatcher(testbed);
   const std::set<std::string> own{"r0", "r1", "r2"};
   for (int i = 0; i < 24; ++i) REQUIRE(own.contains(dispatcher.Send("m1")));
   for (int i = 0; i < 24; ++i) {
@@ -275,12 +275,12 @@
 }
 
 TEST_CASE("services come and go with the configuration", "[decisions]") {
-  World world = NineRunners();
-  Dispatcher dispatcher(world);
+  Testbed testbed = NineRunners();
+  Dispatcher dispatcher(testbed);
   const std::string home = dispatcher.Send("m1");
-  World without = world;
+  Testbed without = testbed;
   without.configuration() = messages::Configuration();
-  World shared = NineRunners();
+  Testbed shared = NineRunners();
   shared.configuration().clear_services();
   dispatcher.Install(shared);
   CHECK(dispatcher.Send("m1").empty());
@@ -292,9 +292,9 @@
 }
 
 TEST_CASE("classes are added as routes change, and their number has an end", "[decisions]") {
-  World world;
-  world.AddRunner("only", "pool", 5000, {"m1"});
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.AddRunner("only", "pool", 5000, {"m1"});
+  Dispatcher dispatcher(testbed);
   for (RequestNumber number = 1; number <= 500; ++number) {
     Arrival arrival = Asking(number, dispatcher.now, "m1");
     arrival.objective = static_cast<Time>(number) * kMillisecond;
--- a/tests/system/routing/held_requests_test.cpp
+++ b/tests/system/routing/held_requests_test.cpp
@@ -7,18 +7,18 @@
 namespace lichenlug::routing {
 namespace {
 
-World OneRunner() {
-  World world;
-  world.AddRunner("r1", "pool", 64, {"m1"});
-  return world;
+Testbed OneRunner() {
+  Testbed testbed;
+  testbed.AddRunner("r1", "pool", 64, {"m1"});
+  return testbed;
 }
 
-void Load(World* world, Dispatcher* dispatcher, const std::string& adapter,
+void Load(Testbed* testbed, Dispatcher* dispatcher, const std::string& adapter,
           std::vector<Decision>* decisions) {
-  messages::RunnerRecord& runner = world->Runner("r1");
+  messages::RunnerRecord& runner = testbed->Runner("r1");
   runner.mutable_models(0)->add_adapters(adapter);
   runner.set_call_count(runner.call_count() + 1);
-  *decisions = dispatcher->Install(*world);
+  *decisions = dispatcher->Install(*testbed);
 }
 
 // A request whose objective leaves time for a load.
@@ -31,13 +31,13 @@
 
 TEST_CASE("a request whose objective leaves time for the load is held until a runner holds the adapter",
           "[held]") {
-  World world = OneRunner();
-  Dispatcher dispatcher(world);
+  Testbed testbed = OneRunner();
+  Dispatcher dispatcher(testbed);
   REQUIRE(dispatcher.Arrived(Patient(1, dispatcher.now, "m1/a1")).empty());
   REQUIRE(dispatcher.Wait(1200 * kMillisecond).empty());
   CHECK(dispatcher.decisions.DemandNow(dispatcher.now)[0].unserved > 0);
   std::vector<Decision> decisions;
-  Load(&world, &dispatcher, "a1", &decisions);
+  Load(&testbed, &dispatcher, "a1", &decisions);
   const auto started = Only<StartAttempt>(decisions);
   REQUIRE(started.size() == 1);
   CHECK(started[0].request == 1);
@@ -66,8 +66,8 @@
 }
 
 TEST_CASE("a client that came back is held for a late answer, with time left for the run", "[held]") {
-  World world = OneRunner();
-  Dispatcher dispatcher(world);
+  Testbed testbed = OneRunner();
+  Dispatcher dispatcher(testbed);
   Arrival arrival = Asking(1, dispatcher.now, "m1/a1");
   arrival.came_back = true;
   arrival.deadline = dispatcher.now + 5 * kSecond;
@@ -75,7 +75,7 @@
   SECTION("served once the adapter is there") {
     REQUIRE(dispatcher.Wait(1900 * kMillisecond).empty());
     std::vector<Decision> decisions;
-    Load(&world, &dispatcher, "a1", &decisions);
+    Load(&testbed, &dispatcher, "a1", &decisions);
     CHECK(Only<StartAttempt>(decisions).size() == 1);
   }
   SECTION("refused before half of its time is gone") {
@@ -96,8 +96,8 @@
 }
 
 TEST_CASE("the time to come back is learned from earlier loads", "[held]") {
-  World world = OneRunner();
-  Dispatcher dispatcher(world);
+  Testbed testbed = OneRunner();
+  Dispatcher dispatcher(testbed);
   for (int i = 0; i < 20; ++i) {
     const std::string adapter = "a" + std::to_string(i);
     REQUIRE(
@@ -105,7 +105,7 @@
         1);
     dispatcher.now += kSecond;
     std::vector<Decision> decisions;
-    Load(&world, &dispatcher, adapter, &decisions);
+    Load(&testbed, &dispatcher, adapter, &decisions);
   }
   const auto refused = Only<Refuse>(dispatcher.Arrived(Asking(dispatcher.next++, dispatcher.now, "m1/late")));
   REQUIRE(refused.size() == 1);
@@ -120,13 +120,13 @@
 
 TEST_CASE("a part of the retry budget is kept for clients that came back and for what may have run",
           "[held]") {
-  World world;
-  for (int i = 0; i < 100; ++i) world.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
-  world.bounds.retry_ratio = 0;
-  world.bounds.retry_slack = 50;  // 40 are spent here
+  Testbed testbed;
+  for (int i = 0; i < 100; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
+  testbed.bounds.retry_ratio = 0;
+  testbed.bounds.retry_slack = 50;  // 40 are spent here
   // How many requests go on to another runner after their first attempt.
   const auto second_attempts = [&](bool came_back, AttemptOutcome outcome) {
-    Dispatcher dispatcher(world);
+    Dispatcher dispatcher(testbed);
     int count = 0;
     for (int i = 0; i < 60; ++i) {
       Arrival arrival = Asking(dispatcher.next++, dispatcher.now, "m1");
@@ -159,22 +159,22 @@
 
 TEST_CASE("just after the start a request waits for a runner to be heard, and is no demand for a load",
           "[held]") {
-  World world;
-  world.runners_known = false;
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.runners_known = false;
+  Dispatcher dispatcher(testbed);
   Arrival arrival = Asking(1, dispatcher.now, "m1");
   REQUIRE(dispatcher.Arrived(arrival).empty());
   for (const auto& demand : dispatcher.decisions.DemandNow(dispatcher.now)) CHECK(demand.unserved == 0);
-  world.AddRunner("r1", "pool", 64, {"m1"});
-  const auto started = Only<StartAttempt>(dispatcher.Install(world));
+  testbed.AddRunner("r1", "pool", 64, {"m1"});
+  const auto started = Only<StartAttempt>(dispatcher.Install(testbed));
   REQUIRE(started.size() == 1);
   CHECK(started[0].runner_id == "r1");
 }
 
 TEST_CASE("a request that waits in vain for a runner to be heard is refused in time to come back", "[held]") {
-  World world;
-  world.runners_known = false;
-  Dispatcher dispatcher(world);
+  Testbed testbed;
+  testbed.runners_known = false;
+  Dispatcher dispatcher(testbed);
   Arrival arrival = Asking(1, dispatcher.now, "m1");
   arrival.deadline = dispatcher.now + 2 * kSecond;
   REQUIRE(dispatcher.Arrived(arrival).empty());
--- a/tests/system/routing/mechanisms_test.cpp
+++ b/tests/system/routing/mechanisms_test.cpp
@@ -9,9 +9,9 @@
 TEST_CASE("all mechanisms are on unless they are left out by name", "[mechanisms]") {
   Mechanisms mechanisms;
   CHECK(mechanisms.Has(Mechanism::kPromptHomes));
-  CHECK_FALSE(mechanisms.LeaveOut("").has_value());
+  CHECK_FALSE(mechanisms.Disable("").has_value());
   CHECK(mechanisms == Mechanisms());
-  CHECK_FALSE(mechanisms.LeaveOut("prompt-homes,store-homes").has_value());
+  CHECK_FALSE(mechanisms.Disable("prompt-homes,store-homes").has_value());
   CHECK_FALSE(mechanisms.Has(Mechanism::kPromptHomes));
   CHECK_FALSE(mechanisms.Has(Mechanism::kStoreHomes));
   CHECK(mechanisms.Has(Mechanism::kServerErrors));
@@ -19,8 +19,8 @@
 
 TEST_CASE("a name that there is not is told", "[mechanisms]") {
   Mechanisms mechanisms;
-  CHECK(mechanisms.LeaveOut("prompt-homes,nothing") == "nothing");
-  CHECK(mechanisms.LeaveOut("x") == "x");
+  CHECK(mechanisms.Disable("prompt-homes,nothing") == "nothing");
+  CHECK(mechanisms.Disable("x") == "x");
 }
 
 }  // namespace
--- a/tests/system/routing/mutation_test.cpp
+++ b/tests/system/routing/mutation_test.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 TEST_CASE("events that are not as they should be never break the decisions", "[mutation]") {
-  World world;
-  for (int i = 0; i < 5; ++i) world.AddRunner("r" + std::to_string(i), "pool", 3, {"m1", "m2/a1"});
-  world.AddRunner("d", "desk", 2, {});
+  Testbed testbed;
+  for (int i = 0; i < 5; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 3, {"m1", "m2/a1"});
+  testbed.AddRunner("d", "desk", 2, {});
   std::mt19937_64 random(3);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Dispatcher dispatcher(world, seed);
-    World changed = world;
+    Dispatcher dispatcher(testbed, seed);
+    Testbed changed = testbed;
     for (int step = 0; step < 3000; ++step) {
       std::vector<Decision> out;
       const auto number = static_cast<RequestNumber>(random() % (1 + static_cast<unsigned>(step) / 4));
@@ -46,7 +46,7 @@
           break;
         case 6: {
           const std::string id = "r" + std::to_string(random() % 5);
-          changed = world;
+          changed = testbed;
           if (random() % 2 == 0)
             changed.Remove(id);
           else
--- a/tests/system/routing/play_test.cpp
+++ b/tests/system/routing/play_test.cpp
@@ -15,8 +15,9 @@
 // Dispatchers that send to runners which answer after a time that grows with their load.
 class Play {
  public:
-  Play(const World& world, int dispatchers) {
-    for (int i = 0; i < dispatchers; ++i) dispatchers_.push_back(std::make_unique<Dispatcher>(world, i + 1));
+  Play(const Testbed& testbed, int dispatchers) {
+    for (int i = 0; i < dispatchers; ++i)
+      dispatchers_.push_back(std::make_unique<Dispatcher>(testbed, i + 1));
   }
 
   // `per_s` requests a second for `span`; models drawn by a falling weight; uneven shares of dispatchers.
@@ -111,17 +112,17 @@
   double samples_ = 0, sum_mean_ = 0, sum_max_ = 0;
 };
 
-World NineRunnersOfModels(const std::vector<std::string>& models) {
-  World world;
-  world.live_dispatchers = kDispatchers;
+Testbed NineRunnersOfModels(const std::vector<std::string>& models) {
+  Testbed testbed;
+  testbed.live_dispatchers = kDispatchers;
   for (int i = 0; i < 9; ++i) {
     std::vector<std::string> held;
     // The first model is everywhere, each next one on fewer runners.
     for (std::size_t m = 0; m < models.size(); ++m)
       if (m == 0 || (static_cast<std::size_t>(i) + m) % (m + 1) == 0) held.push_back(models[m]);
-    world.AddRunner("r" + std::to_string(i), "pool", 64, held);
+    testbed.AddRunner("r" + std::to_string(i), "pool", 64, held);
   }
-  return world;
+  return testbed;
 }
 
 TEST_CASE("ten dispatchers spread their load over nine runners", "[play]") {
--- a/tests/system/routing/prompt_home_test.cpp
+++ b/tests/system/routing/prompt_home_test.cpp
@@ -12,11 +12,11 @@
 
 constexpr int kHolders = 6;
 
-World Holders(int count, int others) {
-  World world;
-  for (int i = 0; i < count; ++i) world.AddRunner("h" + std::to_string(i), "pool", 64, {"m1"});
-  for (int i = 0; i < others; ++i) world.AddRunner("o" + std::to_string(i), "pool", 64, {"m2"});
-  return world;
+Testbed Holders(int count, int others) {
+  Testbed testbed;
+  for (int i = 0; i < count; ++i) testbed.AddRunner("h" + std::to_string(i), "pool", 64, {"m1"});
+  for (int i = 0; i < others; ++i) testbed.AddRunner("o" + std::to_string(i), "pool", 64, {"m2"});
+  return testbed;
 }
 
 // The runner that an otherwise idle dispatcher sends a request with this prompt to.
@@ -40,8 +40,8 @@
 }
 
 TEST_CASE("requests that share a prefix meet at one runner, at every dispatcher", "[prompt_home]") {
-  const World world = Holders(kHolders, 20);
-  Dispatcher first(world, 1), second(world, 2);
+  const Testbed testbed = Holders(kHolders, 20);
+  Dispatcher first(testbed, 1), second(testbed, 2);
   for (int group = 0; group < 20; ++group) {
     const std::string shared = "shared-" + std::to_string(group);
     const std::string home = RunnerFor(&first, {"class", shared, "own-1"});
@@ -52,8 +52,8 @@
 }
 
 TEST_CASE("the groups of one model spread over all its holders", "[prompt_home]") {
-  const World world = Holders(kHolders, 20);
-  Dispatcher dispatcher(world);
+  const Testbed testbed = Holders(kHolders, 20);
+  Dispatcher dispatcher(testbed);
   std::map<std::string, int> groups;
   constexpr int kGroups = 300;
   for (int group = 0; group < kGroups; ++group)
@@ -66,8 +66,8 @@
 }
 
 TEST_CASE("a model with one holder among many runners is found from every home", "[prompt_home]") {
-  const World world = Holders(1, 120);
-  Dispatcher dispatcher(world);
+  const Testbed testbed = Holders(1, 120);
+  Dispatcher dispatcher(testbed);
   for (int group = 0; group < 300; ++group)
     REQUIRE(RunnerFor(&dispatcher, {"class", "shared-" + std::to_string(group), "own"}) == "h0");
 }
--- a/tests/system/routing/world.cpp
+++ b/tests/system/routing/world.cpp
@@ -4,7 +4,7 @@
 
 namespace lichenlug::routing {
 
-World::World() : configuration_(std::make_shared<messages::Configuration>()) {
+Testbed::Testbed() : configuration_(std::make_shared<messages::Configuration>()) {
   messages::Service* pool = configuration_->add_services();
   pool->set_name("pool");
   pool->mutable_engine()->set_slots(64);
@@ -18,8 +18,8 @@
   for (int precedence : {0, 1, 2}) configuration_->add_routes()->set_precedence(precedence);
 }
 
-messages::RunnerRecord& World::AddRunner(const std::string& id, const std::string& service, int slots,
-                                         const std::vector<std::string>& models) {
+messages::RunnerRecord& Testbed::AddRunner(const std::string& id, const std::string& service, int slots,
+                                           const std::vector<std::string>& models) {
   messages::RunnerRecord& record = runners_[id];
   record.set_runner_id(id);
   record.set_service(service);
@@ -39,7 +39,7 @@
   return record;
 }
 
-std::shared_ptr<const Snapshot> World::Take() const {
+std::shared_ptr<const Snapshot> Testbed::Take() const {
   auto runners = std::make_shared<std::vector<messages::RunnerRecord>>();
   for (const auto& [id, record] : runners_) runners->push_back(record);
   auto snapshot = std::make_shared<Snapshot>();
@@ -69,18 +69,18 @@
   return arrival;
 }
 
-Dispatcher::Dispatcher(const World& world, std::uint64_t seed) : now(kWorldTime), decisions(0, seed) {
-  Install(world);
+Dispatcher::Dispatcher(const Testbed& testbed, std::uint64_t seed) : now(kWorldTime), decisions(0, seed) {
+  Install(testbed);
 }
 
-Dispatcher::Dispatcher(const World& world, std::uint64_t seed, Time started)
+Dispatcher::Dispatcher(const Testbed& testbed, std::uint64_t seed, Time started)
     : now(started), decisions(started, seed) {
-  Install(world);
+  Install(testbed);
 }
 
-std::vector<Decision> Dispatcher::Install(const World& world) {
+std::vector<Decision> Dispatcher::Install(const Testbed& testbed) {
   std::vector<Decision> out;
-  decisions.Install(now, world.Take(), &out);
+  decisions.Install(now, testbed.Take(), &out);
   return out;
 }
 
--- a/tests/system/routing/world.h
+++ b/tests/system/routing/world.h
@@ -11,9 +11,9 @@
 namespace lichenlug::routing {
 
 // What is installed: a service `pool` with an engine and a service `desk` without one.
-class World {
+class Testbed {
  public:
-  World();
+  Testbed();
 
   messages::Configuration& configuration() { return *configuration_; }
   messages::RunnerRecord& AddRunner(const std::string& id, const std::string& service, int slots,
@@ -51,10 +51,10 @@
 class Dispatcher {
  public:
   // One that has run for long, or that starts at `started`.
-  explicit Dispatcher(const World& world, std::uint64_t seed = 7);
-  Dispatcher(const World& world, std::uint64_t seed, Time started);
+  explicit Dispatcher(const Testbed& testbed, std::uint64_t seed = 7);
+  Dispatcher(const Testbed& testbed, std::uint64_t seed, Time started);
 
-  std::vector<Decision> Install(const World& world);
+  std::vector<Decision> Install(const Testbed& testbed);
   std::vector<Decision> Arrived(const Arrival& arrival);
   std::vector<Decision> Ended(const StartAttempt& attempt, AttemptOutcome outcome, bool final = false);
   std::vector<Decision> Serve(RequestNumber number);  // at its first runner
--- a/tests/system/transport/transport_test.cpp
+++ b/tests/system/transport/transport_test.cpp
@@ -29,12 +29,12 @@
 class Node {
  public:
   explicit Node(const std::string& address, const std::string& name = "node", std::size_t longest = 8u << 20,
-                std::size_t most_peers = 256) {
+                std::size_t max_peers = 256) {
     const Transport::Settings settings{.listen_address = address,
                                        .sender_name = name,
                                        .sender_incarnation = 7,
                                        .longest_message = longest,
-                                       .most_peers = most_peers};
+                                       .max_peers = max_peers};
     loop_.Run([&] {
       transport_ = std::make_unique<Transport>(
           loop_.base(), settings, [this](messages::Envelope envelope) { inbox.Add(std::move(envelope)); });
--- a/tests/virtual_net.h
+++ b/tests/virtual_net.h
@@ -29,7 +29,7 @@
   };
 
   int lost = 0, copied = 0;  // in a hundred
-  Time least_way = 300, most_way = 22 * kMillisecond;
+  Time min_way = 300, max_way = 22 * kMillisecond;
   bool refuses = false;  // the machine of a dead member says so
   Time now = 1000 * kSecond;
 
@@ -89,15 +89,15 @@
     }
     return now - since;
   }
-  Standing See(int observer, int member) const {
-    return members_[observer].self->View().members[member].standing;
+  MemberStatus See(int observer, int member) const {
+    return members_[observer].self->View().members[member].status;
   }
   const TierView& View(int i) const { return members_[i].self->View(); }
 
   // How many of those awake, left out `member` itself, see it so.
-  int Seeing(int member, Standing standing) const {
+  int Seeing(int member, MemberStatus status) const {
     int count = 0;
-    for (int i = 0; i < tier(); ++i) count += i != member && Awake(i) && See(i, member) == standing;
+    for (int i = 0; i < tier(); ++i) count += i != member && Awake(i) && See(i, member) == status;
     return count;
   }
   int AwakeBut(int member) const {
@@ -139,7 +139,7 @@
   };
 
   Time Way() {
-    return least_way + static_cast<Time>(random_() % static_cast<std::uint64_t>(most_way - least_way + 1));
+    return min_way + static_cast<Time>(random_() % static_cast<std::uint64_t>(max_way - min_way + 1));
   }
   void Wake(int i, Time at) {
     members_[i].wake_at = at;
@@ -148,7 +148,8 @@
   void Woken(int i) {
     Member& it = members_[i];
     if (!it.self || now < it.paused_until) return;
-    for (auto& [from, bytes] : std::exchange(it.inbox, {})) it.self->Hear(from, bytes, now + it.clock);
+    for (auto& [from, bytes] : std::exchange(it.inbox, {}))
+      it.self->HandleMessage(from, bytes, now + it.clock);
     Serve(i);
   }
   void Serve(int i) {
@@ -160,7 +161,7 @@
     if (at != it.wake_at) Wake(i, at);
   }
   void Send(int from, int to, const std::string& body) {
-    ASSERT_TRUE(!body.empty() && body.size() <= PeerPart::kMostBody && to >= 0 && to < tier());
+    ASSERT_TRUE(!body.empty() && body.size() <= PeerProtocol::kMaxBody && to >= 0 && to < tier());
     members_[from].bytes += body.size() + 2, ++members_[from].datagrams;
     const auto link = links_.find({from, to});
     const auto part = [this](int of_100) { return static_cast<int>(random_() % 100) < of_100; };
@@ -183,7 +184,7 @@
     if (event.refusal)
       it.self->Refused(event.from, now + it.clock);
     else
-      it.self->Hear(event.from, event.bytes, now + it.clock);
+      it.self->HandleMessage(event.from, event.bytes, now + it.clock);
     Serve(event.to);
   }
 
--- a/tests/watch_backoff_test.cpp
+++ b/tests/watch_backoff_test.cpp
@@ -12,7 +12,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr Time kAskEvery = 10 * kSecond;
+constexpr Time kPollInterval = 10 * kSecond;
 constexpr Time kTold = 6 * kSecond;  // after a watch fell silent, or discovery had news and could be reached
 constexpr std::size_t kNoCall = -1;
 
@@ -23,7 +23,7 @@
 
 // All watches end at 0. A call takes 60 ms of the one server, waits in turn, and fails after 2 s of waiting;
 // a call that failed has taken its turn all the same, as its connection was accepted and read.
-Outage Play(int dispatchers, Time down_for, Time until, Time ask_every) {
+Outage Play(int dispatchers, Time down_for, Time until, Time poll_interval) {
   struct One {
     WatchBackoff again;
     Time last = 0;
@@ -32,7 +32,7 @@
   std::set<std::pair<Time, int>> calls;
   Outage outage;
   for (int i = 0; i < dispatchers; ++i) {
-    all.push_back({WatchBackoff(dispatchers, false, ask_every, 1000 + i)});
+    all.push_back({WatchBackoff(dispatchers, false, poll_interval, 1000 + i)});
     calls.insert({all.back().again.Failed(), i});
   }
   Time free_at = 0;
@@ -53,21 +53,21 @@
 }
 
 TEST(WatchBackoff, HundredDispatchersAllGetTheListSoonAfterAnOutage) {
-  EXPECT_EQ(Play(100, kSecond, 16 * kSecond, kAskEvery).served, 100);
-  EXPECT_EQ(Play(100, 5 * kSecond, 20 * kSecond, kAskEvery).served, 100);
+  EXPECT_EQ(Play(100, kSecond, 16 * kSecond, kPollInterval).served, 100);
+  EXPECT_EQ(Play(100, 5 * kSecond, 20 * kSecond, kPollInterval).served, 100);
 }
 
 TEST(WatchBackoff, NeverWaitsSoLongThatUnknownNewsCountsAsTold) {
   for (int dispatchers : {1, 3, 30, 100, 1000})
     EXPECT_LT(
-        Play(dispatchers, 60 * kSecond, 60 * kSecond, kAskEvery).longest_gap + WatchBackoff::kCallTimeout,
-        kAskEvery)
+        Play(dispatchers, 60 * kSecond, 60 * kSecond, kPollInterval).longest_gap + WatchBackoff::kCallTimeout,
+        kPollInterval)
         << dispatchers;
 }
 
 TEST(WatchBackoff, SmallTiersAskAgainWithinHalfASecond) {
   for (std::uint64_t seed = 1; seed < 50; ++seed)
-    EXPECT_LE(WatchBackoff(3, false, kAskEvery, seed).Failed(), kSecond / 2);
+    EXPECT_LE(WatchBackoff(3, false, kPollInterval, seed).Failed(), kSecond / 2);
 }
 
 Time LongestWait(WatchBackoff* again) {
@@ -77,7 +77,7 @@
 }
 
 TEST(WatchBackoff, HurriesAfterDiscoveryMovedUntilItHasSpoken) {
-  WatchBackoff again(100, false, kAskEvery, 7);
+  WatchBackoff again(100, false, kPollInterval, 7);
   again.Hurry();
   EXPECT_LE(again.Failed(), 300 * kMillisecond);
   again.Succeeded();
@@ -91,7 +91,7 @@
     for (std::uint64_t seed = 1; seed < 100; ++seed)
       for (int failures = 0; failures < 12; ++failures)
         for (bool connects : {true, false}) {
-          WatchBackoff again(dispatchers, false, kAskEvery, seed);
+          WatchBackoff again(dispatchers, false, kPollInterval, seed);
           for (int i = 0; i < failures; ++i) again.Failed();
           const Time call = again.ConnectBy(0) + again.Failed();
           const Time lost = connects ? again.FirstLineBy(call) : again.ConnectBy(call);
@@ -103,16 +103,16 @@
 TEST(WatchBackoff, ACallThatAnOverloadedDiscoveryTurnedAwayIsFollowedByOneInTime) {
   for (int dispatchers : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed < 100; ++seed) {
-      WatchBackoff again(dispatchers, false, kAskEvery, seed);
+      WatchBackoff again(dispatchers, false, kPollInterval, seed);
       for (int i = 0; i < 12; ++i) ASSERT_LE(again.Overloaded(2 * kSecond), kTold - 2 * kSecond);
-      EXPECT_LE(again.Overloaded(0), WatchBackoff::kMostBackoff) << "who is down turns away at once";
+      EXPECT_LE(again.Overloaded(0), WatchBackoff::kMaxBackoff) << "who is down turns away at once";
     }
 }
 
 TEST(WatchBackoff, AfterDiscoveryMovedTwoCallsFitIn4Seconds) {
   for (int dispatchers : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed < 100; ++seed) {
-      WatchBackoff again(dispatchers, false, kAskEvery, seed);
+      WatchBackoff again(dispatchers, false, kPollInterval, seed);
       for (int i = 0; i < 12; ++i) again.Failed();
       again.Hurry();
       ASSERT_TRUE(again.Hedge());
@@ -123,9 +123,9 @@
 
 TEST(WatchBackoff, AWatchThatEndsIsNoOutageUnlessItHardlyStood) {
   for (std::uint64_t seed = 1; seed < 100; ++seed) {
-    EXPECT_LE(WatchBackoff(300, false, kAskEvery, seed).Ended(10 * kSecond), kSecond * 8 / 10);
-    EXPECT_LE(WatchBackoff(1, false, kAskEvery, seed).Ended(10 * kSecond), kSecond * 3 / 10);
-    WatchBackoff again(1, false, kAskEvery, seed);
+    EXPECT_LE(WatchBackoff(300, false, kPollInterval, seed).Ended(10 * kSecond), kSecond * 8 / 10);
+    EXPECT_LE(WatchBackoff(1, false, kPollInterval, seed).Ended(10 * kSecond), kSecond * 3 / 10);
+    WatchBackoff again(1, false, kPollInterval, seed);
     Time waits = 0;
     for (int i = 0; i < 20; ++i) waits += again.Ended(0);
     EXPECT_GT(waits, 5 * kSecond) << "one that is ended at once each time is not asked for in a loop";
@@ -134,10 +134,10 @@
 
 TEST(WatchBackoff, ALackOfDescriptorsIsNoFailureOfDiscoverys) {
   for (std::uint64_t seed = 1; seed < 100; ++seed) {
-    WatchBackoff again(1, false, kAskEvery, seed);
+    WatchBackoff again(1, false, kPollInterval, seed);
     for (int i = 0; i < 12; ++i) EXPECT_LE(again.NoDescriptor(), kSecond * 3 / 10);
     EXPECT_LE(again.Failed(), kSecond * 3 / 10) << "the first failure";
-    EXPECT_LE(WatchBackoff(300, false, kAskEvery, seed).NoDescriptor(), kSecond * 3 / 10);
+    EXPECT_LE(WatchBackoff(300, false, kPollInterval, seed).NoDescriptor(), kSecond * 3 / 10);
   }
 }
 
@@ -167,7 +167,7 @@
   std::size_t serving = kNoCall;
   int served = 0;
   for (int i = 0; i < dispatchers; ++i) {
-    owners.push_back({WatchBackoff(dispatchers, false, kAskEvery, 1000 + i)});
+    owners.push_back({WatchBackoff(dispatchers, false, kPollInterval, 1000 + i)});
     due.insert({owners.back().again.Ended(10 * kSecond), kAsk, i});
   }
   const auto close = [&](std::size_t call) {
@@ -257,7 +257,7 @@
   for (int dispatchers : {1, 3, 30, 300, 1000})
     for (std::uint64_t seed = 1; seed < 200; ++seed)
       for (bool connects : {true, false}) {
-        WatchBackoff again(dispatchers, false, kAskEvery, seed);
+        WatchBackoff again(dispatchers, false, kPollInterval, seed);
         for (int i = 0; i < 50; ++i) again.Failed(), again.Succeeded();
         const Calls calls = AfterSilence(&again, connects);
         EXPECT_GT(calls.first, 2 * kSecond) << "a heartbeat may still come";
@@ -266,7 +266,7 @@
 }
 
 TEST(WatchBackoff, SilenceThatGoesOnAfterTwoCallsIsAnOutage) {
-  WatchBackoff again(300, false, kAskEvery, 7);
+  WatchBackoff again(300, false, kPollInterval, 7);
   AfterSilence(&again, false);
   EXPECT_GT(LongestWait(&again), kSecond);
   again.Succeeded();
@@ -274,7 +274,7 @@
 }
 
 TEST(WatchBackoff, LateHeartbeatsAreWaitedForLongerAndTheTwoCallsStillFit) {
-  WatchBackoff again(300, false, kAskEvery, 7);
+  WatchBackoff again(300, false, kPollInterval, 7);
   for (int i = 0; i < 10; ++i) again.HeartbeatMissed(0, again.HeartbeatBy(0)), again.HeartbeatLate();
   EXPECT_GT(again.HeartbeatBy(0), 3 * kSecond);
   EXPECT_LE(AfterSilence(&again, false).second, kTold - kSecond / 2);
@@ -287,7 +287,7 @@
 TEST(WatchBackoff, ThreeHundredThatFallSilentTogetherAreServedInTime) {
   std::multiset<Time> calls;
   for (int i = 0; i < 300; ++i) {
-    WatchBackoff again(300, false, kAskEvery, 1000 + i);
+    WatchBackoff again(300, false, kPollInterval, 1000 + i);
     const Time last = -(i * 7919 % 2000) * kMillisecond;
     calls.insert(again.HeartbeatMissed(last, last + WatchBackoff::kHeartbeatTimeout));
   }
