--- a/include/rookgw/brain.h
+++ b/include/rookgw/brain.h
@@ -1,12 +1,12 @@
-// The decisions of one dispatcher node: types, events, actions and class Brain.
+// The decisions of one dispatcher node: types, events, actions and class Scheduler.
 //
-// A Brain is told the time and one event at a time and appends what is to be done. It does no I/O, reads no
-// clock, starts no thread and shares nothing with other instances, so it can be driven by a node, a test or a
-// simulator alike. The same settings, seed and events always give the same actions.
+// A Scheduler is told the time and one event at a time and appends what is to be done. It does no I/O, reads
+// no clock, starts no thread and shares nothing with other instances, so it can be driven by a node, a test
+// or a simulator alike. The same settings, seed and events always give the same actions.
 //
 // Units: times are microseconds on any clock that only goes forward; spans are microseconds; slots, memory,
-// weights and shares are plain numbers. A Brain is not thread-safe: give each node one and call it from one
-// thread. Strings and lists handed in are copied where they are kept.
+// weights and shares are plain numbers. A Scheduler is not thread-safe: give each node one and call it from
+// one thread. Strings and lists handed in are copied where they are kept.
 #pragma once
 
 #include <array>
@@ -133,6 +133,7 @@
   double share_done = 0;
 };
 
+// kVoid: the attempt never ran and says nothing of the worker.
 enum class Outcome { kServed, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kVoid };
 
 struct AttemptEnded {
@@ -209,8 +210,8 @@
 
 // ---- The decisions ---------------------------------------------------------------------------------------
 
-// How much a Brain holds, to watch that it stays bounded.
-struct Holdings {
+// How much a Scheduler holds, to watch that it stays bounded.
+struct TableSizes {
   std::size_t workers = 0, requests = 0, waiting = 0, keys = 0;
 };
 
@@ -236,7 +237,7 @@
   // How many nodes the tier has now.
   void SetInstances(int instances);
 
-  Holdings holdings() const;
+  TableSizes sizes() const;
 
  private:
   class Impl;
--- a/lab/rivals/policy.h
+++ b/lab/rivals/policy.h
@@ -1,5 +1,5 @@
 // What plays the part of a dispatcher's decisions in the laboratory: the module itself, an older build of it
-// behind the simulator's wire, or a plain rival. All have the interface of rookgw::Brain.
+// behind the simulator's wire, or a plain rival. All have the interface of rookgw::Scheduler.
 #pragma once
 
 #include <functional>
--- a/src/base/delay_estimate.h
+++ b/src/base/delay_estimate.h
@@ -12,7 +12,7 @@
 class DelayEstimate {
  public:
   // The bounds of the wait, in microseconds.
-  DelayEstimate(Time least, Time most) : min_(least), max_(most) {}
+  DelayEstimate(Time min, Time max) : min_(min), max_(max) {}
 
   // `delay`: of one answer. None is noted where it is unclear which of several questions was answered (RFC
   // 6298, section 3), nor where no answer came.
--- a/src/base/estimators.h
+++ b/src/base/estimators.h
@@ -8,12 +8,12 @@
 
 namespace lichenlug {
 
-// A mean that starts as a plain average and then forgets: the last `most` samples count.
+// A mean that starts as a plain average and then forgets: the last `max_samples` samples count.
 struct RunningMean {
   double value = 0, weight = 0;
 
-  void Add(double sample, double most = 200) {
-    weight = std::min(weight + 1, most);
+  void Add(double sample, double max_samples = 200) {
+    weight = std::min(weight + 1, max_samples);
     value += (sample - value) / weight;
   }
 };
--- a/src/base/slots.h
+++ b/src/base/slots.h
@@ -23,7 +23,7 @@
 template <typename T>
 class SlotTable {
  public:
-  explicit SlotTable(std::size_t most) : max_(most) {}
+  explicit SlotTable(std::size_t max) : max_(max) {}
 
   std::size_t size() const { return size_; }
   bool full() const { return size_ >= max_; }
--- a/src/core/transactions.h
+++ b/src/core/transactions.h
@@ -1,6 +1,6 @@
-// The transaction table: feeds the decisions (rookgw::Brain) with what happens, carries out what they decide
-// and settles how it ends. Here it is kept that each branch has exactly one outcome and each transaction
-// exactly one final answer, whatever comes twice, late or out of order.
+// The transaction table: feeds the decisions (rookgw::Scheduler) with what happens, carries out what they
+// decide and settles how it ends. Here it is kept that each branch has exactly one outcome and each
+// transaction exactly one final answer, whatever comes twice, late or out of order.
 #pragma once
 
 #include <deque>
--- a/src/decisions/brain.cpp
+++ b/src/decisions/brain.cpp
@@ -38,7 +38,7 @@
 
   void SetInstances(int instances) { s_.instances = std::max(1, instances); }
 
-  Holdings holdings() const { return {workers_.size(), requests_.size(), waiting_.size(), keys_.size()}; }
+  TableSizes sizes() const { return {workers_.size(), requests_.size(), waiting_.size(), keys_.size()}; }
 
  private:
   void On(const RequestArrived& e) {
@@ -202,6 +202,6 @@
 
 int Scheduler::AddClass(ClassSettings added) { return impl_->AddClass(std::move(added)); }
 void Scheduler::SetInstances(int instances) { impl_->SetInstances(instances); }
-Holdings Scheduler::holdings() const { return impl_->holdings(); }
+TableSizes Scheduler::sizes() const { return impl_->sizes(); }
 
 }  // namespace rookgw
--- a/src/decisions/check.h
+++ b/src/decisions/check.h
@@ -1,4 +1,5 @@
-// Checks settings before a Brain is built on them, so that no decision needs to ask whether they make sense.
+// Checks settings before a Scheduler is built on them, so that no decision needs to ask whether they make
+// sense.
 #pragma once
 
 #include "rookgw/brain.h"
--- a/src/decisions/ring.h
+++ b/src/decisions/ring.h
@@ -5,9 +5,9 @@
 
 namespace rookgw::internal {
 
-class Ring : public Testbed {
+class Ring : public DecisionState {
  protected:
-  using Testbed::Testbed;
+  using DecisionState::DecisionState;
 
   void TakeList(const ListChanged& e) {
     if (e.form == ListChanged::Form::kFailed) {
--- a/src/decisions/settings.h
+++ b/src/decisions/settings.h
@@ -32,8 +32,8 @@
   bool may_tell = false;         // nodes may send one another messages
 };
 
-// Throws SettingsError where a Brain could not be built on the settings or one contradicts another. Keys that
-// are not known are passed over, missing optional ones keep their defaults.
+// Throws SettingsError where a Scheduler could not be built on the settings or one contradicts another. Keys
+// that are not known are passed over, missing optional ones keep their defaults.
 Site ReadSettings(const nlohmann::json& object);
 Site ParseSettings(std::string_view json);
 
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -106,9 +106,9 @@
   Time seen = 0, shrunk = 0;
   std::size_t width = 1, windows = 1;  // windows: walks that pass its whole set
 };
-class Testbed {
+class DecisionState {
  public:
-  Testbed(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {}
+  DecisionState(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {}
 
   std::vector<Action>* out = nullptr;
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -58,7 +58,7 @@
 void FailureDetector::CheckWatched(Time now, const std::string& name, Watch& watch, Findings* findings) {
   Entry& entry = *table_.Find(name);
   if (!IsLive(entry.record)) return;
-  if (entry.last_heard > watch.since) watch.timeout = 1;
+  if (entry.last_heard > watch.since) watch.timeout_multiplier = 1;
   const Time silence = now - LastSign(entry, watch);
   if (silence >= PingAfter() && now >= watch.next_ping) {
     watch.next_ping = now + kBetweenPings;
@@ -141,7 +141,7 @@
   const auto watch = watches_.find(name);
   if (watch == watches_.end()) return;
   watch->second.since = now;
-  watch->second.timeout = std::min(watch->second.timeout * 2, kMaxMultiplier);
+  watch->second.timeout_multiplier = std::min(watch->second.timeout_multiplier * 2, kMaxMultiplier);
 }
 
 }  // namespace lichenlug::membership_ring
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -45,8 +45,8 @@
   struct Watch {
     Time since = 0;
     Time next_ping = 0;
-    int timeout = 1;      // multiplies the time until it is accused
-    bool probed = false;  // not a predecessor
+    int timeout_multiplier = 1;  // multiplies the time until it is accused
+    bool probed = false;         // not a predecessor
   };
 
   void FollowRing(Time now);
@@ -54,7 +54,7 @@
   void CheckSuspects(Time now, Findings* findings);
   bool MonitorsAgree(const Entry& entry) const;
   Time LastSign(const Entry& entry, const Watch& watch) const;
-  Time SuspectAfter(const Watch& watch) const { return settings_.suspect_after * watch.timeout; }
+  Time SuspectAfter(const Watch& watch) const { return settings_.suspect_after * watch.timeout_multiplier; }
   Time DeadAfter(const Watch& watch) const {
     return SuspectAfter(watch) + settings_.dead_after - settings_.suspect_after;
   }
--- a/src/quarantine/decisions.cpp
+++ b/src/quarantine/decisions.cpp
@@ -50,7 +50,7 @@
   if (dots_.size() < kMax && (at == dots_.end() || at->by != dot.by)) dots_.insert(at, dot);
 }
 
-Decisions::Dot Decisions::MemberStatus(std::uint32_t now) const {
+Decisions::Dot Decisions::Current(std::uint32_t now) const {
   Dot strongest;
   for (const Dot& dot : dots_)
     if (Stands(dot, now) &&
--- a/src/quarantine/decisions.h
+++ b/src/quarantine/decisions.h
@@ -37,7 +37,7 @@
   void Load(const Dot& dot);           // of a register read from bytes
 
   // The strongest that stands at this time (Unix seconds).
-  Dot MemberStatus(std::uint32_t now) const;
+  Dot Current(std::uint32_t now) const;
   const std::vector<Dot>& dots() const { return dots_; }
   bool operator==(const Decisions&) const = default;
 
--- a/src/quarantine/pages.cpp
+++ b/src/quarantine/pages.cpp
@@ -40,7 +40,7 @@
            {"runners_lost", ticket.strikes()},
            {"failed_trials", ticket.failed_trials},
            {"evidence", std::round(ticket.evidence.Sum(now) * 10) / 10}};
-  const Decisions::Dot status = ticket.decisions.MemberStatus(UnixSeconds(now));
+  const Decisions::Dot status = ticket.decisions.Current(UnixSeconds(now));
   if (const std::uint32_t until = status.what == Decided::kDiscarded ? status.until : ticket.condemned_until)
     row["until"] = until;
   return row;
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -28,14 +28,13 @@
   if (ticket == nullptr) return {};
   const State state = ticket->StateAt(now);
   const std::uint32_t until =
-      std::max(ticket->condemned_until, ticket->decisions.MemberStatus(UnixSeconds(now)).until);
+      std::max(ticket->condemned_until, ticket->decisions.Current(UnixSeconds(now)).until);
   switch (state) {
     case State::kWatched:
       return {};
     case State::kDiscarded:
       ++counters_.refused;
-      return {.what = Verdict::What::kDiscarded,
-              .until = ticket->decisions.MemberStatus(UnixSeconds(now)).until};
+      return {.what = Verdict::What::kDiscarded, .until = ticket->decisions.Current(UnixSeconds(now)).until};
     case State::kQuarantined:
       ++counters_.refused;
       return {.what = Verdict::What::kQuarantined, .until = until};
--- a/src/quarantine/quarantine_shared.cpp
+++ b/src/quarantine/quarantine_shared.cpp
@@ -68,7 +68,7 @@
 bool Quarantine::Learn(const Fingerprint& job, const Ticket& heard, Time now) {
   const std::uint32_t today = UnixSeconds(now);
   if (heard.condemned_until > today + kHold + kClocksApart ||
-      heard.decisions.MemberStatus(today).until > today + kLongestDiscard + kClocksApart) {
+      heard.decisions.Current(today).until > today + kLongestDiscard + kClocksApart) {
     ++counters_.malformed;
     return false;
   }
@@ -152,7 +152,7 @@
   if (ticket == nullptr || ticket->tenant != tenant) return {.what = Owned::What::kNotFound};
   if (until <= UnixSeconds(now) || until > UnixSeconds(now) + kLongestDiscard)
     return Answer(job, *ticket, Owned::What::kBadEnd, now);
-  const Decisions::Dot status = ticket->decisions.MemberStatus(UnixSeconds(now));
+  const Decisions::Dot status = ticket->decisions.Current(UnixSeconds(now));
   if (status.what == Decided::kDiscarded && status.until == until) {
     gossip_.CountHolders(job, *ticket, now);
     return Answer(job, *ticket, Owned::What::kDone, now);
--- a/src/quarantine/ticket.cpp
+++ b/src/quarantine/ticket.cpp
@@ -45,7 +45,7 @@
 }
 
 State Ticket::StateAt(Time now) const {
-  const Decided decided = decisions.MemberStatus(UnixSeconds(now)).what;
+  const Decided decided = decisions.Current(UnixSeconds(now)).what;
   if (decided == Decided::kDiscarded) return State::kDiscarded;
   if (decided == Decided::kPutBack) return State::kQuarantined;
   if (condemned(now)) {
--- a/src/routing/decisions.h
+++ b/src/routing/decisions.h
@@ -1,5 +1,5 @@
-// The decision module (rookgw::Brain) at work in the system: one a service, fed with arrivals, what the data
-// plane sees of its exchanges with runners, and the table of runners; only runners that hold a request's
+// The decision module (rookgw::Scheduler) at work in the system: one a service, fed with arrivals, what the
+// data plane sees of its exchanges with runners, and the table of runners; only runners that hold a request's
 // model and adapter are eligible. Also the retry budget. Events in, decisions out; no I/O, no clock.
 #pragma once
 
--- a/src/routing/service_brain.h
+++ b/src/routing/service_brain.h
@@ -45,7 +45,7 @@
 
   int ClassOf(const ClassKey& key);  // a new one where there is none like it
   void SetLiveDispatchers(int live) { scheduler_.SetInstances(live); }
-  bool idle() const { return scheduler_.holdings().requests == 0; }
+  bool idle() const { return scheduler_.sizes().requests == 0; }
 
  private:
   void KeepTimers(Time now, std::size_t from, std::vector<rookgw::Action>* actions);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -644,7 +644,7 @@
   EXPECT_EQ(node.actions.size(), before);
   const std::string worker = node.Ask(1);
   node.Ended(1, worker, Outcome::kServed, 5);  // an attempt never sent
-  EXPECT_EQ(node.scheduler.holdings().requests, 1u);
+  EXPECT_EQ(node.scheduler.sizes().requests, 1u);
   EXPECT_EQ(node.Ask(1), "");  // a repeated id
   node.now -= kSecond;         // time going backwards counts as standing still
   EXPECT_NE(node.Ask(2), "");
@@ -654,7 +654,7 @@
   Node node;
   EXPECT_THROW(node.Ask(1, 7, 9), std::out_of_range);
   EXPECT_THROW(node.Ask(2, 7, kUnsafeClass, 3), std::out_of_range);
-  EXPECT_EQ(node.scheduler.holdings().requests, 0u);
+  EXPECT_EQ(node.scheduler.sizes().requests, 0u);
 }
 
 TEST(Library, MemoryStaysBoundedOverOneOffKeysAndWorkersThatComeAndGo) {
@@ -673,10 +673,10 @@
     node.actions.clear();
     node.now += kSecond;
   }
-  EXPECT_EQ(node.scheduler.holdings().requests, 0u);
-  EXPECT_EQ(node.scheduler.holdings().waiting, 0u);
-  EXPECT_LE(node.scheduler.holdings().keys, 20000u);
-  EXPECT_LE(node.scheduler.holdings().workers, 1000u);
+  EXPECT_EQ(node.scheduler.sizes().requests, 0u);
+  EXPECT_EQ(node.scheduler.sizes().waiting, 0u);
+  EXPECT_LE(node.scheduler.sizes().keys, 20000u);
+  EXPECT_LE(node.scheduler.sizes().workers, 1000u);
 }
 
 }  // namespace
--- a/tests/node.h
+++ b/tests/node.h
@@ -1,4 +1,4 @@
-// A node under test: settings as most tests want them, and a Brain with its clock, list and actions.
+// A node under test: settings as most tests want them, and a Scheduler with its clock, list and actions.
 #pragma once
 
 #include <string>
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -285,12 +285,12 @@
   discard.Decide(3, Decided::kDiscarded, 1000);
   Decisions both = release;
   both.Merge(discard);
-  EXPECT_EQ(both.MemberStatus(1).what, Decided::kDiscarded);
+  EXPECT_EQ(both.Current(1).what, Decided::kDiscarded);
   Decisions later = both;
   later.Decide(2, Decided::kReleased, 0);
   later.Merge(discard);
   later.Merge(release);
-  EXPECT_EQ(later.MemberStatus(1).what, Decided::kReleased);
+  EXPECT_EQ(later.Current(1).what, Decided::kReleased);
 }
 
 TEST(QuarantineBytes, AnyTicketFitsADatagramAndReadsBack) {
