--- a/lab/checkpoints/policies.cpp
+++ b/lab/checkpoints/policies.cpp
@@ -142,7 +142,7 @@
     committed_ = std::max(committed_, sum);
     for (std::size_t from = 0; from < tier_.size(); ++from) {
       if (tier_[from]->DueAt() > at) continue;
-      for (const auto& word : tier_[from]->Tell(at))
+      for (const auto& word : tier_[from]->MakeDatagrams(at))
         for (std::size_t to = 0; to < tier_.size(); ++to)
           if (to != from && (word.peer == PeerProtocol::kAll || word.peer == static_cast<int>(to)) &&
               !losses_.Chance(0.05))
--- a/lab/membership/detectors.cpp
+++ b/lab/membership/detectors.cpp
@@ -21,7 +21,7 @@
   Own(const Seat& seat, Time now) : part_({seat.number, seat.tier, seat.zone}, seat.life, seat.seed, now) {}
 
   Time DueAt() const override { return part_.DueAt(); }
-  std::vector<Word> Tell(Time now) override { return part_.Tell(now); }
+  std::vector<Datagram> MakeDatagrams(Time now) override { return part_.MakeDatagrams(now); }
   bool HandleMessage(int peer, std::string_view body, Time now) override {
     return part_.HandleMessage(peer, body, now);
   }
--- a/lab/membership/heartbeat.cpp
+++ b/lab/membership/heartbeat.cpp
@@ -27,8 +27,8 @@
 
 Time Heartbeat::DueAt() const { return due_at_; }
 
-std::vector<PeerProtocol::Word> Heartbeat::Tell(Time now) {
-  std::vector<Word> words;
+std::vector<PeerProtocol::Datagram> Heartbeat::MakeDatagrams(Time now) {
+  std::vector<Datagram> words;
   if (now < due_at_) return words;
   due_at_ = std::max(due_at_ + period_, now);
   std::string body(1, left_ ? 1 : 0);
--- a/lab/membership/heartbeat.h
+++ b/lab/membership/heartbeat.h
@@ -21,7 +21,7 @@
   Heartbeat(const Settings& settings, const Seat& seat, Time now);
 
   Time DueAt() const override;
-  std::vector<Word> Tell(Time now) override;
+  std::vector<Datagram> MakeDatagrams(Time now) override;
   bool HandleMessage(int peer, std::string_view body, Time now) override;
   void Beat(Time now) override;
   void Leave(Time now) override;
--- a/lab/membership/net.cpp
+++ b/lab/membership/net.cpp
@@ -176,7 +176,7 @@
   for (int i = 0; i < kMaxRounds; ++i) {
     const Time due = m.part->DueAt();
     if (due == 0 || due > now_) break;
-    for (const PeerProtocol::Word& word : m.part->Tell(now_)) {
+    for (const PeerProtocol::Datagram& word : m.part->MakeDatagrams(now_)) {
       if (word.peer != PeerProtocol::kAll) {
         Send(member, word.peer, word.body);
         continue;
--- a/lab/membership/phi.cpp
+++ b/lab/membership/phi.cpp
@@ -37,7 +37,7 @@
   out_.push_back({peer, std::move(body)});
 }
 
-std::vector<PeerProtocol::Word> Phi::Tell(Time now) {
+std::vector<PeerProtocol::Datagram> Phi::MakeDatagrams(Time now) {
   if (now >= due_at_) {
     due_at_ = std::max(due_at_ + settings_.period, now);
     if (rumours_.Of(seat_.number).status != MemberStatus::kLeft)
--- a/lab/membership/phi.h
+++ b/lab/membership/phi.h
@@ -29,7 +29,7 @@
   Phi(const Settings& settings, const Seat& seat, Time now);
 
   Time DueAt() const override { return out_.empty() ? due_at_ : started_; }
-  std::vector<Word> Tell(Time now) override;
+  std::vector<Datagram> MakeDatagrams(Time now) override;
   bool HandleMessage(int peer, std::string_view body, Time now) override;
   void Beat(Time now) override;
   void Leave(Time now) override;
@@ -57,7 +57,7 @@
   std::vector<Time> told_;        // by number: when it was last told that it does not count
   Time due_at_, look_at_ = 0;
   bool joining_ = true;
-  std::vector<Word> out_;
+  std::vector<Datagram> out_;
 };
 
 }  // namespace lichenlug::lab
--- a/lab/membership/swim.cpp
+++ b/lab/membership/swim.cpp
@@ -52,7 +52,7 @@
   return due;
 }
 
-std::vector<PeerProtocol::Word> Swim::Tell(Time now) {
+std::vector<PeerProtocol::Datagram> Swim::MakeDatagrams(Time now) {
   if (rumours_.Of(seat_.number).status != MemberStatus::kLeft) {
     CheckProbes(now);
     if (now >= period_at_) Period(now);
--- a/lab/membership/swim.h
+++ b/lab/membership/swim.h
@@ -34,7 +34,7 @@
   Swim(const Settings& settings, const Seat& seat, Time now);
 
   Time DueAt() const override;
-  std::vector<Word> Tell(Time now) override;
+  std::vector<Datagram> MakeDatagrams(Time now) override;
   bool HandleMessage(int peer, std::string_view body, Time now) override;
   void Beat(Time now) override;
   void Leave(Time now) override;
@@ -85,7 +85,7 @@
   std::map<std::uint16_t, Help> helping_;  // by the number of the own ping
   std::vector<Suspicion> suspicions_;
   std::vector<int> turn_;
-  std::vector<Word> out_;
+  std::vector<Datagram> out_;
 };
 
 }  // namespace lichenlug::lab
--- a/lab/quarantine/day.cpp
+++ b/lab/quarantine/day.cpp
@@ -139,7 +139,7 @@
   At(wake, [this, dispatcher, at = wake] {
     if (wakes_[static_cast<std::size_t>(dispatcher)] != at) return;
     wakes_[static_cast<std::size_t>(dispatcher)] = 0;
-    holding_->Tell(dispatcher, now_, [&](int to, const std::string& body) {
+    holding_->MakeDatagrams(dispatcher, now_, [&](int to, const std::string& body) {
       bytes_ += body.size();
       if (ways_.Chance(0.01)) return;
       At(now_ + static_cast<Time>(ways_.Between(5, 20) * kMillisecond), [this, dispatcher, to, body] {
--- a/lab/quarantine/holding.cpp
+++ b/lab/quarantine/holding.cpp
@@ -75,8 +75,9 @@
     Of(dispatcher).Ended(job, runner, outcome, now);
   }
   Time DueAt(int dispatcher) const override { return all_[static_cast<std::size_t>(dispatcher)]->DueAt(); }
-  Time Tell(int dispatcher, Time now, const std::function<void(int, const std::string&)>& send) override {
-    for (const PeerProtocol::Word& word : Of(dispatcher).Tell(now)) {
+  Time MakeDatagrams(int dispatcher, Time now,
+                     const std::function<void(int, const std::string&)>& send) override {
+    for (const PeerProtocol::Datagram& word : Of(dispatcher).MakeDatagrams(now)) {
       if (word.peer != PeerProtocol::kAll) {
         send(word.peer, word.body);
         continue;
--- a/lab/quarantine/holding.h
+++ b/lab/quarantine/holding.h
@@ -25,7 +25,7 @@
   virtual void Began(int, const Job&, Time) {}
   virtual void Ended(int dispatcher, const Job& job, const Runner& runner, Outcome outcome, Time now) = 0;
   // Sends what is due at a dispatcher; gives when it is due again, 0: never.
-  virtual Time Tell(int, Time, const std::function<void(int, const std::string&)>&) { return 0; }
+  virtual Time MakeDatagrams(int, Time, const std::function<void(int, const std::string&)>&) { return 0; }
   virtual Time DueAt(int) const { return 0; }
   virtual void HandleMessage(int, int, const std::string&, Time) {}
   virtual std::vector<Fingerprint> Condemned(Time) const { return {}; }
--- a/lab/tests/membership_lab_test.cpp
+++ b/lab/tests/membership_lab_test.cpp
@@ -39,7 +39,7 @@
     for (int n = 0; n < seat.tier; ++n) view_.members.push_back({n, -1, MemberStatus::kAlive, 0});
   }
   Time DueAt() const override { return due_; }
-  std::vector<Word> Tell(Time now) override {
+  std::vector<Datagram> MakeDatagrams(Time now) override {
     due_ = now + 100 * kMillisecond;
     std::string body;
     Put(&body, static_cast<std::uint64_t>(++told_), 4);
--- a/src/base/tier.h
+++ b/src/base/tier.h
@@ -66,14 +66,14 @@
   static constexpr int kAll = -1;               // to every member that counts
   static constexpr std::size_t kMaxBody = 254;  // bytes: a datagram of 256 less head and padding
 
-  struct Word {
+  struct Datagram {
     int peer = kAll;
     std::string body;  // 1 to kMaxBody bytes; may come with one zero byte behind it
   };
 
   virtual ~PeerProtocol() = default;
   virtual Time DueAt() const = 0;  // when something is to be told; 0: nothing is
-  virtual std::vector<Word> Tell(Time now) = 0;
+  virtual std::vector<Datagram> MakeDatagrams(Time now) = 0;
   // False: malformed, or of a version not known. It then has changed nothing.
   virtual bool HandleMessage(int peer, std::string_view body, Time now) = 0;
   virtual void TierChanged(const TierView&, Time) {}
--- a/src/checkpoints/checkpoints.cpp
+++ b/src/checkpoints/checkpoints.cpp
@@ -231,8 +231,8 @@
   return told;
 }
 
-std::vector<PeerProtocol::Word> Checkpoints::Tell(Time now) {
-  std::vector<Word> words;
+std::vector<PeerProtocol::Datagram> Checkpoints::MakeDatagrams(Time now) {
+  std::vector<Datagram> words;
   std::swap(words, answers_);
   std::string body(1, kLivesWord);
   const auto flush = [&](int peer) {
@@ -266,7 +266,7 @@
       turn_ = at == facts_.lives().end() ? LifeKey{} : at->first;
     }
   }
-  for (Word& word : lending_.Asks(tier_, now)) words.push_back(std::move(word));
+  for (Datagram& word : lending_.Asks(tier_, now)) words.push_back(std::move(word));
   due_ = next_turn_;
   for (const auto& [key, at] : news_) due_ = std::min(due_, at);
   return words;
--- a/src/checkpoints/checkpoints.h
+++ b/src/checkpoints/checkpoints.h
@@ -69,7 +69,7 @@
   std::vector<std::pair<JobId, SavePlan>> Retold(Time now);
 
   Time DueAt() const override { return due_; }
-  std::vector<Word> Tell(Time now) override;
+  std::vector<Datagram> MakeDatagrams(Time now) override;
   bool HandleMessage(int peer, std::string_view body, Time now) override;
   void TierChanged(const TierView& view, Time now) override;
 
@@ -107,7 +107,7 @@
   std::minstd_rand random_;
   Time due_, next_turn_, dealt_ = 0;
   std::uint64_t refused_ = 0;
-  std::vector<Word> answers_;
+  std::vector<Datagram> answers_;
 };
 
 }  // namespace lichenlug
--- a/src/checkpoints/lending.cpp
+++ b/src/checkpoints/lending.cpp
@@ -68,8 +68,8 @@
   if (more_ > 0) next_ask_ = std::max(next_ask_, now);
 }
 
-std::vector<PeerProtocol::Word> Lending::Asks(const TierView& tier, Time now) {
-  std::vector<PeerProtocol::Word> words;
+std::vector<PeerProtocol::Datagram> Lending::Asks(const TierView& tier, Time now) {
+  std::vector<PeerProtocol::Datagram> words;
   // What is borrowed and in use is asked for again before it ends.
   Amount borrowed = 0;
   for (const auto& [peer, lender] : lenders_)
@@ -104,13 +104,14 @@
 }
 
 bool Lending::HandleMessage(int peer, std::string_view body, Time now,
-                            std::vector<PeerProtocol::Word>* answers) {
+                            std::vector<PeerProtocol::Datagram>* answers) {
   if (body.empty() || peer == number_ || peer < 0 || peer >= tier_) return false;
   if (body[0] == kAskWord) return Fits(body, kAskBytes) && HearAsk(peer, body.substr(1), now, answers);
   return body[0] == kGrantWord && Fits(body, kGrantBytes) && HearGrant(peer, body.substr(1), now);
 }
 
-bool Lending::HearAsk(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Word>* answers) {
+bool Lending::HearAsk(int peer, std::string_view body, Time now,
+                      std::vector<PeerProtocol::Datagram>* answers) {
   const auto ask = static_cast<std::uint32_t>(Take(&body, 4));
   const std::uint64_t life = Take(&body, 8);
   const auto asked = static_cast<Amount>(Take(&body, 8));
--- a/src/checkpoints/lending.h
+++ b/src/checkpoints/lending.h
@@ -52,9 +52,9 @@
   // A dispatcher to which a unit is worth more has asked for this: to be freed before End.
   Amount Yield(Time now) const { return now < yield_until_ ? yield_ : 0; }
 
-  std::vector<PeerProtocol::Word> Asks(const TierView& tier, Time now);
+  std::vector<PeerProtocol::Datagram> Asks(const TierView& tier, Time now);
   // The answer, if there is one. False: malformed.
-  bool HandleMessage(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Word>* answers);
+  bool HandleMessage(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Datagram>* answers);
 
   static constexpr char kAskWord = 2, kGrantWord = 3;
 
@@ -75,7 +75,7 @@
     Time end = 0;
   };
 
-  bool HearAsk(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Word>* answers);
+  bool HearAsk(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Datagram>* answers);
   bool HearGrant(int peer, std::string_view body, Time now);
   Amount LentOut(Time now) const;
 
--- a/src/peers/holdings.cpp
+++ b/src/peers/holdings.cpp
@@ -45,10 +45,10 @@
   Due(now);
 }
 
-std::vector<Holdings::Datagram> Holdings::Tell(Time now) {
+std::vector<Holdings::Datagram> Holdings::MakeDatagrams(Time now) {
   std::vector<Datagram> all;
   if (relay_) {
-    for (Relay::Datagram& datagram : relay_->Tell(now))
+    for (Relay::Datagram& datagram : relay_->MakeDatagrams(now))
       all.push_back({kNoZone, std::move(datagram.bytes), datagram.peer});
     return all;
   }
--- a/src/peers/holdings.h
+++ b/src/peers/holdings.h
@@ -70,7 +70,7 @@
   Time DueAt() const { return relay_ ? relay_->DueAt() : due_at_; }
 
   // What is to be told now; empty when nothing is.
-  std::vector<Datagram> Tell(Time now);
+  std::vector<Datagram> MakeDatagrams(Time now);
   // To all: asks for an answer while this one is short of peers. To one that is to be greeted: asks while its
   // zone is not known.
   std::string Greeting() const;
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -79,11 +79,11 @@
     judge_.Show(&view_);
   }
 
-  std::vector<Word> Tell() {
+  std::vector<Datagram> MakeDatagrams() {
     if (farewells_ > 0) SayFarewell();
     if (!Own().left) Probe();
     Push();
-    std::vector<Word> words;
+    std::vector<Datagram> words;
     for (auto& [peer, body] : here_.out.Take()) words.push_back({peer, std::move(body)});
     return words;
   }
@@ -312,9 +312,9 @@
 void Membership::Beat(Time now) { state_->Pass(now); }
 Time Membership::DueAt() const { return state_->DueAt(); }
 
-std::vector<PeerProtocol::Word> Membership::Tell(Time now) {
+std::vector<PeerProtocol::Datagram> Membership::MakeDatagrams(Time now) {
   state_->Pass(now);
-  return state_->Tell();
+  return state_->MakeDatagrams();
 }
 
 bool Membership::HandleMessage(int peer, std::string_view body, Time now) {
--- a/src/peers/membership.h
+++ b/src/peers/membership.h
@@ -39,7 +39,7 @@
   void Beat(Time now);
 
   Time DueAt() const override;
-  std::vector<Word> Tell(Time now) override;
+  std::vector<Datagram> MakeDatagrams(Time now) override;
   bool HandleMessage(int peer, std::string_view body, Time now) override;
 
   // As of the last call that was given a time.
--- a/src/peers/relay.cpp
+++ b/src/peers/relay.cpp
@@ -118,7 +118,7 @@
     for (const auto& [runner, slots] : group->held) Change(runner, SlotsToSay(slots), now);
 }
 
-std::vector<Relay::Datagram> Relay::Tell(Time now) {
+std::vector<Relay::Datagram> Relay::MakeDatagrams(Time now) {
   std::vector<Datagram> all;
   if (due_at_ == 0 || now < due_at_) return all;
   due_at_ = 0;
--- a/src/peers/relay.h
+++ b/src/peers/relay.h
@@ -66,7 +66,7 @@
   void Failed(const std::string& runner, int cls, Time now);
 
   Time DueAt() const { return due_at_; }  // 0: nothing is to be told
-  std::vector<Datagram> Tell(Time now);
+  std::vector<Datagram> MakeDatagrams(Time now);
 
   // A word, a digest or the members of a peer. False: older than the last one, or it makes no sense.
   bool HandleMessage(int peer, std::string_view bytes, Time now);
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -61,7 +61,7 @@
 }
 
 void PeerTransport::Send() {
-  for (const Holdings::Datagram& datagram : holdings_->Tell(deadlines_->Now())) {
+  for (const Holdings::Datagram& datagram : holdings_->MakeDatagrams(deadlines_->Now())) {
     std::error_code lost;
     if (datagram.peer != kUnheard) {
       socket_.send_to(asio::buffer(datagram.bytes), settings_.peers.at(datagram.peer), 0, lost);
--- a/src/quarantine/gossip.cpp
+++ b/src/quarantine/gossip.cpp
@@ -104,8 +104,8 @@
   return drawn;
 }
 
-std::vector<PeerProtocol::Word> Gossip::Tell(const Table& table, Time now) {
-  std::vector<PeerProtocol::Word> words = std::move(answers_);
+std::vector<PeerProtocol::Datagram> Gossip::MakeDatagrams(const Table& table, Time now) {
+  std::vector<PeerProtocol::Datagram> words = std::move(answers_);
   answers_.clear();
   if (peers_.empty()) return words;
   TellToAll(table, now, &words);
@@ -119,7 +119,7 @@
   return words;
 }
 
-void Gossip::TellToAll(const Table& table, Time now, std::vector<PeerProtocol::Word>* words) {
+void Gossip::TellToAll(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
   if (budget_at_ != 0)
     budget_ = std::min(kToAllBytesAtMost,
                        budget_ + kToAllBytesASecond * static_cast<double>(now - budget_at_) / kSecond);
@@ -136,7 +136,7 @@
   }
 }
 
-void Gossip::TellRound(const Table& table, Time now, std::vector<PeerProtocol::Word>* words) {
+void Gossip::TellRound(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
   Packer packer(kTickets);
   for (std::size_t turns = turns_.size(); turns > 0; --turns) {
     const Fingerprint job = turns_.front();
@@ -153,7 +153,7 @@
     for (const std::string& body : packer.bodies()) words->push_back({peer, body});
 }
 
-void Gossip::TellLacking(const Table& table, Time now, std::vector<PeerProtocol::Word>* words) {
+void Gossip::TellLacking(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
   if (lacking_.empty()) return;
   const int peer = lacking_.front().first;
   Packer packer(kTickets);
@@ -165,7 +165,7 @@
   for (const std::string& body : packer.bodies()) words->push_back({peer, body});
 }
 
-void Gossip::AskHolders(const Table& table, Time now, std::vector<PeerProtocol::Word>* words) {
+void Gossip::AskHolders(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
   for (auto& [job, it] : waiting_) {
     if (it.asks >= kMaxAsks || now < it.next) continue;
     const Ticket* ticket = table.Find(job);
@@ -185,7 +185,7 @@
   }
 }
 
-void Gossip::Compare(const Table& table, Time now, std::vector<PeerProtocol::Word>* words) {
+void Gossip::Compare(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
   next_compare_ = now + (fresh_compares_ > 0 ? kCompareFresh : kCompare);
   fresh_compares_ = std::max(fresh_compares_ - 1, 0);
   std::string body = Head(kSums);
--- a/src/quarantine/gossip.h
+++ b/src/quarantine/gossip.h
@@ -49,7 +49,7 @@
   int Holders(const Fingerprint& job, const Ticket& ticket) const;  // with this one
 
   Time DueAt(Time now) const;
-  std::vector<PeerProtocol::Word> Tell(const Table& table, Time now);
+  std::vector<PeerProtocol::Datagram> MakeDatagrams(const Table& table, Time now);
   // False: malformed. Tickets are handed out to be merged; Arrived is to be called for those wanted that
   // were.
   bool HandleMessage(int peer, std::string_view body, const Table& table, Time now,
@@ -68,11 +68,11 @@
 
   int Retold() const;
   std::vector<int> Draw(int count);
-  void TellToAll(const Table& table, Time now, std::vector<PeerProtocol::Word>* words);
-  void TellRound(const Table& table, Time now, std::vector<PeerProtocol::Word>* words);
-  void TellLacking(const Table& table, Time now, std::vector<PeerProtocol::Word>* words);
-  void AskHolders(const Table& table, Time now, std::vector<PeerProtocol::Word>* words);
-  void Compare(const Table& table, Time now, std::vector<PeerProtocol::Word>* words);
+  void TellToAll(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
+  void TellRound(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
+  void TellLacking(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
+  void AskHolders(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
+  void Compare(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
   bool HearTickets(std::string_view body, bool wanted, Time now, std::vector<Heard>* tickets) const;
   void Answer(int peer, std::string body);
   void Send(int peer, int leaf, const Table& table);
@@ -89,7 +89,7 @@
   std::deque<Fingerprint> urgent_;
   std::deque<std::pair<int, Fingerprint>> lacking_;  // by whom
   std::map<Fingerprint, Waiting> waiting_;
-  std::vector<PeerProtocol::Word> answers_;
+  std::vector<PeerProtocol::Datagram> answers_;
   Time next_round_ = 0, next_compare_ = 0, budget_at_ = 0;
   double budget_ = kToAllBytesAtMost;
   int fresh_compares_ = 50;  // after the start, until much has been heard
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,8 +1,8 @@
 // Which jobs kill runners, held back by the whole tier, released or discarded by their owners.
 //
 // How a dispatcher uses it: it makes a Job of what arrived, asks Admit before each run, says Started and
-// Ended (or Dropped, when what was admitted never started), hands Tell's words to its peers and theirs to
-// Hear. A job of which nobody knows anything costs a look into a map. Nothing waits for a peer.
+// Ended (or Dropped, when what was admitted never started), hands MakeDatagrams' results to its peers and
+// theirs to Hear. A job of which nobody knows anything costs a look into a map. Nothing waits for a peer.
 //
 // Guards against a job that is sent from one runner to the next by each client's retry and each dispatcher
 // anew. From the first strong sign on, one run of it at a time is begun in the whole tier, by its home
@@ -120,7 +120,7 @@
   std::vector<Change> TakeChanges() { return std::exchange(changes_, {}); }
 
   Time DueAt() const override;
-  std::vector<Word> Tell(Time now) override;
+  std::vector<Datagram> MakeDatagrams(Time now) override;
   bool HandleMessage(int peer, std::string_view body, Time now) override;
   void TierChanged(const TierView& view, Time now) override;
 
--- a/src/quarantine/quarantine_shared.cpp
+++ b/src/quarantine/quarantine_shared.cpp
@@ -18,12 +18,12 @@
   return gossip == 0 ? pulse : std::min(gossip, pulse);
 }
 
-std::vector<PeerProtocol::Word> Quarantine::Tell(Time now) {
+std::vector<PeerProtocol::Datagram> Quarantine::MakeDatagrams(Time now) {
   now_ = now;
   Notice(now);
   MindClaims(now);
   table_.Sweep(now);
-  return gossip_.Tell(table_, now);
+  return gossip_.MakeDatagrams(table_, now);
 }
 
 void Quarantine::MindClaims(Time now) {
--- a/tests/checkpoints_test.cpp
+++ b/tests/checkpoints_test.cpp
@@ -113,7 +113,7 @@
   }
   for (int i = 0; i < 3; ++i)
     for (const auto& [from, to] : {std::pair(&a, &b), std::pair(&b, &a)})
-      for (const auto& word : from->Tell(kStart + (10 + i) * kSecond))
+      for (const auto& word : from->MakeDatagrams(kStart + (10 + i) * kSecond))
         EXPECT_TRUE(to->HandleMessage(0, word.body, kStart + 10 * kSecond));
   EXPECT_EQ(a.facts().lives(), b.facts().lives());
   int died = 0;
@@ -333,7 +333,7 @@
         if (!to.up || ((cut >> mail.from ^ cut >> mail.to) & 1) != 0 || random() % 4 == 0) continue;
         if (random() % 6 == 0)
           mails.push_back({now + static_cast<Time>(random() % 25) * kSecond, mail.from, mail.to, mail.body});
-        std::vector<PeerProtocol::Word> answers;
+        std::vector<PeerProtocol::Datagram> answers;
         RC_ASSERT(to.lending->HandleMessage(mail.from, mail.body, now, &answers));
         for (auto& word : answers)
           mails.push_back({now + static_cast<Time>(random() % 2) * kSecond, mail.to, word.peer, word.body});
@@ -371,7 +371,7 @@
     most = std::max(most, sum);
     for (int round = 0; round < 2; ++round)
       for (int i = 0; i < 4; ++i)
-        for (const auto& word : tier[static_cast<std::size_t>(i)]->Tell(now))
+        for (const auto& word : tier[static_cast<std::size_t>(i)]->MakeDatagrams(now))
           for (int to = 0; to < 4; ++to)
             if (to != i && (word.peer == to || word.peer == PeerProtocol::kAll))
               tier[static_cast<std::size_t>(to)]->HandleMessage(i, word.body, now);
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -27,11 +27,11 @@
   }
   std::string Hold(const std::string& runner, double slots, Time now) {  // and what it tells
     holdings.Hold(runner, slots, now);
-    return holdings.Tell(now).at(0).bytes;
+    return holdings.MakeDatagrams(now).at(0).bytes;
   }
   std::string Failed(int cls, Time now) {
     holdings.Failed("r1", cls, now);
-    return holdings.Tell(now).at(0).bytes;
+    return holdings.MakeDatagrams(now).at(0).bytes;
   }
 };
 
@@ -48,7 +48,7 @@
   EXPECT_EQ(a.Hold("r1", 1, 1000).size(), 3u);
   a.holdings.Hold("r1", -1, 2000);
   EXPECT_EQ(a.holdings.DueAt(), 2000 + Holdings::kGatherEnds);
-  EXPECT_TRUE(a.holdings.Tell(2000).empty());
+  EXPECT_TRUE(a.holdings.MakeDatagrams(2000).empty());
   EXPECT_EQ(a.Hold("r2", 1, 3000).size(), 5u);
   EXPECT_EQ(a.holdings.DueAt(), 0);
 }
@@ -97,7 +97,7 @@
   One a(1, 0);
   a.holdings.Name("far", 2), a.holdings.Name("nowhere", -1);
   for (const char* runner : {"r1", "far", "nowhere", "gone"}) a.holdings.Hold(runner, 1, 1);
-  const auto told = a.holdings.Tell(1);
+  const auto told = a.holdings.MakeDatagrams(1);
   ASSERT_EQ(told.size(), 2u);
   EXPECT_EQ(told[0].zone, 0);
   EXPECT_EQ(told[1].zone, 2);
@@ -109,7 +109,7 @@
   b.holdings.HandleMessage(0, a.holdings.Greeting(), 1, &greet);
   EXPECT_EQ(b.holdings.ZoneOf(0), kNoZone);
   b.holdings.Name("far", 300), b.holdings.Hold("far", 1, 1);
-  EXPECT_EQ(b.holdings.Tell(1).at(0).zone, 44);
+  EXPECT_EQ(b.holdings.MakeDatagrams(1).at(0).zone, 44);
 }
 
 TEST(Holdings, ARunnerThatLeavesAndComesBackIsHeardOfWithItsSum) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -102,7 +102,7 @@
     const auto version = self.View().version;
     const bool taken = self.HandleMessage(static_cast<int>(random() % 12) - 1, bytes, now);
     ASSERT_TRUE(taken || self.View().version == version);
-    for (const auto& word : self.Tell(now += kMillisecond))
+    for (const auto& word : self.MakeDatagrams(now += kMillisecond))
       ASSERT_LE(word.body.size(), PeerProtocol::kMaxBody);
     ASSERT_EQ(self.View().members[0].status, MemberStatus::kAlive);
   }
@@ -136,7 +136,7 @@
     }
     EXPECT_EQ(heard.held, before);
     EXPECT_EQ(older.dropped(), dropped + std::size(recorded));
-    EXPECT_TRUE(older.Tell(kSecond).empty());
+    EXPECT_TRUE(older.MakeDatagrams(kSecond).empty());
   }
 }
 
--- a/tests/quarantine_world.h
+++ b/tests/quarantine_world.h
@@ -171,7 +171,7 @@
 
  private:
   void TellOf(int i) {
-    for (const PeerProtocol::Word& word : at(i).Tell(now))
+    for (const PeerProtocol::Datagram& word : at(i).MakeDatagrams(now))
       for (int to = 0; to < size(); ++to)
         if (to != i && (word.peer == PeerProtocol::kAll || word.peer == to)) Send(i, to, word.body);
   }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -76,7 +76,7 @@
           members[i]->holdings.Fade(now);
           if (now - members[i]->greeted >= members[i]->holdings.GreetEvery()) Greet(i);
         }
-        for (const auto& datagram : members[i]->holdings.Tell(now)) {
+        for (const auto& datagram : members[i]->holdings.MakeDatagrams(now)) {
           ASSERT_LE(datagram.bytes.size(), 256u);
           Send(i, datagram.peer, datagram.bytes);
         }
@@ -312,7 +312,8 @@
   Relay relay(1, 0, 30, 0, &sums);
   for (int peer = 1; peer < 10; ++peer) relay.Met(peer, 0);
   for (int i = 0; i < 400; ++i) relay.Hold("runner-" + std::to_string(i), 1, kSecond);
-  for (const auto& datagram : relay.Tell(kSecond)) EXPECT_LE(datagram.bytes.size(), Relay::kMaxBytes);
+  for (const auto& datagram : relay.MakeDatagrams(kSecond))
+    EXPECT_LE(datagram.bytes.size(), Relay::kMaxBytes);
   ASSERT_NE(relay.HomeOf(0), 0);
   EXPECT_GT(relay.left_out(), 0u);
 }
--- a/tests/virtual_net.h
+++ b/tests/virtual_net.h
@@ -155,7 +155,7 @@
   void Serve(int i) {
     Member& it = members_[i];
     it.self->Beat(now + it.clock);
-    for (const auto& word : it.self->Tell(now + it.clock)) Send(i, word.peer, word.body);
+    for (const auto& word : it.self->MakeDatagrams(now + it.clock)) Send(i, word.peer, word.body);
     const Time due = it.self->DueAt() - it.clock;
     const Time at = std::clamp(due, now + kMillisecond, now + 100 * kMillisecond);
     if (at != it.wake_at) Wake(i, at);
