--- a/cmake/parts.cmake
+++ b/cmake/parts.cmake
@@ -7,27 +7,27 @@
 find_path(PCG_INCLUDE pcg_random.hpp REQUIRED)
 find_library(XXHASH_LIBRARY xxhash REQUIRED)
 
-house_library(lichenlug_membership
-              SOURCES src/peers/membership.cpp src/peers/membership_facts.cpp src/peers/membership_judge.cpp
-                      src/peers/membership_probe.cpp src/peers/membership_table.cpp src/peers/membership_words.cpp
-              USES lichenlug_base)
+static_library(lichenlug_membership
+               SOURCES src/peers/membership.cpp src/peers/membership_facts.cpp src/peers/membership_judge.cpp
+                       src/peers/membership_probe.cpp src/peers/membership_table.cpp src/peers/membership_words.cpp
+               USES lichenlug_base)
 target_include_directories(lichenlug_membership SYSTEM PRIVATE ${XXHASH_INCLUDE})
-house_library(lichenlug_checkpoints
-              SOURCES src/checkpoints/exact.cpp src/checkpoints/facts.cpp src/checkpoints/rates.cpp src/checkpoints/choice.cpp
-                      src/checkpoints/deal.cpp src/checkpoints/lending.cpp src/checkpoints/checkpoints.cpp
-              USES lichenlug_base)
+static_library(lichenlug_checkpoints
+               SOURCES src/checkpoints/exact.cpp src/checkpoints/facts.cpp src/checkpoints/rates.cpp src/checkpoints/choice.cpp
+                       src/checkpoints/deal.cpp src/checkpoints/lending.cpp src/checkpoints/checkpoints.cpp
+               USES lichenlug_base)
 target_include_directories(lichenlug_checkpoints SYSTEM PRIVATE ${XXHASH_INCLUDE})
 # No contraction: the same facts give the same interval on every machine.
 target_compile_options(lichenlug_checkpoints PRIVATE -ffp-contract=off)
-house_library(lichenlug_quarantine
-              SOURCES src/quarantine/fingerprint.cpp src/quarantine/evidence.cpp src/quarantine/background.cpp
-                      src/quarantine/decisions.cpp src/quarantine/ticket.cpp src/quarantine/codec.cpp
-                      src/quarantine/table.cpp src/quarantine/homes.cpp src/quarantine/gossip.cpp
-                      src/quarantine/gossip_hear.cpp src/quarantine/quarantine.cpp src/quarantine/quarantine_shared.cpp
-                      src/quarantine/snapshot.cpp src/quarantine/pages.cpp
-              USES lichenlug_base PRIVATE nlohmann_json::nlohmann_json)
+static_library(lichenlug_quarantine
+               SOURCES src/quarantine/fingerprint.cpp src/quarantine/evidence.cpp src/quarantine/background.cpp
+                       src/quarantine/decisions.cpp src/quarantine/ticket.cpp src/quarantine/codec.cpp
+                       src/quarantine/table.cpp src/quarantine/homes.cpp src/quarantine/gossip.cpp
+                       src/quarantine/gossip_hear.cpp src/quarantine/quarantine.cpp src/quarantine/quarantine_shared.cpp
+                       src/quarantine/snapshot.cpp src/quarantine/pages.cpp
+               USES lichenlug_base PRIVATE nlohmann_json::nlohmann_json)
 target_include_directories(lichenlug_quarantine SYSTEM PUBLIC ${PCG_INCLUDE} PRIVATE ${XXHASH_INCLUDE})
-house_library(lichenlug_quarantine_store SOURCES src/quarantine/store.cpp)
+static_library(lichenlug_quarantine_store SOURCES src/quarantine/store.cpp)
 
 # As lab_library of lab/CMakeLists.txt.
 function(parts_lab_library name)
--- a/cmake/system.cmake
+++ b/cmake/system.cmake
@@ -18,10 +18,10 @@
     target_link_libraries(system_${name} INTERFACE ${ARG_USES})
     return()
   endif()
-  house_library(system_${name} SOURCES ${sources} USES ${ARG_USES} PRIVATE ${ARG_PRIVATE})
+  static_library(system_${name} SOURCES ${sources} USES ${ARG_USES} PRIVATE ${ARG_PRIVATE})
 endfunction()
 
-# Committed generated code (scripts/generate-messages), without the house's warnings.
+# Committed generated code (scripts/generate-messages), compiled without the project's warning flags.
 file(GLOB message_sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/src/messages/generated/*.pb.cc)
 add_library(system_messages STATIC ${message_sources})
 target_include_directories(system_messages SYSTEM PUBLIC ${CMAKE_CURRENT_SOURCE_DIR}/src/messages/generated)
