--- a/lab/system/loop.h
+++ b/lab/system/loop.h
@@ -18,7 +18,7 @@
   asio::io_context& io() { return io_; }
   Time Now() const { return clock_.Now(); }
 
-  // Serves events until `condition` holds; false: it did not within `patience`.
+  // Serves events until `condition` holds; false: it did not within `timeout`.
   bool RunUntil(const Condition& condition, Time timeout) {
     const Time deadline = Now() + timeout;
     while (!condition()) {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -2,7 +2,8 @@
 //
 // How a dispatcher uses it: it makes a Job of what arrived, asks Admit before each run, says Started and
 // Ended (or Dropped, when what was admitted never started), hands MakeDatagrams' results to its peers and
-// theirs to Hear. A job of which nobody knows anything costs a look into a map. Nothing waits for a peer.
+// theirs to HandleMessage. A job of which nobody knows anything costs a look into a map. Nothing waits for a
+// peer.
 //
 // Guards against a job that is sent from one runner to the next by each client's retry and each dispatcher
 // anew. From the first strong sign on, one run of it at a time is begun in the whole tier, by its home
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -226,7 +226,7 @@
   EXPECT_EQ(full.quarantine.counters().no_room, 2u);
 }
 
-// Random tickets for the laws; `world` makes them agree on whatever is one fact.
+// Random tickets for the laws; `testbed` makes them agree on whatever is one fact.
 Ticket RandomTicket(pcg32* random) {
   const auto draw = [&](std::uint32_t below) { return (*random)(below); };
   Ticket it;
