--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -226,7 +226,7 @@
   EXPECT_EQ(full.quarantine.counters().no_room, 2u);
 }
 
-// Random tickets for the laws; `testbed` makes them agree on whatever is one fact.
+// Random tickets for the laws of merging; a decision that is one fact is the same in each of them.
 Ticket RandomTicket(pcg32* random) {
   const auto draw = [&](std::uint32_t below) { return (*random)(below); };
   Ticket it;
