--- a/include/rookgw/brain.h
+++ b/include/rookgw/brain.h
@@ -1,12 +1,13 @@
 // The decisions of one dispatcher node: types, events, actions and class Scheduler.
 //
-// A Scheduler is told the time and one event at a time and appends what is to be done. It does no I/O, reads
-// no clock, starts no thread and shares nothing with other instances, so it can be driven by a node, a test
-// or a simulator alike. The same settings, seed and events always give the same actions.
+// A Scheduler receives one event at a time, with the current time, and appends the resulting actions to a
+// list. It does no I/O, reads no clock, starts no thread and shares no state with other instances, so that a
+// node, a test or a simulator can drive it. The same settings, seed and events always produce the same
+// actions.
 //
-// Units: times are microseconds on any clock that only goes forward; spans are microseconds; slots, memory,
-// weights and shares are plain numbers. A Scheduler is not thread-safe: give each node one and call it from
-// one thread. Strings and lists handed in are copied where they are kept.
+// Units: times are microseconds on any monotonic clock; durations are microseconds; slots, memory, weights
+// and shares are plain numbers. A Scheduler is not thread-safe: create one per node and call it from one
+// thread. Strings and lists passed in are copied if they are kept.
 #pragma once
 
 #include <array>
@@ -20,30 +21,27 @@
 
 namespace rookgw {
 
-using Time = std::int64_t;        // microseconds, a point on the caller's clock or a span
-using RequestId = std::uint64_t;  // unique within a node's life
-inline constexpr int kNone = -1;  // "no such class, zone, kind, tenant or cell"
+using Time = std::int64_t;        // microseconds: a point on the caller's clock, or a duration
+using RequestId = std::uint64_t;  // unique within the lifetime of a node
+inline constexpr int kNone = -1;  // no class, zone, kind, tenant or cell
 
-// ---- Settings: given once, at the start of a node's life -------------------------------------------------
+// ---- Settings: passed once, when a node starts -----------------------------------------------------------
 
-enum class Effect {
-  kRepeatable,
-  kKeyed,
-  kUnsafe
-};                                           // may repeat freely / within a group that drops repeats / never
-enum class KeyScope { kAll, kZone, kCell };  // the group of workers that drops a keyed request's repeats
+// Whether a request may run again: always / only in a group of workers that deduplicates by key / never.
+enum class Effect { kRepeatable, kKeyed, kUnsafe };
+enum class KeyScope { kAll, kZone, kCell };  // the group that deduplicates a keyed request
 
 struct ClassSettings {
   std::string name;
-  Time aim = 0;  // an answer within aim + stretch x own work earns the worth
+  Time aim = 0;  // an answer within aim + stretch x its run time earns the full worth
   double stretch = 0;
-  Time deadline = 0;  // how long a client waits in all
+  Time deadline = 0;  // total time that a client waits
   double worth = 1;
-  double late_value = 0;  // share of the worth kept by an answer after the aim
+  double late_value = 0;  // share of the worth that an answer after the aim still earns
   Effect effect = Effect::kUnsafe;
   KeyScope scope = KeyScope::kAll;
-  Time window = 0;   // keyed: how long repeats are dropped, from the first attempt that may have run
-  int kind = kNone;  // machine kind it needs, or any
+  Time window = 0;   // keyed: how long repeats are deduplicated, from the first attempt that may have run
+  int kind = kNone;  // required machine kind; kNone: any
   int priority = 0;
   bool stream = false;
 };
@@ -51,39 +49,40 @@
 struct TenantSettings {
   std::string name;
   double portion = 0;
-  double quota_per_s = 0;  // requests a second over all nodes inside its share; 0: none is inside
+  double quota_per_s = 0;  // requests per second within its share, over all nodes; 0: all exceed the share
 };
 
 struct Settings {
-  int instances = 1;  // nodes of this tier
-  int ordinal = 0;    // this node's number among them
+  int instances = 1;  // number of nodes in this tier
+  int ordinal = 0;    // index of this node among them
   std::vector<std::string> zones, kinds;
   int my_zone = kNone;
   std::vector<ClassSettings> classes;  // at least one
   std::vector<TenantSettings> tenants;
-  double over_share_worth = 1;  // part of its worth that a request over its tenant's share keeps
-  Time tick = 1000;             // events come at most this often
+  double over_share_worth = 1;  // share of its worth kept by a request over its tenant's share
+  Time tick = 1000;             // events arrive at most this often
   // Limits
   int max_attempts = 1;
   bool probes = false, cancelling = false, second_copies = false, retry_after = false;
   Time max_retry_after = 0;
-  Time connect_timeout = 200000;  // how long the node tries to open a connection to a worker
+  Time connect_timeout = 200000;                    // how long the node tries to connect to a worker
   double cpu_us_per_s = 0, cpu_us_per_request = 0;  // 0: no such limit
-  // What is told
-  bool repeats_marked = false;   // RequestArrived::repeat tells a client's repeats
-  bool list_on_request = false;  // the list comes only when asked for
-  bool reports_starts = false;   // AttemptUpdate::kStarted comes
-  bool reports_accepts = false;  // AttemptUpdate::kAccepted comes
-  Time progress = 0;             // AttemptUpdate::kProgress comes this often; 0: never
+  // Available information
+  bool repeats_marked = false;   // RequestArrived::repeat marks a client's retries
+  bool list_on_request = false;  // the worker list arrives only after a Subscribe
+  bool reports_starts = false;   // AttemptUpdate::kStarted events arrive
+  bool reports_accepts = false;  // AttemptUpdate::kAccepted events arrive
+  Time progress = 0;             // interval of AttemptUpdate::kProgress events; 0: none
   enum class Reports { kNever, kProbe, kAnswers } reports = Reports::kNever;
   bool reports_slots = false, reports_memory = false, reports_waiting = false, reports_active = false;
-  bool reports_weights = false, weights_live = false;  // ListedWorker::weight says the size / falls with load
-  // Fees: points off the result, as shares
+  bool reports_weights = false,
+       weights_live = false;  // ListedWorker::weight is a size / falls with load
+  // Fees: deducted from the score, as shares
   double fee_cross_zone = 0, fee_fetch = 0, fee_handshake = 0, fee_late = 0, fee_probe = 0, fee_waste = 0;
   // Guarantees
   Time poll_interval = 0, drain_grace = 0;
-  Time silence = 0;  // a worker this long silent with jobs unstarted is ejected; 0: by the classes' aims
-  int error_failures = 2;  // what an answer with an error counts for; 3 puts the worker aside for its class
+  Time silence = 0;        // ejects a worker that starts no queued job for so long; 0: from the classes' aims
+  int error_failures = 2;  // failures counted for an error response; at 3 the worker is ejected for the class
   double cold_share = 1, overload_factor = 1;
   Time ramp_time = 0, overload_for = 0;
 };
@@ -94,28 +93,28 @@
   enum class State { kServing, kDraining, kGone };
   std::string id;
   State state = State::kServing;
-  Time since = 0;  // when it last started; 0: long ago
+  Time since = 0;  // time of its last start; 0: long ago
   int cell = kNone, kind = kNone, zone = kNone;
   double weight = 1;
-  double slots = 0;  // that it says it has, shared by all nodes; 0: not told, they are learned
-  std::vector<std::uint64_t> holds = {};  // what RequestArrived::needs may name, sorted
+  double slots = 0;  // reported by the worker, shared by all nodes; 0: unknown, so estimated
+  std::vector<std::uint64_t> holds = {};  // values that RequestArrived::needs may have, sorted
 };
 
 struct ListChanged {
-  enum class Form { kPatch, kWhole, kSaved, kFailed };  // changes / all / all, maybe old / a call failed
+  enum class Form { kPatch, kWhole, kSaved, kFailed };  // changes / all / all, possibly stale / a call failed
   Form form = Form::kPatch;
   std::int64_t version = 0;
-  std::span<const ListedWorker> workers;  // needs to live for the call only
+  std::span<const ListedWorker> workers;  // only needs to live for the call
 };
 
 struct RequestArrived {
   RequestId id = 0;
-  std::optional<std::uint64_t> key;  // hashed to the home; without one the class is
-  std::uint64_t needs = 0;           // only workers that hold it are eligible; 0: any
+  std::optional<std::uint64_t> key;  // hashed to find the home; without a key the class name is hashed
+  std::uint64_t needs = 0;           // only workers with it in `holds` are eligible; 0: any
   double slots = 1, memory = 0;
-  std::optional<Time> effort;  // a guess of its core time
-  // A final answer is owed by then. Where repeats are not marked, a request with less time left than the
-  // longest wait seen in its class counts as a repeat whose aim began that much earlier.
+  std::optional<Time> effort;  // estimated core time
+  // Deadline of the final answer. If retries are not marked, a request with less time left than the longest
+  // wait seen in its class counts as a retry whose aim began that much earlier.
   Time valid_until = 0;
   int tenant = kNone, cls = 0;
   bool repeat = false;
@@ -126,7 +125,7 @@
 };
 
 struct AttemptUpdate {
-  enum class Kind { kAccepted, kStarted, kProgress };  // kAccepted: the worker said that it has the job
+  enum class Kind { kAccepted, kStarted, kProgress };  // kAccepted: the worker acknowledged the job
   RequestId id = 0;
   int attempt = 0;
   Kind kind = Kind::kStarted;
@@ -141,7 +140,7 @@
   int attempt = 0;
   std::string worker;
   Outcome outcome = Outcome::kServed;
-  bool complete = false;  // nothing more is owed for the request
+  bool complete = false;  // the request needs no further answer
   Time took = 0;
   LoadReport report;
 };
@@ -151,7 +150,7 @@
   int attempt = 0;
 };
 
-struct RequestAbandoned {  // nobody waits for it any more
+struct RequestAbandoned {  // the client no longer waits for it
   RequestId id = 0;
 };
 
@@ -162,10 +161,10 @@
   LoadReport report;
 };
 
-struct PeerReport {  // what the other nodes tell of a worker
+struct PeerReport {  // what the other nodes report about a worker
   std::string worker;
-  double slots = 0;     // they hold there together, as far as they told
-  int failing = kNone;  // nodes that agree say that it fails jobs of this class; `slots` is then not told
+  double slots = 0;     // slots in use by them in total, as far as they reported
+  int failing = kNone;  // several nodes agree that it fails jobs of this class; `slots` is then unset
 };
 
 struct TimerFired {
@@ -177,16 +176,16 @@
 
 // ---- Actions ---------------------------------------------------------------------------------------------
 
-struct Dispatch {  // the first for a request is attempt 0, the next 1, and so on
+struct Dispatch {  // attempts of a request are numbered from 0 in the order of these actions
   RequestId id = 0;
   std::string worker;
-  Time timeout = 0;  // 0: as long as the client waits
+  Time timeout = 0;  // 0: until the client stops waiting
 };
-struct Decline {  // ends the request; the client may safely come again
+struct Decline {  // ends the request; the client may safely retry
   RequestId id = 0;
   Time retry_after = 0;
 };
-struct Fail {  // ends the request; promises nothing
+struct Fail {  // ends the request; it may or may not have run
   RequestId id = 0;
 };
 struct CancelAttempt {
@@ -200,7 +199,7 @@
   Time span = 0;
   std::string token;
 };
-struct Subscribe {  // ask for the list and its changes from now on
+struct Subscribe {  // request the worker list and its further changes
 };
 struct Log {
   std::string text;
@@ -210,31 +209,31 @@
 
 // ---- The decisions ---------------------------------------------------------------------------------------
 
-// How much a Scheduler holds, to watch that it stays bounded.
+// Sizes of a Scheduler's tables, to monitor that they stay bounded.
 struct TableSizes {
   std::size_t workers = 0, requests = 0, waiting = 0, keys = 0;
 };
 
 class Scheduler {
  public:
-  // Throws std::invalid_argument, naming the field, when settings make no sense.
+  // Throws std::invalid_argument, naming the field, if the settings are invalid.
   Scheduler(Settings settings, std::uint64_t seed);
   ~Scheduler();
   Scheduler(Scheduler&&) noexcept;
   Scheduler& operator=(Scheduler&&) noexcept;
 
-  // First call of a life, before any event; sets timers and asks for the list where it must be asked.
+  // Must be called once, before any event. Sets timers and subscribes to the worker list if it is not pushed.
   void Start(Time now, std::vector<Action>* actions);
 
-  // Tells one event. `now` never goes back: an earlier time counts as the latest one told. Events about
-  // requests, attempts, workers or timers that are not held are passed over, and so is a request whose id is
-  // held already. A class, tenant, zone or kind outside the settings throws std::out_of_range.
+  // Processes one event. A `now` before the latest one passed counts as the latest one. Events about unknown
+  // requests, attempts, workers or timers are ignored, and so is a request whose id is already known. Throws
+  // std::out_of_range for a class, tenant, zone or kind that is not in the settings.
   void Handle(Time now, const Event& event, std::vector<Action>* actions);
 
-  // Adds a class and returns its number. Throws std::invalid_argument as the constructor does.
+  // Adds a class and returns its index. Throws std::invalid_argument as the constructor does.
   int AddClass(ClassSettings added);
 
-  // How many nodes the tier has now.
+  // Sets the current number of nodes in the tier.
   void SetInstances(int instances);
 
   TableSizes sizes() const;
--- a/src/decisions/brain.cpp
+++ b/src/decisions/brain.cpp
@@ -1,9 +1,9 @@
 // The decisions of one dispatcher node. Interface: include/rookgw/brain.h. Design: docs/design/decisions.md.
 //
 // A job's key hashes to its home on a ring of workers; its set widens clockwise from there over eligible
-// workers until their usable room covers the key's estimated demand; the least loaded member runs it. That is
-// the ordinary path (placing.h), fed by demand.h and room.h. Every send and every ending passes gate.h, which
-// keeps the four rules. Here: which floor hears of which event.
+// workers until their capacity covers the key's estimated demand; the least loaded member runs the job. This
+// is the ordinary path (placing.h); demand.h and room.h supply the estimates. Every dispatch and every end of
+// a request passes gate.h, which enforces the four rules. This file routes events to the layers.
 #include "decisions/check.h"
 #include "decisions/placing.h"
 
@@ -51,8 +51,8 @@
     r.hash = e.key ? Mix(*e.key ^ 0x9e3779b97f4a7c15ULL) : HashText(cls.name);
     r.slots = std::max(e.slots, 0.0), r.needs = e.needs;
     r.valid_until = e.valid_until, r.cls = e.cls, r.tenant = e.tenant;
-    // A client's repeat keeps the time of its first try, told by how much of the longest wait seen is left to
-    // it: once its aim has passed it is not worth slots that others could still use.
+    // A client's retry keeps the aim of its first try, whose time follows from how much of the longest wait
+    // seen is left: once the aim has passed, the job is not worth slots that others could still use.
     longest_wait_[e.cls] = std::max(longest_wait_[e.cls], r.valid_until - now_);
     const bool repeat = e.repeat || !s_.repeats_marked;
     const Time first_try = repeat ? r.valid_until - longest_wait_[e.cls] : now_;
@@ -157,7 +157,7 @@
 
   void On(const TimerFired& e) {
     if (e.token == "due") {
-      if (now_ >= armed_) armed_ = 0;  // else an older timer: the one armed last still comes
+      if (now_ >= armed_) armed_ = 0;  // otherwise an older timer: the last one armed is pending
       EndDue();
     } else if (e.token == "sweep") {
       Act(SetTimer{kSweepInterval, "sweep"});
@@ -174,13 +174,13 @@
     while (!due_.empty() && Find(due_.top().second) == nullptr) due_.pop();
     if (due_.empty()) return;
     const Time next = std::max(due_.top().first, now_ + 1);
-    if (armed_ > now_ && armed_ <= next) return;  // one timer at a time: each armed comes back as well
+    if (armed_ > now_ && armed_ <= next) return;  // a timer is already set, and each one set fires
     armed_ = next;
     Act(SetTimer{armed_ - now_, "due"});
   }
 
   Time armed_ = 0;
-  std::vector<Time> longest_wait_ = std::vector<Time>(s_.classes.size());  // by class: to patience's end
+  std::vector<Time> longest_wait_ = std::vector<Time>(s_.classes.size());  // by class, to the deadline
   std::uint64_t turns_ = 0;
 };
 
--- a/src/decisions/check.h
+++ b/src/decisions/check.h
@@ -1,12 +1,11 @@
-// Checks settings before a Scheduler is built on them, so that no decision needs to ask whether they make
-// sense.
+// Validates settings before a Scheduler is built from them, so that the decisions can rely on them.
 #pragma once
 
 #include "rookgw/brain.h"
 
 namespace rookgw::internal {
 
-// The settings as they were given; throws std::invalid_argument, naming the field, when they make no sense.
+// Returns `settings` unchanged. Throws std::invalid_argument, naming the field, if they are invalid.
 Settings Checked(Settings settings);
 
 }  // namespace rookgw::internal
--- a/src/decisions/demand.h
+++ b/src/decisions/demand.h
@@ -1,4 +1,4 @@
-// Demand of a key, in slots: rate x slots x run time.
+// Demand of a key, in slots: arrival rate x slots x run time.
 #pragma once
 
 #include "decisions/ring.h"
@@ -9,8 +9,8 @@
  protected:
   using Ring::Ring;
 
-  // Counts an arrival and returns the key's demand in slots. The arrival itself is left out of the rate: at
-  // the moment of an arrival a count that holds it is always too high.
+  // Counts an arrival and returns the key's demand in slots. The rate excludes the arrival itself: sampled at
+  // arrivals, a count that includes it is biased high.
   double CountArrival(const Request& r) {
     if (keys_.size() >= kMaxKeys) ForgetKeys();
     Key& key = keys_[r.hash];
@@ -25,21 +25,21 @@
     return count / kRateMemory * Nodes() * r.slots * RunTime(r.cls);
   }
 
-  // Nodes whose traffic falls on the same sets, as far as it is like this node's.
+  // Number of nodes that use the same sets, assuming their traffic is like this node's.
   double Nodes() const {
     if (!FleetWide()) return 1;
     return std::max(1.0, static_cast<double>(s_.instances) / (Zoned() ? s_.zones.size() : 1));
   }
 
-  // Crossing zones is charged: the own zone's workers come first.
+  // Cross-zone requests have a fee, so workers of this node's zone are preferred.
   bool Zoned() const { return s_.fee_cross_zone > 0 && s_.my_zone != kNone && !s_.zones.empty(); }
 
-  // Mean run time of the class; before its first samples that of all classes.
+  // Mean run time of the class, or of all classes while it has too few samples.
   double RunTime(int cls) const {
     return run_[cls].weight >= 5 ? std::max<double>(kMs, run_[cls].value) : MeanRun();
   }
 
-  // Run time on this kind of machine by that of all kinds: while runs get longer, each is over its mean.
+  // Run time on this machine kind relative to all kinds; a ratio, since longer runs affect all kinds.
   double Slowness(const Worker& w) const {
     if (w.kind == kNone || kind_slowness_[w.kind].weight < 20) return 1;
     return std::clamp(kind_slowness_[w.kind].value / std::max(slowness_.value, 1e-9), 0.25, 4.0);
@@ -54,7 +54,7 @@
       std::erase_if(keys_, [&](const auto& entry) { return now_ - entry.second.seen >= age; });
   }
 
-  std::unordered_map<std::uint64_t, Key> keys_;  // walked only to forget the oldest
+  std::unordered_map<std::uint64_t, Key> keys_;  // iterated only to evict the oldest
   std::vector<Mean> run_ = std::vector<Mean>(s_.classes.size());
   std::vector<Mean> kind_slowness_ = std::vector<Mean>(s_.kinds.size());
   Mean run_all_, slowness_;
--- a/src/decisions/gate.h
+++ b/src/decisions/gate.h
@@ -1,4 +1,4 @@
-// The gate, which keeps the four rules: every send and every ending passes it.
+// Enforces the four rules: every dispatch and every end of a request passes here.
 #pragma once
 
 #include "decisions/health.h"
@@ -9,20 +9,19 @@
  protected:
   using Health::Health;
 
-  // The four rules, for one more attempt of r at this worker.
   bool MaySend(const Request& r, int index) {
     Worker& w = workers_[index];
-    if (r.ended || now_ >= r.valid_until - EndMargin()) return false;         // no answer would be in time
-    if (!w.listed || w.state != ListedWorker::State::kServing) return false;  // drains kept
+    if (r.ended || now_ >= r.valid_until - EndMargin()) return false;         // too late for an answer
+    if (!w.listed || w.state != ListedWorker::State::kServing) return false;  // drain rule
     if (static_cast<int>(r.attempts.size()) >= s_.max_attempts) return false;
-    if (InSlowStart(w) && !SlowStartMayTake(w, r)) return false;  // not pushed over
+    if (InSlowStart(w) && !SlowStartMayTake(w, r)) return false;  // slow-start rule
     if (Open(r) >= (s_.second_copies ? 2 : 1)) return false;
     const Attempt* first = FirstThatMayHaveRun(r);
     if (first == nullptr) return true;
     const ClassSettings& cls = s_.classes[r.cls];
     if (cls.effect == Effect::kRepeatable) return true;
     if (cls.effect == Effect::kUnsafe) return false;
-    if (now_ + s_.connect_timeout + 2 * s_.tick >= first->sent + cls.window) return false;  // may come then
+    if (now_ + s_.connect_timeout + 2 * s_.tick >= first->sent + cls.window) return false;  // may be late
     if (cls.scope == KeyScope::kZone) return w.zone != kNone && w.zone == first->zone;
     if (cls.scope == KeyScope::kCell) return w.cell != kNone && w.cell == first->cell;
     return true;
@@ -49,7 +48,6 @@
     return true;
   }
 
-  // Ends a request, by a refusal where that is harmless.
   void End(Request& r) {
     if (r.ended) return;
     if (MayDecline(r))
@@ -59,12 +57,11 @@
     Close(r);
   }
 
-  // When a refused client had best come again: the jobs that fill the slots now have then ended, on average.
+  // Retry delay for a declined client: on average, the jobs that fill the slots now have ended by then.
   Time ComeBackAfter() const {
     return s_.retry_after ? std::min(static_cast<Time>(MeanRun()), s_.max_retry_after) : 0;
   }
 
-  // Nothing more is owed: no waiting, and what is still out is taken back.
   void Close(Request& r) {
     StopWaiting(r);
     r.ended = true;
@@ -79,7 +76,7 @@
     if (Open(r) == 0) requests_.erase(r.id);
   }
 
-  Time EndMargin() const { return 2 * s_.tick; }  // an end decided now is seen a tick later
+  Time EndMargin() const { return 2 * s_.tick; }  // an end decided now takes effect a tick later
 
   void StopWaiting(Request& r) {
     if (!r.waiting) return;
@@ -87,8 +84,8 @@
     waiting_.erase({r.rank, r.turn, r.id});
   }
 
-  // A job that has not started when even a longer one than usual would be late is called off where that
-  // helps: in overload a queue of such jobs makes all behind them late too.
+  // Whether to cancel a job that has not started in time to meet its aim, even if it runs longer than usual:
+  // in overload, a queue of such jobs makes all jobs behind them late too.
   bool DropsHopeless(const Request& r) const {
     return s_.cancelling && s_.reports_starts && s_.classes[r.cls].late_value == 0;
   }
@@ -104,7 +101,7 @@
     return now_ >= HopelessAt(r) && (last.fate != Fate::kOut || last.started == 0);
   }
 
-  std::set<std::tuple<double, std::uint64_t, RequestId>> waiting_;  // most worth first, then oldest
+  std::set<std::tuple<double, std::uint64_t, RequestId>> waiting_;  // highest worth first, then oldest
   std::priority_queue<std::pair<Time, RequestId>, std::vector<std::pair<Time, RequestId>>, std::greater<>>
       due_;
 };
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -1,4 +1,4 @@
-// Health of workers: outlier ejection, whole or for one class; slow start; and the probes that ask.
+// Worker health: outlier ejection (for all jobs or one class), slow start and probes.
 #pragma once
 
 #include "decisions/room.h"
@@ -9,7 +9,7 @@
  protected:
   using Room::Room;
 
-  bool Ejected(const Worker& w) const {  // with `silence` set, for as long as it stays silent
+  bool Ejected(const Worker& w) const {  // with `silence` set, while it stays silent
     const bool silent = s_.silence > 0 && w.unstarted > 0 && now_ - w.silent_since >= s_.silence;
     return now_ < w.ejected_until || (silent && !blind_);
   }
@@ -25,17 +25,17 @@
     if (s_.silence == 0 || w.unstarted == 0) w.silent_since = w.unstarted > 0 ? now_ : 0;
   }
 
-  // Some workers leave all jobs of one class without a word; some fail most at once, look idle for it and
-  // draw ever more. One is ejected for that class, then gets one job at a time. Some have to go on.
+  // Some workers never respond to jobs of one class; others fail most at once, look idle and so attract more.
+  // Such a worker is ejected for the class (at most 2/3 of them), then gets one job at a time.
   void CountFailures(int cls, ClassHealth& health, int more) {
     health.failures = std::clamp(health.failures + more, 0, 6);
-    if (more <= 0 || health.failures < 3) return;  // what follows looks over the whole fleet
+    if (more <= 0 || health.failures < 3) return;  // the rest iterates over the fleet
     auto ejected = [&](int i) { return now_ < workers_[i].health[cls].ejected_until; };
     if (3 * std::ranges::count_if(listed_, ejected) < 2 * std::ssize(listed_))
       health.ejected_until = now_ + (kSecond / 8 << std::min(health.failures, 5));
   }
 
-  // A worker that holds jobs unstarted for as long as a whole answer may take has most likely hung.
+  // A worker with jobs still unstarted after the time allowed for a full answer has most likely hung.
   void FindSilent() {
     if (!s_.reports_starts) return;
     Time timeout = s_.silence;
@@ -43,20 +43,21 @@
       timeout = std::max<Time>(timeout, s_.classes[c].aim + s_.classes[c].stretch * RunTime(c));
     auto silent = [&](const Worker& w) { return w.unstarted > 0 && now_ - w.silent_since >= timeout; };
     auto away = [&](int i) { return silent(workers_[i]) || Ejected(workers_[i]); };
-    blind_ = 2 * std::ranges::count_if(listed_, away) > std::ssize(listed_);  // it is this node's fault
+    blind_ = 2 * std::ranges::count_if(listed_, away) > std::ssize(listed_);  // likely this node's fault
     for (int i : listed_)
       if (!blind_ && silent(workers_[i]) && !Ejected(workers_[i])) Eject(workers_[i]);
   }
 
-  // Slot microseconds, never less than a mean job has; before runs are known the longest one counts as mean.
+  // In slot microseconds, at least a mean job's; until run times are known, the class deadline is used.
   double SlowStartWork(const Worker& w, const Request& r) const {
     const double longest = run_all_.weight < 20 ? s_.classes[r.cls].deadline : 0;
     return std::max({longest, MeanRun(), r.slots * RunTime(r.cls)}) * Slowness(w);
   }
 
-  // Nodes send to a cold worker by turns that all know alike, heard or not. From its start, spans are as long
-  // as the rule's window, which touches two: each has half the budget, in equal parts; parts under a job go
-  // whole to the nodes next on a circle. A new life waits for the next span: the last may have used its turn.
+  // Nodes share a cold worker's budget by a schedule that each computes alone. From its start, spans are as
+  // long as the rule's window, which overlaps two: each has half the budget, split equally; shares below one
+  // job go whole to the next nodes on a circle. A restarted node waits for the next span, because it may have
+  // used its share of the current one before the restart.
   bool SlowStartMayTake(Worker& w, const Request& r) {
     const Time length = std::max<Time>(s_.overload_for, 1), span = std::max<Time>(now_ - w.since, 0) / length;
     if (w.since + span * length < started_at_ || (Told(w) && Free(w) < r.slots)) return false;
@@ -67,10 +68,10 @@
     return w.span_work + (turn - std::floor(turn)) * SlowStartWork(w, r) < part;
   }
 
-  // Round the ring, one to three probes a request: the fee is then the fee for as many a request.
+  // Probes workers in turn, one to three per request, so the fee is that of as many probes per request.
   void SendProbes() {
     if (!s_.probes || s_.reports == Settings::Reports::kNever || ring_.empty()) return;
-    // The more nodes act on the same news, the more they crowd the same workers: many ask less each.
+    // Many nodes that act on the same reports crowd the same workers, so each probes less in larger tiers.
     const double a_job = std::clamp(kProbers / s_.instances, 1.0, kMaxProbes);
     scarce_ = a_job * arrivals_.Rate(now_) * kReportMemory < listed_.size();
     probe_credit_ = std::min(probe_credit_ + arrivals_.Rate(now_) * kSweepInterval * a_job, 20 * a_job);
--- a/src/decisions/placing.h
+++ b/src/decisions/placing.h
@@ -1,4 +1,4 @@
-// The ordinary path: a key's set on the ring, its least loaded member; else waiting, trying again, refusing.
+// Places jobs on the least loaded member of their key's set on the ring, or queues, retries or ends them.
 #pragma once
 
 #include "decisions/gate.h"
@@ -9,12 +9,12 @@
  protected:
   using Gate::Gate;
 
-  // Finds the set and sends to its least loaded member. False: nobody eligible can start it in its aim.
+  // Finds the set and sends to its least loaded member. False if no eligible worker can start it in time.
   bool Place(Request& r, double demand) {
     if (ring_.empty()) return false;
     Key& key = keys_[r.hash];
     const std::size_t longest = std::min(ring_.size(), kLongestWalk);
-    // A set that one walk cannot hold: each job walks a window of it, drawn by this node's own seed.
+    // If a set is wider than one walk, each job walks a window of it, drawn at random by this node.
     const std::size_t home = HomeOf(r.hash) + (key.windows > 1 ? random_() % key.windows * longest : 0);
     demand /= static_cast<double>(key.windows), r.placed_at = now_;
     ++walk_, members_.clear(), across_.clear();
@@ -49,19 +49,19 @@
     if (needed >= key.width || now_ - key.shrunk >= kShrinkInterval) key.width = needed, key.shrunk = now_;
     const std::size_t width = std::min(key.width, members_.size());
     const int best = LeastLoaded(r, width);
-    // A job that would queue in its set looks past it first: a new copy costs less than a wait, and where a
-    // few keys draw much of the traffic their sets would queue beside idle workers.
+    // A job that would queue in its set first tries workers past it: a new copy costs less than waiting, and
+    // if a few keys receive most of the traffic, their sets would queue next to idle workers.
     if (Idle(best, r)) return Send(r, best);
     members_.insert(members_.end(), across_.begin(), across_.end());
     const bool chase = chase_ >= 1 || random_() % 1024 < 1024 * chase_;
     const bool full = Full(best, r);
-    for (std::size_t i = width; chase && i < members_.size(); ++i)  // the nearest: overflow stays together
+    for (std::size_t i = width; chase && i < members_.size(); ++i)  // nearest first: groups the overflow
       if (full ? Usable(members_[i], r) : Idle(members_[i], r)) return Send(r, members_[i]);
     return Usable(best, r) && Send(r, best);
   }
 
-  // Nodes that share a set hold the same old reports: in wide sets each ranks a few members drawn by its own
-  // seed, so that they do not all crowd the one that looked best.
+  // Nodes that share a set have the same stale reports: in wide sets each ranks a random sample of members,
+  // so that the nodes do not all crowd the one that looks best.
   int LeastLoaded(const Request& r, std::size_t width) {
     int best = members_[0];
     double least = std::numeric_limits<double>::infinity();
@@ -74,16 +74,16 @@
     return best;
   }
 
-  // Where crossing zones is charged, sets are made of the own zone's workers and others take what overflows.
-  // Where the own zone is fuller than the others, a share of the keys has its sets on the ring of all zones:
-  // the same keys at every node that sees the same, so that they keep their copies.
+  // With a cross-zone fee, sets consist of workers in this node's zone, and others take the overflow. If this
+  // zone is fuller than the others, a share of the keys use all zones: the same keys on every node with the
+  // same view, so that cached copies are reused.
   bool Across(int index, const Request& r) const {
     if (!Zoned() || workers_[index].zone == s_.my_zone) return false;
     return static_cast<double>(Mix(r.hash) >> 11) * 0x1p-53 >= spill_;
   }
 
-  // Free slots that all nodes of the zone see are chased by all that have jobs to place before the next news:
-  // each chases with the chance that leaves as many takers as there are slots.
+  // All nodes of the zone see the same free slots and compete for them until the next reports: each job looks
+  // past its set with a probability that leaves as many takers as slots.
   void CountFree() {
     double free = 1e-9;
     for (int i : listed_) free += Told(workers_[i]) ? std::max(0.0, Free(workers_[i])) : 0;
@@ -96,7 +96,7 @@
     Mean others;
     for (std::size_t z = 0; z < zone_fill_.size(); ++z)
       if (static_cast<int>(z) != s_.my_zone && zone_fill_[z].weight > 0) others.Add(zone_fill_[z].value);
-    const double own = zone_fill_[s_.my_zone].value;  // free slots by slots
+    const double own = zone_fill_[s_.my_zone].value;  // share of slots that are free
     const double step = kSweepInterval / static_cast<double>(kRateMemory);
     if (own < std::min(kZoneGap, others.value - kZoneGap)) spill_ = std::min(1.0, spill_ + step);
     if (own > std::min(2 * kZoneGap, others.value)) spill_ = std::max(0.0, spill_ - step);
@@ -136,7 +136,7 @@
       if (Request* r = Find(id); r != nullptr && now_ - r->placed_at >= s_.tick) Place(*r, DemandOf(*r));
   }
 
-  // After a failed attempt the walk goes on clockwise, past the workers already tried.
+  // After a failed attempt, continues clockwise past the workers already tried.
   void TryAgain(Request& r) {
     if (Open(r) > 0) return;
     const bool pointless = now_ > HopelessAt(r) || static_cast<int>(r.attempts.size()) >= s_.max_attempts ||
@@ -145,7 +145,7 @@
     if (!Place(r, DemandOf(r))) Wait(r);
   }
 
-  // Requests whose time is up: the waiting ones at their latest start, any at its last moment for an answer.
+  // Ends requests whose time is up: queued ones at their latest start, all at the last moment for an answer.
   void EndDue() {
     while (!due_.empty() && due_.top().first <= now_) {
       const RequestId id = due_.top().second;
@@ -163,7 +163,7 @@
     if (!s_.reports_accepts || r.attempts.empty()) return;
     Attempt& a = r.attempts.back();
     if (!a.untaken || now_ < a.sent + kTakeTimeout) return;
-    if (!std::exchange(a.missed, true)) return due_.push({now_ + 10 * kMs, r.id});  // own stall?
+    if (!std::exchange(a.missed, true)) return due_.push({now_ + 10 * kMs, r.id});  // maybe an own stall
     ClassHealth& health = workers_[a.worker].health[r.cls];
     a.untaken = false, --health.untaken;
     CountFailures(r.cls, health, 3);
@@ -172,16 +172,16 @@
   }
 
   double QuotaPerS(int t) const { return s_.tenants[t].quota_per_s / std::max(1, s_.instances); }
-  double QuotaBurst(int t) const { return std::max(2.0, 2 * QuotaPerS(t)); }  // two seconds' worth
+  double QuotaBurst(int t) const { return std::max(2.0, 2 * QuotaPerS(t)); }  // two seconds of quota
 
-  bool TakeQuota(int tenant) {  // true: over its share
+  bool TakeQuota(int tenant) {  // true if over its share
     return tenant != kNone && !quota_[tenant].Take(now_, QuotaPerS(tenant), QuotaBurst(tenant));
   }
 
   std::vector<int> members_, across_;
   std::vector<RequestId> scratch_;
-  double chase_ = 1;  // chance that a job looks past its set
-  double spill_ = 0;  // share of the keys whose sets are on the ring of all zones
+  double chase_ = 1;  // probability that a job looks past its set
+  double spill_ = 0;  // share of the keys whose sets span all zones
   std::uint64_t walk_ = 0;
   std::vector<lichenlug::TokenBucket> quota_ = std::vector<lichenlug::TokenBucket>(s_.tenants.size());
 };
--- a/src/decisions/ring.h
+++ b/src/decisions/ring.h
@@ -1,4 +1,4 @@
-// The list of workers and the ring that homes are dealt out on.
+// The worker list and the consistent-hash ring that assigns homes.
 #pragma once
 
 #include "decisions/world.h"
@@ -38,10 +38,9 @@
     BuildRing();
   }
 
-  // Each worker stands on the ring at a number of points in proportion to its size, so that homes are dealt
-  // out by capacity and what overflows one worker goes to many others. Live sizes fall with load: there, the
-  // largest size told of a machine kind stands for all of it, for a ring that moved with load would lose its
-  // copies.
+  // Ring points are proportional to a worker's size: homes follow capacity, and one worker's overflow spreads
+  // over many others. Live sizes fall with load; since moving homes loses cached copies, all workers of a
+  // kind then get the largest size reported for the kind.
   void BuildRing() {
     double sum = 0;
     std::size_t listed = 0;
@@ -91,7 +90,7 @@
     ask_at_ = now_ + std::max<Time>(s_.poll_interval / 2, kSecond);
   }
 
-  std::size_t HomeOf(std::uint64_t hash) const {  // the ring's size stands for its first point
+  std::size_t HomeOf(std::uint64_t hash) const {  // the ring's size wraps around to its first point
     return std::lower_bound(ring_.begin(), ring_.end(), std::pair{hash, -1}) - ring_.begin();
   }
 
--- a/src/decisions/settings.cpp
+++ b/src/decisions/settings.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-// Of any number: a span of 30 years, so that a sum of a few still fits a Time.
+// Limit of any number: a duration of 30 years in microseconds, so that a sum of several still fits a Time.
 constexpr double kMax = 1e15;
 
 struct Range {
@@ -36,7 +36,7 @@
     if (!value.is_boolean()) Bad(path, "true or false");
   } else if constexpr (std::is_same_v<T, std::string>) {
     if (!value.is_string()) Bad(path, "text");
-  } else {  // looked at as the number that stands there: the way to T would cut off what does not fit
+  } else {  // checked as a double: a conversion to T would truncate values that do not fit
     constexpr bool kWhole = std::is_integral_v<T>;
     if constexpr (kWhole) range.most = std::min(range.most, 1.0 * std::numeric_limits<T>::max());
     const double number = value.is_number() ? value.get<double>() : std::nan("");
@@ -47,7 +47,7 @@
   return value.get<T>();
 }
 
-// False, and the default stays, where the key is absent.
+// Returns false and keeps the default if the key is absent.
 template <typename T>
 bool Take(const Json& object, const char* key, T* value, const std::string& path = "", Range range = {}) {
   const auto it = object.find(key);
@@ -86,7 +86,7 @@
   return names;
 }
 
-// The name of a class or tenant: the way to it, so that each has one of its own.
+// Reads the required, unique name of a class or tenant; `path` names the entry in errors.
 void NeedName(const Json& object, std::string* name, const std::string& path,
               std::unordered_map<std::string, int>* index) {
   Need(object, "Name", name, path);
@@ -114,7 +114,7 @@
   const bool has_window = Take(c, "Window", &out.window, path);
   Take(c, "Worth", &out.worth, path);
   Take(c, "AimStretch", &out.stretch, path);
-  // A request is ended two ticks before its time is up: with less than that none could ever be sent on.
+  // A request is ended two ticks before its deadline, so with a shorter one none could ever be dispatched.
   const Time margin = 2 * site->settings.tick;
   if (out.deadline <= margin) Bad(path + "Deadline", "more than two ticks (" + std::to_string(margin) + ")");
   if (effect == "retryable")
@@ -131,7 +131,7 @@
     out.scope = KeyScope::kCell;
   else if (scope != "all")
     Bad(path + "KeyScope", "all, zone or cell");
-  // Where none is named none of its jobs is sent a second time.
+  // Without a window, none of its jobs is sent a second time.
   if (out.effect == Effect::kKeyed && has_window && out.window == 0)
     throw SettingsError("settings: " + path + "Window: above 0 expected for dedup");
   const double kinds = static_cast<double>(site->settings.kinds.size());
--- a/src/decisions/settings.h
+++ b/src/decisions/settings.h
@@ -1,6 +1,5 @@
-// Reads the settings of a deployment from the platform's JSON (the "settings" of a dispatcher's
-// configuration, which is also the object that the simulator attaches an instance with) into the terms of the
-// decisions.
+// Reads the settings of a deployment from JSON (the "settings" object of a dispatcher's configuration, which
+// the simulator also passes when it attaches an instance) into the types of rookgw/brain.h.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -14,26 +13,26 @@
 
 namespace rookgw {
 
-// What is wrong with the settings, in one line that names the key.
+// Invalid settings; the message is one line that names the key.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The settings with the name tables that requests, lists and reports are read by.
+// The settings, with the tables that map names in requests, lists and reports to indices.
 struct Site {
   Settings settings;
   std::unordered_map<std::string, int> zones, kinds, classes, tenants;
   std::vector<std::string> report_fields;
   bool x0_is_slots = false, x1_is_memory = false;
-  // For the host of the decisions.
-  std::size_t max_open = 20000;  // requests
-  Time idle_close = 5'000'000;   // connections are closed that have stood idle for so long
-  bool may_tell = false;         // nodes may send one another messages
+  // Used by the process that hosts the Scheduler.
+  std::size_t max_open = 20000;  // maximum concurrent requests
+  Time idle_close = 5'000'000;   // idle connections are closed after this time
+  bool may_tell = false;         // nodes may exchange messages
 };
 
-// Throws SettingsError where a Scheduler could not be built on the settings or one contradicts another. Keys
-// that are not known are passed over, missing optional ones keep their defaults.
+// Throws SettingsError if a Scheduler can't be built from the settings or if they contradict each other.
+// Ignores unknown keys; missing optional keys keep their defaults.
 Site ReadSettings(const nlohmann::json& object);
 Site ParseSettings(std::string_view json);
 
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -1,6 +1,6 @@
-// The ground floor of the decisions: the constants, what is held of workers, requests and keys, and the event
-// at hand. The floors above each know only those beneath: world, ring, demand, room, health, gate, placing,
-// brain.cpp.
+// Base layer of the decisions: the constants, the state of workers, requests and keys, and the output of the
+// current event. Each layer depends only on the ones before it: world, ring, demand, room, health, gate,
+// placing, brain.cpp.
 #pragma once
 
 #include <algorithm>
@@ -26,38 +26,38 @@
 using Mean = lichenlug::RunningMean;
 
 inline constexpr Time kMs = 1000, kSecond = 1000 * kMs;
-inline constexpr Time kShrinkInterval = kSecond;   // least time between reductions of a set
-inline constexpr Time kRateMemory = 5 * kSecond;   // rates are averages over about this long
-inline constexpr Time kReportMemory = 1500 * kMs;  // news fades to the fleet's mean over about this long
-inline constexpr Time kReportLag = 500 * kMs;    // own sends this long before a report came may not be in it
-inline constexpr Time kKeepGone = 30 * kSecond;  // attempts at a worker may still end after it is gone
-inline constexpr Time kTakeTimeout = 240 * kMs;  // well workers said within 160 ms that they have a job
-inline constexpr std::size_t kMaxKeys = 20000;   // keys remembered; the oldest go first
-inline constexpr double kPoints = 16;            // ring points of a worker of mean size: evens out the arcs
+inline constexpr Time kShrinkInterval = kSecond;   // minimum time between reductions of a worker set
+inline constexpr Time kRateMemory = 5 * kSecond;   // time constant of rate averages
+inline constexpr Time kReportMemory = 1500 * kMs;  // time constant of decay to the fleet's mean
+inline constexpr Time kReportLag = 500 * kMs;      // a report may lack dispatches up to this long before it
+inline constexpr Time kKeepGone = 30 * kSecond;    // attempts may end after their worker was unlisted
+inline constexpr Time kTakeTimeout = 240 * kMs;    // healthy workers acknowledge a job within 160 ms
+inline constexpr std::size_t kMaxKeys = 20000;     // keys tracked; the oldest are evicted first
+inline constexpr double kPoints = 16;              // ring points of a worker of mean size; evens out the arcs
 inline constexpr double kMaxPoints = 64;
-inline constexpr std::size_t kRankAll = 8;  // sets up to this size are ranked, of wider ones so many drawn
-inline constexpr double kMinRoom = 0.5, kMinReportedRoom = 0.2;  // of a worker's slots: keeps sets narrow
-inline constexpr double kAimWork = 0.6;   // of a run, on the safe side, is own work that stretches the aim
-inline constexpr double kHopeWork = 0.8;  // the same, on the other safe side, for calling off what was sent
-inline constexpr double kZoneGap = 0.1;   // free slots: under it keys cross to zones emptier by as much
-inline constexpr std::size_t kOverflow = 2;  // workers looked at past a set in which none can start the job
-inline constexpr double kMaxProbes = 3, kProbers = 12;  // probes a job, up to so many nodes by that
-inline constexpr std::size_t kLongestWalk = 256;  // ring steps for one decision, so that its cost has an end
+inline constexpr std::size_t kRankAll = 8;  // set members compared; wider sets are sampled
+inline constexpr double kMinRoom = 0.5, kMinReportedRoom = 0.2;  // of a worker's slots; keeps sets narrow
+inline constexpr double kAimWork = 0.6;      // share of a run that extends the aim: low estimate, to place
+inline constexpr double kHopeWork = 0.8;     // the same: high estimate, to cancel
+inline constexpr double kZoneGap = 0.1;      // below this share of free slots, keys move to freer zones
+inline constexpr std::size_t kOverflow = 2;  // workers examined past a set in which none can start the job
+inline constexpr double kMaxProbes = 3, kProbers = 12;  // probes per job: maximum; per tier
+inline constexpr std::size_t kLongestWalk = 256;        // maximum ring steps per decision; bounds its cost
 inline constexpr Time kSweepInterval = 50 * kMs;
 
-struct Move {  // an own send (+slots) or end (-slots) that a report may not show yet
+struct Move {  // an own dispatch (+slots) or end (-slots) that a report may not include yet
   Time at;
   double slots;
 };
 
-struct ClassHealth {  // of a worker, for jobs of one class
+struct ClassHealth {  // a worker's health for jobs of one class
   int untaken = 0, failures = 0;
   Time ejected_until = 0;
 };
 
 struct Worker {
   std::string id;
-  std::uint64_t hash = 0, seen_in = 0;  // and the last walk that came past it
+  std::uint64_t hash = 0, seen_in = 0;  // seen_in: the last ring walk that visited it
   ListedWorker::State state = ListedWorker::State::kServing;
   bool listed = false;
   Time since = 0;
@@ -68,15 +68,15 @@
   // Room
   Time report_at = -1, full_at = 0;
   double free = 0, usual_free = 0, max_free = 0, min_free = -1, learned = 0, held = 0, elsewhere = 0;
-  Mean whole;  // slots, free and in use
+  Mean whole;  // total slots, free and in use
   std::vector<Move> moves;
   // Health
   int unstarted = 0, ejections = 0;
   Time silent_since = 0, ejected_until = 0, probed_at = 0;
   std::vector<ClassHealth> health;  // by class
   // Slow start
-  Time span = -1, unlisted_at = 0;  // of the turns, the one last looked at
-  double span_work = 0;             // sent in it
+  Time span = -1, unlisted_at = 0;  // the slow-start window last examined
+  double span_work = 0;             // work dispatched in it
 };
 
 enum class Fate : std::uint8_t { kOut, kNeverRan, kMayHaveRun };
@@ -85,7 +85,7 @@
   int worker, cell, zone;
   Time sent, started = 0;
   Fate fate = Fate::kOut;
-  bool untaken = true, missed = false;  // no word of it yet; and none when there should have been
+  bool untaken = true, missed = false;  // untaken: not acknowledged yet; missed: acknowledgement overdue
 };
 
 struct Request {
@@ -96,15 +96,15 @@
   int cls = 0, tenant = kNone;
   bool over_share = false, ended = false, waiting = false, streaming = false;
   std::uint64_t turn = 0;
-  double rank = 0;      // in the waiting line
-  Time placed_at = -1;  // last looked for a place
+  double rank = 0;      // position in the waiting queue
+  Time placed_at = -1;  // time of the last placement attempt
   std::vector<Attempt> attempts;
 };
 
 struct Key {
   double count = 0;  // decayed number of arrivals
   Time seen = 0, shrunk = 0;
-  std::size_t width = 1, windows = 1;  // windows: walks that pass its whole set
+  std::size_t width = 1, windows = 1;  // windows: ring walks needed to cover its whole set
 };
 class DecisionState {
  public:
@@ -137,11 +137,11 @@
 
   Settings s_;
   std::mt19937_64 random_;
-  Time now_ = 0, started_at_ = 0, heard_at_ = 0, told_at_ = 0;  // the last: word of what other nodes hold
-  std::vector<Worker> workers_;                                 // by interning index
-  std::unordered_map<std::string, int> index_;                  // looked up only, never walked
-  std::vector<int> listed_;                                     // indices of the listed workers, by id
-  std::unordered_map<RequestId, Request> requests_;             // looked up only
+  Time now_ = 0, started_at_ = 0, heard_at_ = 0, told_at_ = 0;  // told_at_: last report by other nodes
+  std::vector<Worker> workers_;                                 // indexed by `index_`
+  std::unordered_map<std::string, int> index_;                  // never iterated: its order is unspecified
+  std::vector<int> listed_;                                     // indices of the listed workers, sorted by id
+  std::unordered_map<RequestId, Request> requests_;             // never iterated
 };
 
 }  // namespace rookgw::internal
