--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// A node in miniature: builds settings by hand, tells a few events and prints what is to be done.
+// A minimal node: builds settings in code, passes a few events to a Brain and prints the resulting actions.
 #include <rookgw/brain.h>
 
 #include <cstdio>
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -1,4 +1,4 @@
-// The adapter: hosts instances of the decisions on standard input and output. See simwire/wirehost.h.
+// The simulator's adapter: runs Brain instances over standard input and output. See simwire/wirehost.h.
 #include <iostream>
 
 #include "simwire/wirehost.h"
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -124,7 +124,7 @@
 }
 
 void Fields::Done() const {
-  if (!ended_) throw Error(std::string(message_) + ": more values than its fields");
+  if (!ended_) throw Error(std::string(message_) + ": more values than fields");
 }
 
 RawEntry ParseEntry(Fields f) {
--- a/src/simwire/wire.h
+++ b/src/simwire/wire.h
@@ -1,5 +1,4 @@
-// The text protocol of the simulator's wire: parses events into, and formats actions from, the types of
-// rookgw/brain.h. Nothing is decided here.
+// The simulator's text protocol: parses events into, and formats actions from, the types of rookgw/brain.h.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +14,25 @@
 
 namespace rookgw::wire {
 
-// What is wrong with the input, in one plain line.
+// Invalid input; the message is one line.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One list entry with its names unresolved: a list is shared by instances, names belong to a site.
+// A list entry with unresolved names: instances share a list, but the names depend on the site.
 struct RawEntry {
   ListedWorker worker;
   std::string kind, zone;
 };
 
-// A cursor over the values of one line. Each call takes the next value or throws Error naming the field.
+// A cursor over the values of one line. Each call consumes the next value or throws Error naming the field.
 class Fields {
  public:
   Fields(std::string_view line, std::string_view message) : rest_(line), message_(message) {}
   std::string_view Word(const char* field);
   std::string_view Rest(const char* field);
-  bool Absent(const char* field);  // takes the value when it is "-"
+  bool Absent(const char* field);  // consumes the value if it is "-"
   std::int64_t Integer(const char* field, std::int64_t least = INT64_MIN, std::int64_t most = INT64_MAX);
   double Number(const char* field);
   std::uint64_t Hex(const char* field);
--- a/src/simwire/wirehost.cpp
+++ b/src/simwire/wirehost.cpp
@@ -20,7 +20,7 @@
 struct SharedList {
   bool known = false;
   std::vector<RawEntry> entries;
-  // Resolved for one set of names; instances of a site share it.
+  // `entries` resolved for one set of names, shared by the instances of a site.
   std::vector<std::string> kinds, zones;
   std::vector<ListedWorker> workers;
   bool resolved = false;
@@ -105,7 +105,7 @@
         const TimerFired e{std::string(f.Rest("Handle"))};
         return Tell(node, instance, e);
       }
-      default:  // NOTE_FROM: the decisions use no talk between nodes
+      default:  // NOTE_FROM: messages between nodes are not used
         f.Integer("Who", 0);
         f.Word("Data");
         f.Done();
@@ -208,7 +208,7 @@
   std::ostream& out_;
   std::string line_, reply_;
   Time now_ = 0;
-  std::unordered_map<std::string, Instance> instances_;  // looked up only
+  std::unordered_map<std::string, Instance> instances_;  // never iterated
   std::array<SharedList, 16> lists_;
   std::vector<Action> actions_;
 };
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the decisions with hand-written events; one for each failure found.
+// Tests of the decisions with hand-written events.
 #include "rookgw/brain.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   RequestId id = 0;
   for (std::uint64_t key = 0; key < 40; ++key) homes.insert(home[key] = node.Ask(++id, key));
   EXPECT_GT(homes.size(), 10u);
-  Node other(PlainSettings(), 99);  // another node, another seed: the same homes
+  Node other(PlainSettings(), 99);  // homes do not depend on the node or its seed
   other.ListMany(20, 6);
   for (std::uint64_t key = 0; key < 40; ++key) EXPECT_EQ(other.Ask(++id, key), home[key]);
 }
@@ -83,13 +83,14 @@
   EXPECT_GE(used.size(), 4u);
 }
 
-TEST(OrdinaryPath, AJobLooksPastItsSetBeforeItQueues) {  // sets queued beside idle workers: a third came late
+// Regression test: sets queued jobs next to idle workers, and a third of the answers came late.
+TEST(OrdinaryPath, AJobLooksPastItsSetBeforeItQueues) {
   Node node;
   node.ListMany(20, 6);
   const std::string home = node.Ask(1);
   node.Started(1);
-  node.Report(home, 0, 6);        // queues there are
-  for (int i = 0; i < 10; ++i) {  // a short queue, in which the job would still be in time
+  node.Report(home, 0, 6);        // the fleet reports queues
+  for (int i = 0; i < 10; ++i) {  // a short queue, which still allows an answer within the aim
     node.now += 300 * kMs;
     for (int w = 0; w < 20; ++w) {
       const std::string worker = "w" + std::to_string(w);
@@ -162,7 +163,7 @@
   node.Run(5 * kSecond);
   EXPECT_TRUE(node.Declined(1));
   node.ListMany(4, 6);
-  EXPECT_EQ(node.Fresh<Dispatch>().size(), 0u);  // nothing after its end
+  EXPECT_EQ(node.Fresh<Dispatch>().size(), 0u);  // no dispatch after the end
 }
 
 TEST(Rules, AnUnsafeRequestThatIsOutIsFailedAtItsTimeAndTakenBack) {
@@ -211,7 +212,7 @@
   EXPECT_EQ(std::stoi(again.substr(1)) / 4, cell);
 }
 
-// Sent to "a" or "b" of one cell, fails there after `span`; true: it is sent again.
+// Sends a keyed request to one of two workers of a cell, where it fails after `span`. True if it is resent.
 bool KeyedIsRepeatedAfter(Time span, Time window, Time connect_timeout) {
   Settings s = PlainSettings();
   s.connect_timeout = connect_timeout;
@@ -226,13 +227,14 @@
   return node.SentTo(1) != "";
 }
 
-// The repeat of a keyed job may need a new connection: it was sent, came up late, and ran after the window.
+// Regression test: a resent keyed job may need a new connection. One connected slowly and ran after the
+// window.
 TEST(Rules, AKeyedRequestIsNotRepeatedWhereItMayArriveAfterItsWindow) {
   EXPECT_TRUE(KeyedIsRepeatedAfter(1900 * kMs, 3 * kSecond, kSecond));
   EXPECT_FALSE(KeyedIsRepeatedAfter(2000 * kMs, 3 * kSecond, kSecond));
   EXPECT_TRUE(KeyedIsRepeatedAfter(2000 * kMs, 3 * kSecond, 200 * kMs));
   EXPECT_FALSE(KeyedIsRepeatedAfter(0, 500 * kMs, kSecond));
-  EXPECT_FALSE(KeyedIsRepeatedAfter(0, 0, 0));  // a window of 0: nothing drops repeats
+  EXPECT_FALSE(KeyedIsRepeatedAfter(0, 0, 0));  // a window of 0: no deduplication
 }
 
 TEST(Rules, AnEffectIsTheSettingsAndNotTheNamesOrTheOrders) {
@@ -263,7 +265,7 @@
   Node node;
   node.ListMany(8, 6);
   node.Ask(1, 7, kRepeatableClass);
-  node.Run(4 * kSecond);  // never starts
+  node.Run(4 * kSecond);  // the first attempt never starts
   EXPECT_LE(node.Fresh<Dispatch>().size(), 0u);
 }
 
@@ -287,7 +289,7 @@
   draining.state = ListedWorker::State::kDraining;
   node.List({draining}, ListChanged::Form::kPatch);
   for (RequestId id = 1; id <= 6; ++id) EXPECT_EQ(node.Ask(id, id), "b");
-  node.List({Serving("c")});  // a whole list without it: b is gone
+  node.List({Serving("c")});  // a whole list without "b" removes it
   for (RequestId id = 11; id <= 16; ++id) EXPECT_EQ(node.Ask(id, id), "c");
 }
 
@@ -326,10 +328,10 @@
 TEST(Waiting, ARepeatKeepsTheAimOfItsFirstTry) {
   Node node;
   node.ListMany(1, 6);
-  ASSERT_NE(node.Ask(1), "");  // its client waits five seconds: the longest seen
+  ASSERT_NE(node.Ask(1), "");  // its client waits five seconds, the longest wait seen
   RequestArrived repeat;
   repeat.id = 2, repeat.key = 8, repeat.cls = kUnsafeClass;
-  repeat.valid_until = node.now + 2 * kSecond;  // three seconds are gone: no aim can be met
+  repeat.valid_until = node.now + 2 * kSecond;  // three of five seconds have passed: the aim can't be met
   node.Tell(repeat);
   EXPECT_EQ(node.SentTo(2), "");
   node.Run(10 * kMs);
@@ -344,11 +346,11 @@
   ASSERT_NE(node.Ask(2), "");
   node.Started(2);
   node.Run(3 * kSecond);
-  EXPECT_TRUE(node.Failed(1));  // out, so it may have run: no refusal
+  EXPECT_TRUE(node.Failed(1));  // dispatched, so it may have run: not declined
   ASSERT_EQ(node.Fresh<CancelAttempt>().size(), 1u);
   EXPECT_EQ(node.Fresh<CancelAttempt>()[0].id, 1u);
-  EXPECT_FALSE(node.Failed(2));              // it runs
-  s.classes[kUnsafeClass].late_value = 0.5;  // a late answer would earn something
+  EXPECT_FALSE(node.Failed(2));              // it is running
+  s.classes[kUnsafeClass].late_value = 0.5;  // a late answer still has value
   Node patient(s);
   patient.ListMany(4, 6);
   ASSERT_NE(patient.Ask(1), "");
@@ -356,13 +358,14 @@
   EXPECT_FALSE(patient.Failed(1));
 }
 
-TEST(Waiting, OverShareRequestsTakeNoPlaceInAQueue) {  // a tenant's flood made everyone late
+// Regression test: a flood of requests from one tenant delayed all tenants.
+TEST(Waiting, OverShareRequestsTakeNoPlaceInAQueue) {
   Settings s = PlainSettings();
   s.tenants = {{"inside", 0.5, 1000}, {"flooding", 0.5, 0}};
   s.over_share_worth = 0.1;
   Node node(s);
   node.ListMany(1, 4);
-  for (RequestId id = 11; id <= 12; ++id) {  // what it may burst is used up
+  for (RequestId id = 11; id <= 12; ++id) {  // uses up the burst quota
     ASSERT_EQ(node.Ask(id, 7, kUnsafeClass, 1), "w0");
     node.Started(id), node.Run(300 * kMs);
     node.Ended(id, "w0", Outcome::kServed, 0, Reported(0, 1));
@@ -375,8 +378,8 @@
   EXPECT_TRUE(node.Declined(1));
 }
 
-TEST(Waiting,
-     TimersDoNotMultiply) {  // every event re-armed a timer that was due, and each came back to arm more
+// Regression test: each event set another timer while one was due, and each of these set more when it fired.
+TEST(Waiting, TimersDoNotMultiply) {
   Node node;
   RequestId id = 0;
   for (int i = 0; i < 200; ++i) {
@@ -388,10 +391,10 @@
   EXPECT_LT(timers, 2 * id / 20 + 500);
 }
 
-// ---- Room and zones
-// ----------------------------------------------------------------------------------------
+// ---- Capacity and zones ----------------------------------------------------------------------------------
 
-TEST(Room, AFullFleetDoesNotSpreadAKey) {  // sets that spanned the ring jammed the store with fetches
+// Regression test: sets that spanned the whole ring overloaded the store with fetches.
+TEST(Room, AFullFleetDoesNotSpreadAKey) {
   Settings s = PlainSettings();
   Node node(s);
   node.ListMany(40, 4);
@@ -406,7 +409,8 @@
   EXPECT_LE(used.size(), 8u);
 }
 
-TEST(Zones, SetsAreOfTheOwnZoneWhereCrossingIsCharged) {  // a zone cut lost two thirds of the jobs under way
+// Regression test: with sets across zones, a partition between zones lost two thirds of the running jobs.
+TEST(Zones, SetsAreOfTheOwnZoneWhereCrossingIsCharged) {
   for (double fee : {0.0, 0.02}) {
     Settings s = PlainSettings();
     s.fee_cross_zone = fee;
@@ -431,8 +435,8 @@
   }
 }
 
-TEST(Room,
-     AFullWorkerIsLeftAloneForARunTime) {  // stale reports of free slots sent job after job to full ones
+// Regression test: stale reports of free slots kept sending jobs to full workers.
+TEST(Room, AFullWorkerIsLeftAloneForARunTime) {
   Node node;
   node.ListMany(10, 6);
   const std::string home = node.Ask(1);
@@ -442,7 +446,8 @@
 
 // ---- Health ----------------------------------------------------------------------------------------------
 
-TEST(Room, OwnJobsFillAWorkerHoweverOldItsReportIs) {  // reports two seconds old said that it was free
+// Regression test: two-second-old reports showed free slots that this node's own jobs had since filled.
+TEST(Room, OwnJobsFillAWorkerHoweverOldItsReportIs) {
   Node node;
   node.ListMany(8, 4);
   const std::string home = node.Ask(1);
@@ -458,8 +463,9 @@
   EXPECT_NE(next, home);
 }
 
-TEST(Room,
-     RunsThatGetLongerDoNotMakeTheOnlyKindSlow) {  // one calm day in eight refused from its first second
+// Regression test: growing run times made the only machine kind count as slow; in one of eight calm
+// simulations, jobs were refused from the first second.
+TEST(Room, RunsThatGetLongerDoNotMakeTheOnlyKindSlow) {
   Node node;
   node.ListMany(8, 6);
   for (RequestId id = 1; id <= 30; ++id) {
@@ -476,7 +482,7 @@
   Node node;
   node.ListMany(10, 6);
   const std::string hung = node.Ask(1);
-  for (RequestId id = 2; id < 10; ++id) {  // others live on
+  for (RequestId id = 2; id < 10; ++id) {  // other workers respond
     const std::string worker = node.Ask(id, id * 1000);
     node.Started(id);
     node.Ended(id, worker, Outcome::kServed, 0, Reported(6));
@@ -495,26 +501,26 @@
   node.Tell(AttemptUpdate{id, attempt, AttemptUpdate::Kind::kAccepted, 0});
 }
 
-// Some runners never answered jobs of one class, while others went well and probes told of free slots: 16% of
-// all requests failed.
+// Regression test: some runners never answered jobs of one class, while their other jobs succeeded and probes
+// showed free slots; 16% of all requests failed.
 TEST(Health, AWorkerThatLeavesAClassWithoutAWordRestsInItAndThenTakesOneAtATime) {
   Node node(WithTakes());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1);
   node.Run(200 * kMs);
-  EXPECT_EQ(node.Ask(2), home);  // not yet in doubt
+  EXPECT_EQ(node.Ask(2), home);  // not suspected yet
   Taken(node, 2);
   node.Run(100 * kMs);
   EXPECT_TRUE(node.Fresh<CancelAttempt>().empty());  // an unsafe job may still have its answer
-  node.Report(home, 6);                              // probes clear nothing
+  node.Report(home, 6);                              // a probe does not end the ejection
   const std::string other = node.Ask(3);
   EXPECT_NE(other, home);
   Taken(node, 3);
-  EXPECT_EQ(node.Ask(8, 7, kRepeatableClass), home);  // jobs of other classes go well there
+  EXPECT_EQ(node.Ask(8, 7, kRepeatableClass), home);  // jobs of other classes still go there
   Taken(node, 8);
   node.Run(1500 * kMs);
   node.Ended(2, home, Outcome::kServed, 0, Reported(6));
-  EXPECT_EQ(node.Ask(4), home);  // a trial
+  EXPECT_EQ(node.Ask(4), home);  // one trial job
   EXPECT_NE(node.Ask(5), home);
   Taken(node, 4);
   EXPECT_EQ(node.Ask(6), home);
@@ -542,14 +548,14 @@
   EXPECT_EQ(node.Ask(2, 7, kKeyedClass), home);
 }
 
-// A runner failed 85% of its jobs in 15 ms, so it always looked idle: a third of all jobs went there for 18
-// s.
+// Regression test: a runner failed 85% of its jobs within 15 ms and so always looked idle; it received a
+// third of all jobs for 18 s.
 TEST(Health, AWorkerThatFailsAClassAtOnceRestsInIt) {
   Node node(WithTakes());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1);
   node.Ended(1, home, Outcome::kError);
-  EXPECT_EQ(node.Ask(2), home);  // one failure may come of the job
+  EXPECT_EQ(node.Ask(2), home);  // a single failure may be the job's fault
   node.Ended(2, home, Outcome::kError);
   EXPECT_NE(node.Ask(3), home);
   EXPECT_EQ(node.Ask(4, 7, kRepeatableClass), home);
@@ -645,8 +651,8 @@
   const std::string worker = node.Ask(1);
   node.Ended(1, worker, Outcome::kServed, 5);  // an attempt never sent
   EXPECT_EQ(node.scheduler.sizes().requests, 1u);
-  EXPECT_EQ(node.Ask(1), "");  // a repeated id
-  node.now -= kSecond;         // time going backwards counts as standing still
+  EXPECT_EQ(node.Ask(1), "");  // the id is already known
+  node.now -= kSecond;         // an earlier time counts as the latest one
   EXPECT_NE(node.Ask(2), "");
 }
 
--- a/tests/rules_checker.cpp
+++ b/tests/rules_checker.cpp
@@ -53,7 +53,7 @@
 void RulesChecker::Did(int node, Time now, const Action& action) {
   auto end = [&](RequestId id, bool refused) {
     auto it = jobs_.find({node, id});
-    if (it == jobs_.end()) return Break("an unknown request was ended", id);
+    if (it == jobs_.end()) return Break("unknown request ended", id);
     Job& job = it->second;
     if (job.gone) return;
     if (job.ended_at >= 0) return Break("lost: ended twice", id);
@@ -62,21 +62,21 @@
     const ClassSettings& cls = s_.classes[job.cls];
     const bool free_to =
         cls.effect == Effect::kRepeatable || (cls.effect == Effect::kKeyed && cls.scope == KeyScope::kAll);
-    if (refused && !free_to && !Proven(job)) Break("effect: refused what may have run", id);
+    if (refused && !free_to && !Proven(job)) Break("effect: declined a request that may have run", id);
   };
   if (const auto* d = std::get_if<Decline>(&action)) return end(d->id, true);
   if (const auto* f = std::get_if<Fail>(&action)) return end(f->id, false);
   const auto* d = std::get_if<Dispatch>(&action);
   if (d == nullptr) return;
   auto it = jobs_.find({node, d->id});
-  if (it == jobs_.end()) return Break("an unknown request was sent", d->id);
+  if (it == jobs_.end()) return Break("unknown request sent", d->id);
   Job& job = it->second;
   if (job.ended_at >= 0 || job.gone) Break("lost: sent after its end", d->id);
   const auto listed = lists_.find({node, d->worker});
-  if (listed == lists_.end()) return Break("drain: sent to a worker that no list named", d->id);
+  if (listed == lists_.end()) return Break("drain: sent to a worker that was never listed", d->id);
   const Entry& entry = listed->second;
   if (!entry.serving && now > entry.stopped_at + s_.drain_grace)
-    Break("drain: sent to a stopped worker", d->id);
+    Break("drain: sent to a worker that stopped serving", d->id);
   int out = 0;
   const Try* first = nullptr;
   for (const Try& t : job.tries) {
@@ -85,18 +85,18 @@
   }
   if (out > (s_.second_copies ? 1 : 0)) Break("effect: too many attempts at once", d->id);
   const ClassSettings& cls = s_.classes[job.cls];
-  if (first != nullptr && cls.effect == Effect::kUnsafe) Break("effect: unsafe sent again", d->id);
+  if (first != nullptr && cls.effect == Effect::kUnsafe) Break("effect: unsafe request sent again", d->id);
   if (first != nullptr && cls.effect == Effect::kKeyed) {
     const Entry& was = lists_.at({node, first->worker});
-    if (now > first->at + cls.window) Break("effect: keyed sent after its window", d->id);
+    if (now > first->at + cls.window) Break("effect: keyed request sent after its window", d->id);
     if (cls.scope == KeyScope::kCell && (entry.cell == kNone || entry.cell != was.cell))
-      Break("effect: keyed left its cell", d->id);
+      Break("effect: keyed request left its cell", d->id);
     if (cls.scope == KeyScope::kZone && (entry.zone == kNone || entry.zone != was.zone))
-      Break("effect: keyed left its zone", d->id);
+      Break("effect: keyed request left its zone", d->id);
   }
   job.tries.push_back({d->worker, now});
 
-  // The budget of a cold worker, over all nodes, in each span that ends now.
+  // Slow start: the work sent to a cold worker by all nodes, in the window that ends now.
   const Time since = started_[d->worker];
   if (since == 0 || now - since >= s_.ramp_time) return;
   auto& sent = sent_[d->worker];
@@ -108,7 +108,7 @@
   const double share = s_.cold_share + (1 - s_.cold_share) * age;
   const double span = static_cast<double>(s_.overload_for) / 1e6;
   if (work > s_.overload_factor * capacity_ * share * span + run_seconds * job.slots)
-    Break("cold: " + d->worker + " pushed over", d->id);
+    Break("cold: " + d->worker + " overloaded during slow start", d->id);
 }
 
 void RulesChecker::Finish(Time now) {
--- a/tests/rules_checker.h
+++ b/tests/rules_checker.h
@@ -1,5 +1,5 @@
-// An independent checker of the four rules. It sees what is told to the nodes and what they do, and shares no
-// code with the module: it knows the rules' wording only.
+// An independent checker of the four rules. It observes the events passed to the nodes and their actions, and
+// shares no code with the decision module.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 class RulesChecker {
  public:
-  // `capacity`: slots of a warm worker, the truth that no node is told. `slack`: time past the deadline.
+  // `capacity`: true slots of a warm worker, unknown to the nodes. `slack`: allowed time past the deadline.
   RulesChecker(Settings settings, double capacity, Time slack)
       : s_(std::move(settings)), capacity_(capacity), slack_(slack) {}
 
@@ -21,7 +21,7 @@
   void Did(int node, Time now, const Action& action);
   void Finish(Time now);
 
-  double run_seconds = 0.3;  // how long a job runs on a warm worker
+  double run_seconds = 0.3;  // run time of a job on a warm worker
 
   const std::vector<std::string>& breaks() const { return breaks_; }
 
@@ -51,7 +51,7 @@
   double capacity_;
   Time slack_;
   std::map<std::pair<int, RequestId>, Job> jobs_;
-  std::map<std::pair<int, std::string>, Entry> lists_;  // what each node was told
+  std::map<std::pair<int, std::string>, Entry> lists_;  // as each node received them
   std::map<std::string, std::vector<std::pair<Time, double>>> sent_;
   std::map<std::string, Time> started_;
   std::vector<std::string> breaks_;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
-// A randomised stream of events over several nodes that share a fleet, watched by the independent checker;
-// and tests that the checker catches each kind of break.
+// Runs random events on several nodes that share a fleet and checks them with the independent checker; also
+// tests that the checker detects each kind of violation.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,7 +15,7 @@
 constexpr Time kSlack = 10 * kMs;
 constexpr double kSlots = 4;
 
-// Not a model of a fleet: outcomes are drawn, not worked out. It only keeps to what a real one may say.
+// Generates random but valid events; outcomes are drawn at random instead of simulated.
 class Storm {
  public:
   Storm(Settings settings, int nodes, std::uint64_t seed)
@@ -75,7 +75,7 @@
     jobs_[e.id] = Job{e.valid_until, false, {}};
     Tell(node, e);
     if (Draw(0, 40) == 0) later_.insert({now_ + Draw(1, 3000) * kMs, {node, RequestAbandoned{e.id}}});
-    // At the deadline whatever is out times out; the end is owed all the same.
+    // Open attempts time out at the deadline; the request must still be ended.
     for (int attempt = 0; attempt < settings_.max_attempts; ++attempt) {
       AttemptEnded timeout;
       timeout.id = e.id, timeout.attempt = attempt, timeout.outcome = Outcome::kTimeout;
@@ -146,7 +146,7 @@
         end.outcome = kOutcomes[Draw(0, 9)];
         job.attempts.push_back({d->worker});
         const Time runs = Draw(1, 900) * kMs;
-        if (Draw(0, 15) == 0) continue;  // it hangs until the deadline
+        if (Draw(0, 15) == 0) continue;  // hangs until the deadline
         if (Draw(0, 3) > 0)
           later_.insert({now_ + runs / 4,
                          {node, AttemptUpdate{end.id, end.attempt, AttemptUpdate::Kind::kStarted, 0}}});
@@ -194,10 +194,10 @@
     Storm storm(s, 3, seed);
     const auto& breaks = storm.Run(60 * kSecond);
     EXPECT_TRUE(breaks.empty()) << "seed " << seed << ": " << breaks.size()
-                                << " breaks, first: " << breaks.front();
+                                << " violations, first: " << breaks.front();
     served += storm.served();
   }
-  EXPECT_GT(served, 6 * 1000);  // one storm in 75 serves under 1000, with whatever module: draws that go ill
+  EXPECT_GT(served, 6 * 1000);  // one run in 75 serves under 1000, due to unlucky draws
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -212,7 +212,7 @@
         Variant{"zones", [](Settings* s) { s->classes[1].scope = KeyScope::kZone; }}),
     [](const auto& p) { return std::string(p.param.name); });
 
-// ---- The checker can fail --------------------------------------------------------------------------------
+// ---- The checker detects violations ----------------------------------------------------------------------
 
 class CheckerTest : public testing::Test {
  protected:
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,5 +1,5 @@
-// The budget of a cold worker over all nodes of a tier: whatever they hear of one another, however late they
-// hear of the start, and however often they begin anew themselves.
+// Tests that a tier keeps the slow-start budget of a cold worker, with or without reports between its nodes,
+// with late news of the worker's start, and when the nodes themselves restart.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,27 +15,27 @@
 namespace {
 
 constexpr Time kStep = 10 * kMs;
-constexpr int kOthers = 30;  // workers that drain: they make own reports scarce, and take nothing
+constexpr int kOthers = 30;  // draining workers: they make own reports scarce and take no jobs
 
 enum class Traffic { kBursts, kSteady, kSteadyThenBursts };
-enum class News { kNone, kAll, kLost };  // of what others hold: never, to the end, until half-way
+enum class News { kNone, kAll, kLost };  // reports of slots in use: never, always, first half only
 struct Case {
   Traffic traffic = Traffic::kBursts;
   News news = News::kNone;
-  bool restarts = false;  // seven in ten nodes, several times
-  bool returns = false;   // the worker starts again at its address, half-way
-  bool mixed = false;     // jobs of half and of one and a half times the mean work
-  bool learned = true;    // the nodes know how long jobs run
+  bool restarts = false;  // of 70% of the nodes, several times
+  bool returns = false;   // the worker restarts at its address halfway
+  bool mixed = false;     // jobs with half and 1.5 times the mean work
+  bool learned = true;    // the nodes have learned the run times
 };
 
 struct Site {
   int instances, slots;
   Settings settings;
-  Time run;  // of a job of mean work, on a warm worker
+  Time run;  // run time of a job of mean work on a warm worker
 };
 
-// One cold worker that takes jobs and never says that it is full, and a tier that has nothing else to send
-// to: whatever the nodes hold back, they hold back for its sake.
+// A cold worker that never rejects a job, and a tier with no other worker to send to, so that only the slow
+// start limits its dispatches.
 class Tier {
  public:
   Tier(const Site& site, const Case& c, std::uint64_t seed) : site_(site), case_(c), random_(seed) {
@@ -44,10 +44,10 @@
     now_ += 48 * site.run;
   }
 
-  // The most sends in a window by what the rule leaves to chance at most; over 1: the rule is broken.
+  // Maximum work sent in a window, relative to the budget plus its random variation; above 1 breaks the rule.
   double Play() {
     const Time begun = now_, half = begun + site_.settings.ramp_time / 2;
-    since_ = begun + Draw(-20, 20) * kMs;  // also in the future by a little
+    since_ = begun + Draw(-20, 20) * kMs;  // possibly slightly in the future
     TellStart();
     Time next_burst = begun + Draw(200, 2500) * kMs, next_restart = begun + Draw(500, 3000) * kMs;
     bool returned = false;
@@ -100,7 +100,7 @@
 
   Time Draw(Time least, Time most) { return std::uniform_int_distribution<Time>(least, most)(random_); }
 
-  double Budget() const {  // jobs of mean work in a window that ends now
+  double Budget() const {  // in jobs of mean work, for the window that ends now
     const Settings& s = site_.settings;
     const double age = std::clamp(static_cast<double>(now_ - since_) / s.ramp_time, 0.0, 1.0);
     return s.overload_factor * (s.cold_share + (1 - s.cold_share) * age) * site_.slots *
@@ -111,7 +111,7 @@
     return !case_.mixed ? site_.run : cls == kRepeatableClass ? site_.run / 2 : site_.run * 3 / 2;
   }
 
-  // A node begins: anew, or in place of the one that had its number.
+  // Starts node `i`, or replaces it by a new instance.
   void Begin(int i, bool learned) {
     Seat& seat = seats_[i];
     Settings s = site_.settings;
@@ -119,7 +119,7 @@
     seat.node = std::make_unique<Node>(s, random_(), now_ + (learned ? Draw(0, 50) * kMs : 0));
     seat.out.clear(), seat.held = 0;
     Node& node = *seat.node;
-    if (learned) {  // what a run takes, from a worker that is warm
+    if (learned) {  // run times, learned from a warm worker
       node.List({Serving("warm")});
       for (int n = 0; n < 24; ++n) {
         const RequestId id = ++ids_;
@@ -130,16 +130,16 @@
         node.Ended(id, "warm", Outcome::kServed, 0, Reported(site_.slots));
       }
     }
-    if (seat.told_since != 0) TellList(seat);  // it starts from the list that it finds
+    if (seat.told_since != 0) TellList(seat);  // it starts with the current list
     node.Report("other0", site_.slots);
     Clear(node);
   }
 
-  static void Clear(Node& node) {  // of its actions; their timers are taken first
+  static void Clear(Node& node) {  // drops the node's actions after their timers are set
     node.Run(0), node.actions.clear(), node.Run(0);
   }
 
-  void TellStart() {  // lists come late, at different times
+  void TellStart() {  // each node gets the list at another time
     for (Seat& seat : seats_) seat.hears = now_ + (Draw(0, 2) == 0 ? 0 : Draw(0, 2000) * kMs);
   }
 
@@ -149,7 +149,7 @@
     for (int i = 0; i < kOthers; ++i) {
       workers.push_back(Serving("other" + std::to_string(i)));
       workers.back().state = ListedWorker::State::kDraining;
-      workers.back().weight = 0.001;  // few points on the ring: short walks
+      workers.back().weight = 0.001;  // few ring points, for short walks
     }
     seat.node->List(workers);
     Take(seat);
@@ -164,7 +164,7 @@
       seat.node->Tell(PeerReport{"cold", static_cast<double>(all_held_before_ - seat.held)});
       Take(seat);
     }
-    all_held_before_ = all;  // what is told is a tenth of a second old
+    all_held_before_ = all;  // reports are 0.1 s old
   }
 
   void Ask(int i) {
@@ -194,7 +194,7 @@
     Clear(node);
   }
 
-  void Take(Seat& seat) {  // what the node has just done
+  void Take(Seat& seat) {  // processes the node's new actions
     const auto cancelled = seat.node->Fresh<CancelAttempt>();
     for (const Dispatch& d : seat.node->Fresh<Dispatch>()) {
       if (d.worker != "cold") continue;
@@ -212,10 +212,10 @@
   }
 
   void Count(double work) {
-    if (now_ + kStep >= since_ + site_.settings.ramp_time) return;  // it may be warm by then
+    if (now_ + kStep >= since_ + site_.settings.ramp_time) return;  // the worker may be warm by then
     ++all_sent_;
     sent_.push_back({now_, work});
-    // A step less than the window: a send may be up to a step later than it is counted.
+    // One step shorter than the window, since a dispatch may happen up to a step after it is counted.
     while (sent_.front().first <= now_ - site_.settings.overload_for + kStep) sent_.pop_front();
     double sum = 0;
     for (const auto& [at, w] : sent_) sum += w;
@@ -228,7 +228,7 @@
   std::mt19937_64 random_;
   std::deque<Seat> seats_;
   std::map<RequestId, int> classes_;
-  std::deque<std::pair<Time, double>> sent_;  // in the window: when, and the work
+  std::deque<std::pair<Time, double>> sent_;  // in the window: time and work
   Time now_ = 1000 * kSecond, since_ = 0;
   RequestId ids_ = 0;
   long all_sent_ = 0;
@@ -236,7 +236,7 @@
   double worst_ = 0;
 };
 
-// Any tier from 1 to 300 nodes, any site: drawn by the seed, so that the verdict is the same each time.
+// Checks random tiers of 1 to 300 nodes and random sites; the seed makes the result deterministic.
 void StaysInBudget(Case c) {
   long sent = 0;
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
@@ -255,15 +255,15 @@
     for (ClassSettings& k : s.classes) k.aim = one({200, 3000}) * kMs;
     c.traffic = one({Traffic::kBursts, Traffic::kSteady, Traffic::kSteadyThenBursts});
     Tier tier(site, c, seed);
-    EXPECT_LE(tier.Play(), 1.0) << "of what may be chance; seed " << seed << ", " << site.instances
+    EXPECT_LE(tier.Play(), 1.0) << "of the tolerated budget; seed " << seed << ", " << site.instances
                                 << " nodes, " << site.slots << " slots, runs of " << site.run / kMs << " ms, "
                                 << tier.sent() << " sent";
     sent += tier.sent();
   }
-  EXPECT_GT(sent, 200);  // the budget is used, too
+  EXPECT_GT(sent, 200);  // the budget is actually used
 }
 
-// What each has saved up in quiet seconds may not all go at once when the clients come.
+// Budget that is unused during a quiet period must not accumulate and be spent in one burst.
 TEST(SlowStart, BudgetHoldsForABurstAfterQuietSeconds) {
   for (int instances : {20, 30, 300})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -272,8 +272,8 @@
       site.settings.cold_share = 0.4;
       for (ClassSettings& k : site.settings.classes) k.aim = 3 * kSecond;
       Tier tier(site, {}, seed);
-      EXPECT_LE(tier.Play(), 1.0) << "of what may be chance; seed " << seed << ", " << instances << " nodes, "
-                                  << tier.sent() << " sent";
+      EXPECT_LE(tier.Play(), 1.0) << "of the tolerated budget; seed " << seed << ", " << instances
+                                  << " nodes, " << tier.sent() << " sent";
     }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Transcripts of the wire through the host: what goes in, what must come out.
+// Tests of the simulator's text protocol: runs transcripts through the host and checks its output.
 #include "simwire/wire.h"
 
 #include <gtest/gtest.h>
@@ -83,7 +83,7 @@
            "\nCENSUS 3 0\nTOPOLOGY node_1 stale_copy 1 3\n"
            "ORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0) << r.errors;
-  EXPECT_EQ(r.out.find("DISPATCH"), std::string::npos);  // the new life knows no worker
+  EXPECT_EQ(r.out.find("DISPATCH"), std::string::npos);  // the new instance knows no workers
 }
 
 TEST(WireHost, InstancesAreKeptApart) {
@@ -145,7 +145,7 @@
       "MARK 2000000\nORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\n"
       "CLOSED_ATTEMPT node_1 ce0a1b2c5d3a91c4 executor-a - 0 1 0 18500 waiting:3,x0:0.4\n"
       "PROBED node_1 executor-a 0 1400 waiting:3,x0:0.4\nFIRED node_1 sweep\nOVER_TO_YOU\n";
-  std::uint64_t state = 88172645463325252ULL;  // fixed: the same corpus every time
+  std::uint64_t state = 88172645463325252ULL;  // fixed seed: the corpus is deterministic
   auto draw = [&state](std::size_t below) {
     state ^= state << 13, state ^= state >> 7, state ^= state << 17;
     return state % below;
