--- a/src/decisions/gate.h
+++ b/src/decisions/gate.h
@@ -71,7 +71,7 @@
     Forget(r);
   }
 
-  // An ended request is kept until its last attempt is closed: till then it holds slots.
+  // Keeps an ended request until its last attempt is closed, because the attempt still uses slots.
   void Forget(const Request& r) {
     if (Open(r) == 0) requests_.erase(r.id);
   }
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -43,7 +43,7 @@
       timeout = std::max<Time>(timeout, s_.classes[c].aim + s_.classes[c].stretch * RunTime(c));
     auto silent = [&](const Worker& w) { return w.unstarted > 0 && now_ - w.silent_since >= timeout; };
     auto away = [&](int i) { return silent(workers_[i]) || Ejected(workers_[i]); };
-    blind_ = 2 * std::ranges::count_if(listed_, away) > std::ssize(listed_);  // likely this node's fault
+    blind_ = 2 * std::ranges::count_if(listed_, away) > std::ssize(listed_);
     for (int i : listed_)
       if (!blind_ && silent(workers_[i]) && !Ejected(workers_[i])) Eject(workers_[i]);
   }
@@ -55,9 +55,9 @@
   }
 
   // Nodes share a cold worker's budget by a schedule that each computes alone. From its start, spans are as
-  // long as the rule's window, which overlaps two: each has half the budget, split equally; shares below one
-  // job go whole to the next nodes on a circle. A restarted node waits for the next span, because it may have
-  // used its share of the current one before the restart.
+  // long as the rule's window, which overlaps two: each has half the budget, split equally. Shares below one
+  // job go whole to the next nodes on a circle. A restarted node skips a span, as it may have spent its
+  // share.
   bool SlowStartMayTake(Worker& w, const Request& r) {
     const Time length = std::max<Time>(s_.overload_for, 1), span = std::max<Time>(now_ - w.since, 0) / length;
     if (w.since + span * length < started_at_ || (Told(w) && Free(w) < r.slots)) return false;
--- a/src/decisions/placing.h
+++ b/src/decisions/placing.h
@@ -163,7 +163,7 @@
     if (!s_.reports_accepts || r.attempts.empty()) return;
     Attempt& a = r.attempts.back();
     if (!a.untaken || now_ < a.sent + kTakeTimeout) return;
-    if (!std::exchange(a.missed, true)) return due_.push({now_ + 10 * kMs, r.id});  // maybe an own stall
+    if (!std::exchange(a.missed, true)) return due_.push({now_ + 10 * kMs, r.id});  // local stall?
     ClassHealth& health = workers_[a.worker].health[r.cls];
     a.untaken = false, --health.untaken;
     CountFailures(r.cls, health, 3);
--- a/src/decisions/room.h
+++ b/src/decisions/room.h
@@ -61,7 +61,7 @@
     // Traffic is uneven between nodes: a node may exceed its share until the worker responds that it is full.
     if (w.slots > 0)
       return w.held + r.slots <= std::min(w.learned, w.slots) && now_ >= w.full_at + 2 * MeanRun() / w.slots;
-    if (FleetWide() ? mean_total_.weight == 0 : w.learned == 0) return true;  // no load information yet
+    if (FleetWide() ? mean_total_.weight == 0 : w.learned == 0) return true;  // nothing known yet
     const double behind = r.slots - Free(w);       // slots that must become free first
     if (r.over_share && behind > 0) return false;  // over-share requests use free slots but do not queue
     const double wait = behind <= 0 ? 0 : behind / Total(w) * MeanRun() * Slowness(w);
@@ -111,7 +111,7 @@
     std::erase_if(w.moves, [this](const Move& m) { return m.at <= now_ - kReportLag; });
     if (w.max_free > 0) mean_total_.Add(w.max_free, 60);
     if (whole) w.whole.Add(*report.free_slots + *report.active), mean_whole_.Add(w.whole.value);
-    mean_free_.Add(std::max(-1.0, w.free / Total(w))), heard_at_ = now_;  // limits one deep queue's effect
+    mean_free_.Add(std::max(-1.0, w.free / Total(w))), heard_at_ = now_;  // bounds deep queues
     if (w.zone != kNone) zone_fill_[w.zone].Add(w.free / Total(w), 50);
   }
 
@@ -128,7 +128,7 @@
 
   bool full_seen_ = false, scarce_ = false;
   bool blind_ = false;  // so many workers are silent at once that the fault is likely on this node
-  Mean mean_free_{1, 3}, mean_total_, mean_whole_;  // mean_free_: share of slots, with an initial weight
+  Mean mean_free_{1, 3}, mean_total_, mean_whole_;  // mean_free_: share of slots; has an initial weight
   std::vector<Mean> zone_fill_ = std::vector<Mean>(s_.zones.size());
   double min_fill_ = 0;  // the deepest queue ever reported, as (negative) free slots / slots
   double learned_total_ = 0, learned_held_ = 0;
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -1,6 +1,5 @@
-// Base layer of the decisions: the constants, the state of workers, requests and keys, and the output of the
-// current event. Each layer depends only on the ones before it: world, ring, demand, room, health, gate,
-// placing, brain.cpp.
+// Base layer of the decisions: constants and the state of workers, requests and keys. Each layer depends only
+// on the ones before it: world, ring, demand, room, health, gate, placing, brain.cpp.
 #pragma once
 
 #include <algorithm>
@@ -85,7 +84,7 @@
   int worker, cell, zone;
   Time sent, started = 0;
   Fate fate = Fate::kOut;
-  bool untaken = true, missed = false;  // untaken: not acknowledged yet; missed: acknowledgement overdue
+  bool untaken = true, missed = false;  // acknowledgement pending / overdue
 };
 
 struct Request {
@@ -137,11 +136,11 @@
 
   Settings s_;
   std::mt19937_64 random_;
-  Time now_ = 0, started_at_ = 0, heard_at_ = 0, told_at_ = 0;  // told_at_: last report by other nodes
-  std::vector<Worker> workers_;                                 // indexed by `index_`
-  std::unordered_map<std::string, int> index_;                  // never iterated: its order is unspecified
-  std::vector<int> listed_;                                     // indices of the listed workers, sorted by id
-  std::unordered_map<RequestId, Request> requests_;             // never iterated
+  Time now_ = 0, started_at_ = 0, heard_at_ = 0, told_at_ = 0;
+  std::vector<Worker> workers_;                      // indexed by `index_`
+  std::unordered_map<std::string, int> index_;       // never iterated: its order is unspecified
+  std::vector<int> listed_;                          // indices of the listed workers, sorted by id
+  std::unordered_map<RequestId, Request> requests_;  // never iterated
 };
 
 }  // namespace rookgw::internal
