--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -56,8 +56,7 @@
 
   // Nodes share a cold worker's budget by a schedule that each computes alone. From its start, spans are as
   // long as the rule's window, which overlaps two: each has half the budget, split equally. Shares below one
-  // job go whole to the next nodes on a circle. A restarted node skips a span, as it may have spent its
-  // share.
+  // job go whole to the next nodes on a circle. A restarted node skips a span: its share may be spent.
   bool SlowStartMayTake(Worker& w, const Request& r) {
     const Time length = std::max<Time>(s_.overload_for, 1), span = std::max<Time>(now_ - w.since, 0) / length;
     if (w.since + span * length < started_at_ || (Told(w) && Free(w) < r.slots)) return false;
@@ -68,7 +67,7 @@
     return w.span_work + (turn - std::floor(turn)) * SlowStartWork(w, r) < part;
   }
 
-  // Probes workers in turn, one to three per request, so the fee is that of as many probes per request.
+  // Probes workers in turn, one to three per request, which bounds the probe fee per request.
   void SendProbes() {
     if (!s_.probes || s_.reports == Settings::Reports::kNever || ring_.empty()) return;
     // Many nodes that act on the same reports crowd the same workers, so each probes less in larger tiers.
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -38,9 +38,9 @@
 inline constexpr double kMinRoom = 0.5, kMinReportedRoom = 0.2;  // of a worker's slots; keeps sets narrow
 inline constexpr double kAimWork = 0.6;      // share of a run that extends the aim: low estimate, to place
 inline constexpr double kHopeWork = 0.8;     // the same: high estimate, to cancel
-inline constexpr double kZoneGap = 0.1;      // below this share of free slots, keys move to freer zones
+inline constexpr double kZoneGap = 0.1;      // below this free share, keys move to zones freer by as much
 inline constexpr std::size_t kOverflow = 2;  // workers examined past a set in which none can start the job
-inline constexpr double kMaxProbes = 3, kProbers = 12;  // probes per job: maximum; per tier
+inline constexpr double kMaxProbes = 3, kProbers = 12;  // probes per job: maximum; sum over the tier
 inline constexpr std::size_t kLongestWalk = 256;        // maximum ring steps per decision; bounds its cost
 inline constexpr Time kSweepInterval = 50 * kMs;
 
@@ -64,7 +64,7 @@
   double weight = 1, slots = 0;
   std::vector<std::uint64_t> holds;
   int points = 0;
-  // Room
+  // Capacity; `held`: used by this node, `elsewhere`: by the others
   Time report_at = -1, full_at = 0;
   double free = 0, usual_free = 0, max_free = 0, min_free = -1, learned = 0, held = 0, elsewhere = 0;
   Mean whole;  // total slots, free and in use
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -197,7 +197,8 @@
                                 << " violations, first: " << breaks.front();
     served += storm.served();
   }
-  EXPECT_GT(served, 6 * 1000);  // one run in 75 serves under 1000, due to unlucky draws
+  // One run in 75 serves under 1000, with any decision module, due to unlucky draws.
+  EXPECT_GT(served, 6 * 1000);
 }
 
 INSTANTIATE_TEST_SUITE_P(
