--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// A minimal node: builds settings in code, passes a few events to a Brain and prints the resulting actions.
+// A minimal node: builds settings in code, passes a few events to a Scheduler and prints its actions.
 #include <rookgw/brain.h>
 
 #include <cstdio>
--- a/include/rookgw/brain.h
+++ b/include/rookgw/brain.h
@@ -125,7 +125,7 @@
 };
 
 struct AttemptUpdate {
-  enum class Kind { kAccepted, kStarted, kProgress };  // kAccepted: the worker acknowledged the job
+  enum class Kind { kAccepted, kStarted, kProgress };  // kAccepted: the worker accepted the job
   RequestId id = 0;
   int attempt = 0;
   Kind kind = Kind::kStarted;
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -30,7 +30,7 @@
 inline constexpr Time kReportMemory = 1500 * kMs;  // time constant of decay to the fleet's mean
 inline constexpr Time kReportLag = 500 * kMs;      // a report may lack dispatches up to this long before it
 inline constexpr Time kKeepGone = 30 * kSecond;    // attempts may end after their worker was unlisted
-inline constexpr Time kTakeTimeout = 240 * kMs;    // healthy workers acknowledge a job within 160 ms
+inline constexpr Time kTakeTimeout = 240 * kMs;    // healthy workers accept a job within 160 ms
 inline constexpr std::size_t kMaxKeys = 20000;     // keys tracked; the oldest are evicted first
 inline constexpr double kPoints = 16;              // ring points of a worker of mean size; evens out the arcs
 inline constexpr double kMaxPoints = 64;
@@ -84,7 +84,7 @@
   int worker, cell, zone;
   Time sent, started = 0;
   Fate fate = Fate::kOut;
-  bool untaken = true, missed = false;  // acknowledgement pending / overdue
+  bool untaken = true, missed = false;  // acceptance pending / overdue
 };
 
 struct Request {
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -1,4 +1,4 @@
-// The simulator's adapter: runs Brain instances over standard input and output. See simwire/wirehost.h.
+// The simulator's adapter: runs Scheduler instances over standard input and output. See simwire/wirehost.h.
 #include <iostream>
 
 #include "simwire/wirehost.h"
--- a/src/simwire/wirehost.h
+++ b/src/simwire/wirehost.h
@@ -1,4 +1,4 @@
-// Runs many Brain instances over one stream of the simulator's text protocol.
+// Runs many Scheduler instances over one stream of the simulator's text protocol.
 #pragma once
 
 #include <iosfwd>
