--- a/lab/virtual/world_dispatchers.cpp
+++ b/lab/virtual/world_dispatchers.cpp
@@ -39,7 +39,7 @@
     node.known_start[box] = entry.since;
     checker_.Told(now_, n, box, entry.state);
   }
-  Feed(n, ListChanged{ListChanged::Form::kSaved, node.version, list});
+  Feed(n, ListChanged{ListChanged::Form::kStaleCopy, node.version, list});
   if (!first) Push(now_, What::kFrontSees);
   if (first && n + 1 == site_.dispatchers) {
     for (int i = 0; i < site_.dispatchers; ++i) front_.push_back(i);
--- a/src/decisions/brain.cpp
+++ b/src/decisions/brain.cpp
@@ -113,7 +113,7 @@
       run_[r.cls].Add(took), run_all_.Add(took);
       CountFailures(r.cls, w.health[r.cls], -1);
     }
-    if (outcome == Outcome::kError) CountFailures(r.cls, w.health[r.cls], s_.error_failures);
+    if (outcome == Outcome::kError) CountFailures(r.cls, w.health[r.cls], s_.failures_per_error);
     if (outcome == Outcome::kConnectFailed || outcome == Outcome::kTimeout)
       Eject(w);
     else if (outcome != Outcome::kCancelled && outcome != Outcome::kVoid)
--- a/src/decisions/ring.h
+++ b/src/decisions/ring.h
@@ -17,7 +17,7 @@
       ask_at_ = now_ + backoff / 2 + static_cast<Time>(random_() % backoff);
       return;
     }
-    if (e.form != ListChanged::Form::kSaved) subscribed_ = true, ask_failures_ = 0;
+    if (e.form != ListChanged::Form::kStaleCopy) subscribed_ = true, ask_failures_ = 0;
     if (e.form != ListChanged::Form::kPatch)
       for (Worker& w : workers_) w.listed = false;
     for (const ListedWorker& entry : e.workers) {
--- a/src/decisions/settings.cpp
+++ b/src/decisions/settings.cpp
@@ -217,7 +217,7 @@
   Take(limits, "CpuUsPerRequest", &s.cpu_us_per_request, "Limits.");
   Take(limits, "MaxOpen", &site.max_open, "Limits.");
   Take(limits, "IdleClose", &site.idle_close, "Limits.");
-  Take(limits, "MayTell", &site.may_tell, "Limits.");
+  Take(limits, "MayTell", &site.allow_peer_messages, "Limits.");
   ParseReport(root, &site);
   const Json& fees = Object(root, "Fees");
   const Range any{-kMax, kMax};
--- a/src/decisions/settings.h
+++ b/src/decisions/settings.h
@@ -26,9 +26,9 @@
   std::vector<std::string> report_fields;
   bool x0_is_slots = false, x1_is_memory = false;
   // Used by the process that hosts the Scheduler.
-  std::size_t max_open = 20000;  // maximum concurrent requests
-  Time idle_close = 5'000'000;   // idle connections are closed after this time
-  bool may_tell = false;         // nodes may exchange messages
+  std::size_t max_open = 20000;      // maximum concurrent requests
+  Time idle_close = 5'000'000;       // idle connections are closed after this time
+  bool allow_peer_messages = false;  // nodes may exchange messages
 };
 
 // Throws SettingsError if a Scheduler can't be built from the settings or if they contradict each other.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -143,7 +143,7 @@
 
   routes.Apply(config.known);
   core.Start(&branches, &discovery, StartPeers(config, &peers));
-  core.RoutesChanged(Form::kSaved, config.known.revision, RunnersOf(config.known));
+  core.RoutesChanged(Form::kStaleCopy, config.known.revision, RunnersOf(config.known));
   peers.Name(config.known);
   watch.Ask();  // also where the settings say that news comes unasked: on sockets it never does
   callers.Start();
--- a/src/operate/config.cpp
+++ b/src/operate/config.cpp
@@ -152,7 +152,7 @@
       Bad("known", e.what());
     }
   }
-  if (config.site.may_tell) config.peers = ReadPeers(root, config.site.settings.ordinal);
+  if (config.site.allow_peer_messages) config.peers = ReadPeers(root, config.site.settings.ordinal);
   return config;
 }
 
--- a/src/routing/service_brain.cpp
+++ b/src/routing/service_brain.cpp
@@ -64,7 +64,7 @@
   settings.repeats_marked = true;  // a client's repeat is not told from a first try
   settings.reports_starts = true;
   settings.silence = setup.silence;
-  settings.error_failures = kErrorFailures;
+  settings.failures_per_error = kErrorFailures;
   return settings;
 }
 
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -231,7 +231,7 @@
   const std::string_view form = f.Word("Form");
   if (form == "patch") return ListChanged::Form::kPatch;
   if (form == "whole") return ListChanged::Form::kWhole;
-  if (form == "stale_copy") return ListChanged::Form::kSaved;
+  if (form == "stale_copy") return ListChanged::Form::kStaleCopy;
   if (form == "broken") return ListChanged::Form::kFailed;
   f.Bad("Form", "patch, whole, stale_copy or broken");
 }
