--- a/src/decisions/brain.cpp
+++ b/src/decisions/brain.cpp
@@ -11,15 +11,15 @@
 
 using namespace internal;
 
-class Scheduler::Impl : public Placing {
+class Scheduler::Impl : public Placement {
  public:
-  Impl(Settings settings, std::uint64_t seed) : Placing(Checked(std::move(settings)), seed) {}
+  Impl(Settings settings, std::uint64_t seed) : Placement(Validated(std::move(settings)), seed) {}
 
   void Start(Time now) {
     now_ = started_at_ = now;
     for (std::size_t t = 0; t < quota_.size(); ++t) quota_[t] = {now, QuotaBurst(static_cast<int>(t))};
-    if (s_.list_on_request) AskForList();
-    Act(SetTimer{kSweepInterval, "sweep"});
+    if (s_.list_on_request) SubscribeToList();
+    Emit(SetTimer{kSweepInterval, "sweep"});
   }
 
   void Handle(Time now, const Event& event) {
@@ -30,8 +30,8 @@
 
   int AddClass(ClassSettings added) {
     Settings more = s_;
-    more.classes.push_back(std::move(added)), s_ = Checked(std::move(more));
-    run_.emplace_back(), longest_wait_.emplace_back();
+    more.classes.push_back(std::move(added)), s_ = Validated(std::move(more));
+    run_times_.emplace_back(), longest_wait_.emplace_back();
     for (Worker& w : workers_) w.health.emplace_back();
     return static_cast<int>(s_.classes.size()) - 1;
   }
@@ -58,73 +58,74 @@
     const Time first_try = repeat ? r.valid_until - longest_wait_[e.cls] : now_;
     r.latest_start = std::min(first_try + cls.aim, r.valid_until);
     r.over_share = TakeQuota(e.tenant);
-    r.turn = ++turns_;
-    due_.push({r.valid_until - EndMargin(), r.id});
+    r.sequence = ++last_sequence_;
+    deadlines_.push({r.valid_until - EndMargin(), r.id});
     arrivals_.Add(now_);
-    const double demand = CountArrival(r);
-    if (!Place(r, demand)) Wait(r);
+    const double demand = RecordArrival(r);
+    if (!Place(r, demand)) Enqueue(r);
   }
 
   void On(const AttemptUpdate& e) {
     Request* r = Find(e.id);
     if (r == nullptr || e.attempt < 0 || e.attempt >= static_cast<int>(r->attempts.size())) return;
     Attempt& a = r->attempts[e.attempt];
-    if (a.fate != Fate::kOut) return;
+    if (a.run_state != RunState::kOpen) return;
     Worker& w = workers_[a.worker];
-    if (std::exchange(a.untaken, false)) --w.health[r->cls].untaken;
+    if (std::exchange(a.unaccepted, false)) --w.health[r->cls].unaccepted;
     if (e.kind == AttemptUpdate::Kind::kStarted && a.started == 0) {
       a.started = now_;
       --w.unstarted;
     }
-    SignOfLife(w);
+    MarkResponsive(w);
   }
 
   void On(const AttemptEnded& e) {
     Request* r = Find(e.id);
     auto named = index_.find(e.worker);
     if (named != index_.end() && e.outcome != Outcome::kVoid) {
-      NoteReport(workers_[named->second], e.report);
-      if (e.outcome == Outcome::kFull) NoteFull(workers_[named->second]);
+      RecordReport(workers_[named->second], e.report);
+      if (e.outcome == Outcome::kFull) RecordFull(workers_[named->second]);
     }
     if (r == nullptr || e.attempt < 0 || e.attempt >= static_cast<int>(r->attempts.size())) return;
     Attempt& a = r->attempts[e.attempt];
-    if (a.fate != Fate::kOut) return;
+    if (a.run_state != RunState::kOpen) return;
     Worker& w = workers_[a.worker];
-    NoteMove(w, -r->slots);
+    UseSlots(w, -r->slots);
     if (a.started == 0) --w.unstarted;
-    if (std::exchange(a.untaken, false)) --w.health[r->cls].untaken;
+    if (std::exchange(a.unaccepted, false)) --w.health[r->cls].unaccepted;
     const bool never_ran =
         e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kVoid;
-    a.fate = never_ran ? Fate::kNeverRan : Fate::kMayHaveRun;
-    Learn(*r, a, w, e.outcome);
-    if (e.complete && !r->ended) r->ended = true, StopWaiting(*r);
+    a.run_state = never_ran ? RunState::kNeverRan : RunState::kMayHaveRun;
+    UpdateEstimates(*r, a, w, e.outcome);
+    if (e.complete && !r->ended) r->ended = true, Dequeue(*r);
     if (r->ended || e.outcome == Outcome::kServed)
-      Forget(*r);
+      EraseIfClosed(*r);
     else
-      TryAgain(*r);
-    ServeWaiting(4);
+      Retry(*r);
+    ServeQueue(4);
   }
 
-  void Learn(const Request& r, const Attempt& a, Worker& w, Outcome outcome) {
+  void UpdateEstimates(const Request& r, const Attempt& a, Worker& w, Outcome outcome) {
     if (outcome == Outcome::kServed) {
       const double took = now_ - (a.started != 0 ? a.started : a.sent), slowness = took / RunTime(r.cls);
       slowness_.Add(slowness);
       if (w.kind != kNone) kind_slowness_[w.kind].Add(slowness);
-      run_[r.cls].Add(took), run_all_.Add(took);
-      CountFailures(r.cls, w.health[r.cls], -1);
+      run_times_[r.cls].Add(took), all_run_times_.Add(took);
+      AddFailures(r.cls, w.health[r.cls], -1);
     }
-    if (outcome == Outcome::kError) CountFailures(r.cls, w.health[r.cls], s_.failures_per_error);
+    if (outcome == Outcome::kError) AddFailures(r.cls, w.health[r.cls], s_.failures_per_error);
     if (outcome == Outcome::kConnectFailed || outcome == Outcome::kTimeout)
       Eject(w);
     else if (outcome != Outcome::kCancelled && outcome != Outcome::kVoid)
-      SignOfLife(w);
-    if (FleetWide()) return;
-    const double had = w.held + r.slots, was = w.learned;
-    if (outcome == Outcome::kServed) w.learned = std::max(w.learned, had) + r.slots / std::max(had, 1.0);
+      MarkResponsive(w);
+    if (HasSlotReports()) return;
+    const double in_use = w.used + r.slots, previous = w.learned;
+    if (outcome == Outcome::kServed)
+      w.learned = std::max(w.learned, in_use) + r.slots / std::max(in_use, 1.0);
     if (outcome == Outcome::kFull || outcome == Outcome::kTimeout)
-      w.learned = std::max(1.0, 0.8 * std::min(had, w.learned > 0 ? w.learned : had));
-    if (was == 0 && w.learned > 0) learned_held_ += std::max(had, 1.0);
-    learned_total_ += w.learned - was;
+      w.learned = std::max(1.0, 0.8 * std::min(in_use, w.learned > 0 ? w.learned : in_use));
+    if (previous == 0 && w.learned > 0) learned_used_ += std::max(in_use, 1.0);
+    learned_total_ += w.learned - previous;
   }
 
   void On(const StreamStarted& e) {
@@ -138,50 +139,50 @@
   void On(const ProbeEnded& e) {
     auto it = index_.find(e.worker);
     if (it == index_.end()) return;
-    NoteReport(workers_[it->second], e.report);
-    if (e.ok) SignOfLife(workers_[it->second]);
+    RecordReport(workers_[it->second], e.report);
+    if (e.ok) MarkResponsive(workers_[it->second]);
   }
 
   void On(const PeerReport& e) {
     auto it = index_.find(e.worker);
     if (it == index_.end()) return;
     Worker& w = workers_[it->second];
-    if (e.failing != kNone) return scarce_ ? CountFailures(e.failing, w.health.at(e.failing), 1) : void();
-    w.elsewhere = e.slots, told_at_ = now_;
+    if (e.failing != kNone) return few_reports_ ? AddFailures(e.failing, w.health.at(e.failing), 1) : void();
+    w.peer_slots = e.slots, peer_report_at_ = now_;
   }
 
   void On(const ListChanged& e) {
-    TakeList(e);
-    if (e.form != ListChanged::Form::kFailed) ServeWaiting(4);
+    ApplyList(e);
+    if (e.form != ListChanged::Form::kFailed) ServeQueue(4);
   }
 
   void On(const TimerFired& e) {
     if (e.token == "due") {
-      if (now_ >= armed_) armed_ = 0;  // otherwise an older timer: the last one armed is pending
-      EndDue();
+      if (now_ >= timer_at_) timer_at_ = 0;  // otherwise an older timer: the last one armed is pending
+      ProcessDeadlines();
     } else if (e.token == "sweep") {
-      Act(SetTimer{kSweepInterval, "sweep"});
-      EndDue();
-      FindSilent();
-      CountFree(), BalanceZones();
+      Emit(SetTimer{kSweepInterval, "sweep"});
+      ProcessDeadlines();
+      EjectSilent();
+      UpdateOverflowChance(), UpdateZoneSpill();
       SendProbes();
-      ServeWaiting(16);
-      if (s_.list_on_request && !subscribed_ && now_ >= ask_at_) AskForList();
+      ServeQueue(16);
+      if (s_.list_on_request && !subscribed_ && now_ >= subscribe_at_) SubscribeToList();
     }
   }
 
   void ArmTimer() {
-    while (!due_.empty() && Find(due_.top().second) == nullptr) due_.pop();
-    if (due_.empty()) return;
-    const Time next = std::max(due_.top().first, now_ + 1);
-    if (armed_ > now_ && armed_ <= next) return;  // a timer is already set, and each one set fires
-    armed_ = next;
-    Act(SetTimer{armed_ - now_, "due"});
+    while (!deadlines_.empty() && Find(deadlines_.top().second) == nullptr) deadlines_.pop();
+    if (deadlines_.empty()) return;
+    const Time next = std::max(deadlines_.top().first, now_ + 1);
+    if (timer_at_ > now_ && timer_at_ <= next) return;  // a timer is already set, and each one set fires
+    timer_at_ = next;
+    Emit(SetTimer{timer_at_ - now_, "due"});
   }
 
-  Time armed_ = 0;
+  Time timer_at_ = 0;
   std::vector<Time> longest_wait_ = std::vector<Time>(s_.classes.size());  // by class, to the deadline
-  std::uint64_t turns_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 Scheduler::Scheduler(Settings settings, std::uint64_t seed)
@@ -191,12 +192,12 @@
 Scheduler& Scheduler::operator=(Scheduler&&) noexcept = default;
 
 void Scheduler::Start(Time now, std::vector<Action>* actions) {
-  impl_->out = actions;
+  impl_->actions = actions;
   impl_->Start(now);
 }
 
 void Scheduler::Handle(Time now, const Event& event, std::vector<Action>* actions) {
-  impl_->out = actions;
+  impl_->actions = actions;
   impl_->Handle(now, event);
 }
 
--- a/src/decisions/check.h
+++ b/src/decisions/check.h
@@ -6,6 +6,6 @@
 namespace rookgw::internal {
 
 // Returns `settings` unchanged. Throws std::invalid_argument, naming the field, if they are invalid.
-Settings Checked(Settings settings);
+Settings Validated(Settings settings);
 
 }  // namespace rookgw::internal
--- a/src/decisions/demand.h
+++ b/src/decisions/demand.h
@@ -11,10 +11,10 @@
 
   // Counts an arrival and returns the key's demand in slots. The rate excludes the arrival itself: sampled at
   // arrivals, a count that includes it is biased high.
-  double CountArrival(const Request& r) {
-    if (keys_.size() >= kMaxKeys) ForgetKeys();
+  double RecordArrival(const Request& r) {
+    if (keys_.size() >= kMaxKeys) EvictKeys();
     Key& key = keys_[r.hash];
-    if (key.seen != 0) key.count *= std::exp(-static_cast<double>(now_ - key.seen) / kRateMemory);
+    if (key.seen != 0) key.count *= std::exp(-static_cast<double>(now_ - key.seen) / kRateDecay);
     key.seen = now_;
     return DemandAt(key.count++, r);
   }
@@ -22,21 +22,21 @@
   double DemandOf(const Request& r) { return DemandAt(keys_[r.hash].count, r); }
 
   double DemandAt(double count, const Request& r) const {
-    return count / kRateMemory * Nodes() * r.slots * RunTime(r.cls);
+    return count / kRateDecay * SharingNodes() * r.slots * RunTime(r.cls);
   }
 
   // Number of nodes that use the same sets, assuming their traffic is like this node's.
-  double Nodes() const {
-    if (!FleetWide()) return 1;
-    return std::max(1.0, static_cast<double>(s_.instances) / (Zoned() ? s_.zones.size() : 1));
+  double SharingNodes() const {
+    if (!HasSlotReports()) return 1;
+    return std::max(1.0, static_cast<double>(s_.instances) / (Zonal() ? s_.zones.size() : 1));
   }
 
   // Cross-zone requests have a fee, so workers of this node's zone are preferred.
-  bool Zoned() const { return s_.fee_cross_zone > 0 && s_.my_zone != kNone && !s_.zones.empty(); }
+  bool Zonal() const { return s_.fee_cross_zone > 0 && s_.my_zone != kNone && !s_.zones.empty(); }
 
   // Mean run time of the class, or of all classes while it has too few samples.
   double RunTime(int cls) const {
-    return run_[cls].weight >= 5 ? std::max<double>(kMs, run_[cls].value) : MeanRun();
+    return run_times_[cls].weight >= 5 ? std::max<double>(kMs, run_times_[cls].value) : MeanRun();
   }
 
   // Run time on this machine kind relative to all kinds; a ratio, since longer runs affect all kinds.
@@ -46,19 +46,19 @@
   }
 
   double MeanRun() const {
-    return std::max<double>(kMs, run_all_.weight > 0 ? run_all_.value : s_.classes[0].aim);
+    return std::max<double>(kMs, all_run_times_.weight > 0 ? all_run_times_.value : s_.classes[0].aim);
   }
 
-  void ForgetKeys() {
-    for (Time age = kRateMemory; keys_.size() >= kMaxKeys; age /= 2)
+  void EvictKeys() {
+    for (Time age = kRateDecay; keys_.size() >= kMaxKeys; age /= 2)
       std::erase_if(keys_, [&](const auto& entry) { return now_ - entry.second.seen >= age; });
   }
 
   std::unordered_map<std::uint64_t, Key> keys_;  // iterated only to evict the oldest
-  std::vector<Mean> run_ = std::vector<Mean>(s_.classes.size());
+  std::vector<Mean> run_times_ = std::vector<Mean>(s_.classes.size());
   std::vector<Mean> kind_slowness_ = std::vector<Mean>(s_.kinds.size());
-  Mean run_all_, slowness_;
-  RateMeter arrivals_{kRateMemory};
+  Mean all_run_times_, slowness_;
+  RateMeter arrivals_{kRateDecay};
 };
 
 }  // namespace rookgw::internal
--- a/src/decisions/ring.h
+++ b/src/decisions/ring.h
@@ -9,22 +9,22 @@
  protected:
   using DecisionState::DecisionState;
 
-  void TakeList(const ListChanged& e) {
+  void ApplyList(const ListChanged& e) {
     if (e.form == ListChanged::Form::kFailed) {
       subscribed_ = false;
-      ask_failures_ = std::min(ask_failures_ + 1, 4);
-      const Time backoff = kSecond / 4 << ask_failures_;
-      ask_at_ = now_ + backoff / 2 + static_cast<Time>(random_() % backoff);
+      list_failures_ = std::min(list_failures_ + 1, 4);
+      const Time backoff = kSecond / 4 << list_failures_;
+      subscribe_at_ = now_ + backoff / 2 + static_cast<Time>(random_() % backoff);
       return;
     }
-    if (e.form != ListChanged::Form::kStaleCopy) subscribed_ = true, ask_failures_ = 0;
+    if (e.form != ListChanged::Form::kStaleCopy) subscribed_ = true, list_failures_ = 0;
     if (e.form != ListChanged::Form::kPatch)
       for (Worker& w : workers_) w.listed = false;
     for (const ListedWorker& entry : e.workers) {
       auto [it, fresh] = index_.try_emplace(entry.id, static_cast<int>(workers_.size()));
       if (fresh) {
-        if (spare_.empty()) spare_.push_back(static_cast<int>(workers_.size())), workers_.emplace_back();
-        it->second = spare_.back(), spare_.pop_back();
+        if (unused_.empty()) unused_.push_back(static_cast<int>(workers_.size())), workers_.emplace_back();
+        it->second = unused_.back(), unused_.pop_back();
         Worker& added = workers_[it->second] = Worker{};
         added.id = entry.id, added.hash = HashText(entry.id), added.health.resize(s_.classes.size());
       }
@@ -55,17 +55,17 @@
     for (std::size_t i = 0; i < workers_.size(); ++i) {
       Worker& w = workers_[i];
       const int points =
-          w.listed ? std::clamp(std::round(kPoints * SizeOf(w) / mean_size_), 1.0, kMaxPoints) : 0;
+          w.listed ? std::clamp(std::round(kRingPoints * SizeOf(w) / mean_size_), 1.0, kMaxRingPoints) : 0;
       changed = changed || points != w.points;
       w.points = points;
       if (w.listed) {
         w.unlisted_at = 0;
       } else if (w.unlisted_at == 0) {
         w.unlisted_at = now_;
-      } else if (w.held == 0 && !w.id.empty() && now_ - w.unlisted_at > kKeepGone) {
+      } else if (w.used == 0 && !w.id.empty() && now_ - w.unlisted_at > kUnlistedRetention) {
         index_.erase(w.id);
         w.id.clear();
-        spare_.push_back(static_cast<int>(i));
+        unused_.push_back(static_cast<int>(i));
       }
     }
     if (!changed) return;
@@ -85,9 +85,9 @@
     return size > 0 ? size : 1;
   }
 
-  void AskForList() {
-    Act(Subscribe{});
-    ask_at_ = now_ + std::max<Time>(s_.poll_interval / 2, kSecond);
+  void SubscribeToList() {
+    Emit(Subscribe{});
+    subscribe_at_ = now_ + std::max<Time>(s_.poll_interval / 2, kSecond);
   }
 
   std::size_t HomeOf(std::uint64_t hash) const {  // the ring's size wraps around to its first point
@@ -95,12 +95,12 @@
   }
 
   std::vector<std::pair<std::uint64_t, int>> ring_;  // hash and index of all listed workers
-  std::vector<int> spare_;
+  std::vector<int> unused_;
   std::vector<double> kind_size_ = std::vector<double>(s_.kinds.size());
   double mean_size_ = 1e-9;
   bool subscribed_ = false;
-  int ask_failures_ = 0;
-  Time ask_at_ = 0;
+  int list_failures_ = 0;
+  Time subscribe_at_ = 0;
 };
 
 }  // namespace rookgw::internal
