--- a/include/rookgw/brain.h
+++ b/include/rookgw/brain.h
@@ -81,9 +81,8 @@
   double fee_cross_zone = 0, fee_fetch = 0, fee_handshake = 0, fee_late = 0, fee_probe = 0, fee_waste = 0;
   // Guarantees
   Time poll_interval = 0, drain_grace = 0;
-  Time silence = 0;  // ejects a worker that starts no queued job for so long; 0: from the classes' aims
-  int failures_per_error =
-      2;  // failures counted for an error response; at 3 the worker is ejected for the class
+  Time silence = 0;            // ejects a worker that starts no queued job for this long; 0: from class aims
+  int failures_per_error = 2;  // failures counted per error response; 3 eject a worker for the class
   double cold_share = 1, overload_factor = 1;
   Time ramp_time = 0, overload_for = 0;
 };
@@ -102,12 +101,7 @@
 };
 
 struct ListChanged {
-  enum class Form {
-    kPatch,
-    kWhole,
-    kStaleCopy,
-    kFailed
-  };  // changes / all / all, possibly stale / a call failed
+  enum class Form { kPatch, kWhole, kStaleCopy, kFailed };  // changes / all / all, maybe stale / call failed
   Form form = Form::kPatch;
   std::int64_t version = 0;
   std::span<const ListedWorker> workers;  // only needs to live for the call
--- a/src/decisions/brain.cpp
+++ b/src/decisions/brain.cpp
@@ -158,7 +158,7 @@
 
   void On(const TimerFired& e) {
     if (e.token == "due") {
-      if (now_ >= timer_at_) timer_at_ = 0;  // otherwise an older timer: the last one armed is pending
+      if (now_ >= timer_at_) timer_at_ = 0;  // otherwise an older timer: the latest one is still pending
       ProcessDeadlines();
     } else if (e.token == "sweep") {
       Emit(SetTimer{kSweepInterval, "sweep"});
--- a/src/decisions/world.h
+++ b/src/decisions/world.h
@@ -35,8 +35,7 @@
 inline constexpr double kRingPoints = 16;  // ring points of a worker of mean size; evens out the arcs
 inline constexpr double kMaxRingPoints = 64;
 inline constexpr std::size_t kMaxRanked = 8;  // set members compared; wider sets are sampled
-inline constexpr double kMinCapacity = 0.5,
-                        kMinReportedCapacity = 0.2;  // of a worker's slots; keeps sets narrow
+inline constexpr double kMinCapacity = 0.5, kMinReportedCapacity = 0.2;  // slot share; keeps sets narrow
 inline constexpr double kAimRunShare = 0.6;     // share of a run that extends the aim: low estimate, to place
 inline constexpr double kCancelRunShare = 0.8;  // the same: high estimate, to cancel
 inline constexpr double kZoneMargin = 0.1;      // below this free share, keys move to zones freer by as much
@@ -65,7 +64,7 @@
   double weight = 1, slots = 0;
   std::vector<std::uint64_t> holds;
   int points = 0;
-  // Capacity; `held`: used by this node, `elsewhere`: by the others
+  // Capacity; `used`: slots used by this node, `peer_slots`: by the others
   Time report_at = -1, full_at = 0;
   double free = 0, mean_free = 0, max_free = 0, min_free = -1, learned = 0, used = 0, peer_slots = 0;
   Mean total;  // total slots, free and in use
