--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -15,11 +15,11 @@
     text.remove_prefix(std::min(text.size(), pair.size() + 1));
     const std::size_t colon = pair.find(':');
     double value = 0;
-    if (colon == std::string_view::npos) fields.Bad("Usage", "name:value pairs");
+    if (colon == std::string_view::npos) fields.ThrowExpected("Usage", "name:value pairs");
     const std::string_view digits = pair.substr(colon + 1), name = pair.substr(0, colon);
     auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
     if (error != std::errc() || end != digits.data() + digits.size() || !std::isfinite(value))
-      fields.Bad("Usage", "a number after each name");
+      fields.ThrowExpected("Usage", "a number after each name");
     if (name == "x0" && site.x0_is_slots) report.free_slots = value;
     if (name == "x1" && site.x1_is_memory) report.free_memory = value;
     if (name == "waiting") report.waiting = value;
@@ -47,21 +47,21 @@
     case 9:
       return Outcome::kVoid;
     default:
-      fields.Bad("StateCode", "a known outcome code");
+      fields.ThrowExpected("StateCode", "a known outcome code");
   }
 }
 
 }  // namespace
 
-void Fields::Bad(const char* field, const std::string& expected) const {
+void Fields::ThrowExpected(const char* field, const std::string& expected) const {
   throw Error(std::string(message_) + ": " + field + ": " + expected + " expected");
 }
 
 std::string_view Fields::Word(const char* field) {
-  if (ended_) Bad(field, "a value");
+  if (ended_) ThrowExpected(field, "a value");
   const std::size_t space = rest_.find(' ');
   const std::string_view word = rest_.substr(0, space);
-  if (word.empty()) Bad(field, "a value");
+  if (word.empty()) ThrowExpected(field, "a value");
   if (space == std::string_view::npos)
     ended_ = true;
   else
@@ -70,28 +70,28 @@
 }
 
 std::string_view Fields::Rest(const char* field) {
-  if (ended_) Bad(field, "text");
+  if (ended_) ThrowExpected(field, "text");
   ended_ = true;
   return rest_;
 }
 
-bool Fields::Absent(const char* field) {
+bool Fields::SkipIfAbsent(const char* field) {
   if (ended_ || rest_.substr(0, rest_.find(' ')) != "-") return false;
   Word(field);
   return true;
 }
 
-std::int64_t Fields::Integer(const char* field, std::int64_t least, std::int64_t most) {
+std::int64_t Fields::Integer(const char* field, std::int64_t min, std::int64_t max) {
   const std::string_view word = Word(field);
   std::int64_t value = 0;
   auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
-  if (error != std::errc() || end != word.data() + word.size()) Bad(field, "a whole number");
-  if (value < least || value > most) Bad(field, "a whole number in range");
+  if (error != std::errc() || end != word.data() + word.size()) ThrowExpected(field, "a whole number");
+  if (value < min || value > max) ThrowExpected(field, "a whole number in range");
   return value;
 }
 
 std::int64_t Fields::IntegerOr(const char* field, std::int64_t absent) {
-  return Absent(field) ? absent : Integer(field, 0);
+  return SkipIfAbsent(field) ? absent : Integer(field, 0);
 }
 
 double Fields::Number(const char* field) {
@@ -99,31 +99,33 @@
   double value = 0;
   auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
   if (error != std::errc() || end != word.data() + word.size() || !std::isfinite(value) || value < 0)
-    Bad(field, "a number of 0 or more");
+    ThrowExpected(field, "a number of 0 or more");
   return value;
 }
 
-double Fields::NumberOr(const char* field, double absent) { return Absent(field) ? absent : Number(field); }
+double Fields::NumberOr(const char* field, double absent) {
+  return SkipIfAbsent(field) ? absent : Number(field);
+}
 
 std::uint64_t Fields::Hex(const char* field) {
   const std::string_view word = Word(field);
   std::uint64_t value = 0;
   auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value, 16);
   if (word.size() != 16 || error != std::errc() || end != word.data() + word.size())
-    Bad(field, "16 hex digits");
+    ThrowExpected(field, "16 hex digits");
   return value;
 }
 
 bool Fields::Bool(const char* field) { return Integer(field, 0, 1) == 1; }
 
 int Fields::Name(const char* field, const std::unordered_map<std::string, int>& names) {
-  if (Absent(field)) return kNone;
+  if (SkipIfAbsent(field)) return kNone;
   auto it = names.find(std::string(Word(field)));
-  if (it == names.end()) Bad(field, "a name from the settings");
+  if (it == names.end()) ThrowExpected(field, "a name from the settings");
   return it->second;
 }
 
-void Fields::Done() const {
+void Fields::ExpectEnd() const {
   if (!ended_) throw Error(std::string(message_) + ": more values than fields");
 }
 
@@ -136,13 +138,13 @@
   else if (state == "DELETED")
     entry.worker.state = ListedWorker::State::kGone;
   else if (state != "SERVING")
-    f.Bad("Lifecycle", "SERVING, DRAINING or DELETED");
-  entry.worker.cell = static_cast<int>(f.Absent("Pack") ? kNone : f.Integer("Pack", -1, INT32_MAX));
+    f.ThrowExpected("Lifecycle", "SERVING, DRAINING or DELETED");
+  entry.worker.cell = static_cast<int>(f.SkipIfAbsent("Pack") ? kNone : f.Integer("Pack", -1, INT32_MAX));
   entry.worker.id = f.Word("Executor");
   entry.worker.weight = f.NumberOr("CapacityHint", 1);
   entry.kind = f.Word("Hw");
   entry.zone = f.Word("RegionPart");
-  f.Done();
+  f.ExpectEnd();
   return entry;
 }
 
@@ -167,9 +169,9 @@
 RequestArrived ParseRequest(Fields& f, const Site& site) {
   RequestArrived e;
   e.id = f.Hex("Job");
-  if (!f.Absent("PartitionKey")) e.key = f.Hex("PartitionKey");
+  if (!f.SkipIfAbsent("PartitionKey")) e.key = f.Hex("PartitionKey");
   e.slots = f.NumberOr("CoresNeeded", 1);
-  if (!f.Absent("Effort")) e.effort = f.Integer("Effort", 0);
+  if (!f.SkipIfAbsent("Effort")) e.effort = f.Integer("Effort", 0);
   e.valid_until = f.Integer("ValidUntil", 0);
   e.memory = f.NumberOr("RamUnits", 0);
   const std::int64_t bits = f.IntegerOr("Bitmap", 0);
@@ -177,8 +179,8 @@
   e.repeat = (bits & 2) != 0;
   e.tenant = f.Name("Realm", site.tenants);
   e.cls = f.Name("Service", site.classes);
-  if (e.cls == kNone) f.Bad("Service", "a name from the settings");
-  f.Done();
+  if (e.cls == kNone) f.ThrowExpected("Service", "a name from the settings");
+  f.ExpectEnd();
   return e;
 }
 
@@ -189,7 +191,7 @@
   e.kind = f.Integer("Kind", 1, 2) == 1 ? AttemptUpdate::Kind::kStarted : AttemptUpdate::Kind::kProgress;
   e.share_done = f.NumberOr("Level", 0);
   e.attempt = static_cast<int>(f.Integer("N", 0, INT32_MAX));
-  f.Done();
+  f.ExpectEnd();
   return e;
 }
 
@@ -203,7 +205,7 @@
   e.outcome = ToOutcome(f);
   e.took = f.IntegerOr("CostTime", 0);
   e.report = ParseUsage(f, site);
-  f.Done();
+  f.ExpectEnd();
   return e;
 }
 
@@ -213,7 +215,7 @@
   e.ok = ToOutcome(f) == Outcome::kServed;
   e.took = f.IntegerOr("CostTime", 0);
   e.report = ParseUsage(f, site);
-  f.Done();
+  f.ExpectEnd();
   return e;
 }
 
@@ -223,7 +225,7 @@
   e.attempt = static_cast<int>(f.Integer("N", 0, INT32_MAX));
   f.Word("Executor");
   f.IntegerOr("CostTime", 0);
-  f.Done();
+  f.ExpectEnd();
   return e;
 }
 
@@ -233,7 +235,7 @@
   if (form == "whole") return ListChanged::Form::kWhole;
   if (form == "stale_copy") return ListChanged::Form::kStaleCopy;
   if (form == "broken") return ListChanged::Form::kFailed;
-  f.Bad("Form", "patch, whole, stale_copy or broken");
+  f.ThrowExpected("Form", "patch, whole, stale_copy or broken");
 }
 
 namespace {
--- a/src/simwire/wire.h
+++ b/src/simwire/wire.h
@@ -32,16 +32,16 @@
   Fields(std::string_view line, std::string_view message) : rest_(line), message_(message) {}
   std::string_view Word(const char* field);
   std::string_view Rest(const char* field);
-  bool Absent(const char* field);  // consumes the value if it is "-"
-  std::int64_t Integer(const char* field, std::int64_t least = INT64_MIN, std::int64_t most = INT64_MAX);
+  bool SkipIfAbsent(const char* field);  // consumes the value if it is "-"
+  std::int64_t Integer(const char* field, std::int64_t min = INT64_MIN, std::int64_t max = INT64_MAX);
   double Number(const char* field);
   std::uint64_t Hex(const char* field);
   bool Bool(const char* field);
   int Name(const char* field, const std::unordered_map<std::string, int>& names);
   std::int64_t IntegerOr(const char* field, std::int64_t absent);
   double NumberOr(const char* field, double absent);
-  void Done() const;
-  [[noreturn]] void Bad(const char* field, const std::string& expected) const;
+  void ExpectEnd() const;
+  [[noreturn]] void ThrowExpected(const char* field, const std::string& expected) const;
 
  private:
   std::string_view rest_, message_;
--- a/src/simwire/wirehost.cpp
+++ b/src/simwire/wirehost.cpp
@@ -31,7 +31,7 @@
   Host(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
 
   void Run() {
-    while (NextLine()) Batch();
+    while (NextLine()) ProcessBatch();
   }
 
   long line_number = 0;
@@ -51,25 +51,25 @@
                   *message);
   }
 
-  void Batch() {
+  void ProcessBatch() {
     std::string message;
     Fields head = Split(&message);
     if (message != "MARK") throw Error("'" + message + "': MARK expected at the start of a batch");
     now_ = head.Integer("clock", 0);
-    head.Done();
+    head.ExpectEnd();
     reply_.clear();
     while (true) {
       if (!NextLine()) throw Error("input ended inside a batch: OVER_TO_YOU expected");
       if (line_ == "OVER_TO_YOU") break;
-      Message();
+      ProcessMessage();
     }
     out_ << reply_ << "END\n" << std::flush;
   }
 
-  void Message() {
+  void ProcessMessage() {
     std::string message;
     Fields f = Split(&message);
-    if (message == "CENSUS") return Census(f);
+    if (message == "CENSUS") return ReadCensus(f);
     Kind kind = Kind::kUnknown;
     for (const auto& [name, k] : kMessages)
       if (message == name) kind = k;
@@ -77,38 +77,38 @@
     const std::string node(f.Word("NodeId"));
     if (kind == Kind::kAttach) return Attach(node, f);
     auto it = instances_.find(node);
-    if (it == instances_.end()) f.Bad("NodeId", "an attached instance");
+    if (it == instances_.end()) f.ThrowExpected("NodeId", "an attached instance");
     Instance& instance = it->second;
     switch (kind) {
       case Kind::kShutdown:
-        f.Done();
+        f.ExpectEnd();
         instances_.erase(it);
         return;
       case Kind::kTopology:
-        return Topology(node, instance, f);
+        return ProcessTopology(node, instance, f);
       case Kind::kOrder:
-        return Tell(node, instance, ParseRequest(f, instance.site));
+        return Deliver(node, instance, ParseRequest(f, instance.site));
       case Kind::kChange:
-        return Tell(node, instance, ParseNote(f));
+        return Deliver(node, instance, ParseNote(f));
       case Kind::kClosed:
-        return Tell(node, instance, ParseEnded(f, instance.site));
+        return Deliver(node, instance, ParseEnded(f, instance.site));
       case Kind::kProbed:
-        return Tell(node, instance, ParseProbed(f, instance.site));
+        return Deliver(node, instance, ParseProbed(f, instance.site));
       case Kind::kStarted:
-        return Tell(node, instance, ParseStarted(f));
+        return Deliver(node, instance, ParseStarted(f));
       case Kind::kGone: {
         const RequestAbandoned e{f.Hex("Job")};
-        f.Done();
-        return Tell(node, instance, e);
+        f.ExpectEnd();
+        return Deliver(node, instance, e);
       }
       case Kind::kFired: {
         const TimerFired e{std::string(f.Rest("Handle"))};
-        return Tell(node, instance, e);
+        return Deliver(node, instance, e);
       }
       default:  // NOTE_FROM: messages between nodes are not used
         f.Integer("Who", 0);
         f.Word("Data");
-        f.Done();
+        f.ExpectEnd();
     }
   }
 
@@ -117,7 +117,7 @@
     std::uint64_t seed = 0;
     auto [end, error] = std::from_chars(seed_text.data(), seed_text.data() + seed_text.size(), seed);
     if (error != std::errc() || end != seed_text.data() + seed_text.size())
-      f.Bad("RandomSeed", "a whole number");
+      f.ThrowExpected("RandomSeed", "a whole number");
     Site site = ParseSettings(f.Rest("Env"));
     Settings settings = site.settings;
     instances_.erase(node);
@@ -125,13 +125,13 @@
         instances_.emplace(node, Instance{std::move(site), Scheduler(std::move(settings), seed)});
     actions_.clear();
     it->second.scheduler.Start(now_, &actions_);
-    Reply(node);
+    AppendReply(node);
   }
 
-  void Census(Fields& f) {
+  void ReadCensus(Fields& f) {
     const std::int64_t id = f.Integer("SetId", 0, static_cast<std::int64_t>(lists_.size()) - 1);
     const std::int64_t count = f.Integer("Rows", 0);
-    f.Done();
+    f.ExpectEnd();
     SharedList& list = lists_[id];
     list = SharedList{};
     for (std::int64_t i = 0; i < count; ++i) {
@@ -144,35 +144,35 @@
     list.known = true;
   }
 
-  void Topology(const std::string& node, Instance& instance, Fields& f) {
+  void ProcessTopology(const std::string& node, Instance& instance, Fields& f) {
     ListChanged e;
     e.form = ParseForm(f);
     e.version = f.IntegerOr("Index", 0);
     if (e.form == ListChanged::Form::kFailed) {
       f.Word("SetId");
-      f.Done();
-      return Tell(node, instance, e);
+      f.ExpectEnd();
+      return Deliver(node, instance, e);
     }
     const std::int64_t id = f.Integer("SetId", 0, static_cast<std::int64_t>(lists_.size()) - 1);
-    f.Done();
+    f.ExpectEnd();
     SharedList& list = lists_[id];
-    if (!list.known) f.Bad("SetId", "the number of a CENSUS");
+    if (!list.known) f.ThrowExpected("SetId", "the number of a CENSUS");
     const Settings& s = instance.site.settings;
     if (!list.resolved || list.kinds != s.kinds || list.zones != s.zones) {
       list.workers = Resolve(list.entries, instance.site);
       list.kinds = s.kinds, list.zones = s.zones, list.resolved = true;
     }
     e.workers = list.workers;
-    Tell(node, instance, e);
+    Deliver(node, instance, e);
   }
 
-  void Tell(const std::string& node, Instance& instance, const Event& event) {
+  void Deliver(const std::string& node, Instance& instance, const Event& event) {
     actions_.clear();
     instance.scheduler.Handle(now_, event, &actions_);
-    Reply(node);
+    AppendReply(node);
   }
 
-  void Reply(const std::string& node) {
+  void AppendReply(const std::string& node) {
     for (const Action& action : actions_) Format(node, action, &reply_);
   }
 
