--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -60,7 +60,7 @@
   EXPECT_GT(moved, 0);
 }
 
-TEST(OrdinaryPath, ASetWidensWhenItsHomeHasNoRoom) {
+TEST(OrdinaryPath, ASetWidensWhenItsHomeIsFull) {
   Node node;
   node.ListMany(20, 6);
   const std::string home = node.Ask(1);
@@ -84,7 +84,7 @@
 }
 
 // Regression test: sets queued jobs next to idle workers, and a third of the answers came late.
-TEST(OrdinaryPath, AJobLooksPastItsSetBeforeItQueues) {
+TEST(OrdinaryPath, AJobTriesWorkersPastItsSetBeforeItQueues) {
   Node node;
   node.ListMany(20, 6);
   const std::string home = node.Ask(1);
@@ -102,7 +102,7 @@
   EXPECT_NE(next, home);
 }
 
-TEST(OrdinaryPath, AJobQueuesInItsSetWhereNobodyIsIdle) {
+TEST(OrdinaryPath, AJobQueuesInItsSetIfNoWorkerIsIdle) {
   Node node;
   node.ListMany(20, 6);
   const std::string home = node.Ask(1);
@@ -125,7 +125,7 @@
   for (RequestId id = 1; id <= 5; ++id) EXPECT_EQ(node.Ask(id, id), "w4");
 }
 
-TEST(OrdinaryPath, WithoutReportsOwnHeldJobsFillARoom) {
+TEST(OrdinaryPath, WithoutReportsOwnJobsCountAsLoad) {
   Settings s = PlainSettings();
   s.reports = Settings::Reports::kNever;
   s.reports_slots = s.reports_waiting = false;
@@ -157,7 +157,7 @@
 
 // ---- The four rules --------------------------------------------------------------------------------------
 
-TEST(Rules, AHeldRequestEndsBeforeItsTime) {
+TEST(Rules, AQueuedRequestEndsBeforeItsDeadline) {
   Node node;  // no worker is known
   EXPECT_EQ(node.Ask(1), "");
   node.Run(5 * kSecond);
@@ -166,7 +166,7 @@
   EXPECT_EQ(node.Fresh<Dispatch>().size(), 0u);  // no dispatch after the end
 }
 
-TEST(Rules, AnUnsafeRequestThatIsOutIsFailedAtItsTimeAndTakenBack) {
+TEST(Rules, ADispatchedUnsafeRequestFailsAtItsDeadlineAndIsCancelled) {
   Node node;
   node.ListMany(4, 6);
   ASSERT_NE(node.Ask(1), "");
@@ -177,7 +177,7 @@
   EXPECT_EQ(node.Fresh<CancelAttempt>().size(), 1u);
 }
 
-TEST(Rules, AnUnsafeRequestThatMayHaveRunIsNotRepeatedNorRefused) {
+TEST(Rules, AnUnsafeRequestThatMayHaveRunIsNeitherRetriedNorDeclined) {
   for (Outcome outcome : {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled}) {
     Node node;
     node.ListMany(4, 6);
@@ -190,7 +190,7 @@
   }
 }
 
-TEST(Rules, AnUnsafeRequestThatNeverRanGoesOnClockwise) {
+TEST(Rules, AnUnsafeRequestThatNeverRanIsRetriedClockwise) {
   for (Outcome outcome : {Outcome::kFull, Outcome::kConnectFailed}) {
     Node node;
     node.ListMany(4, 6);
@@ -213,7 +213,7 @@
 }
 
 // Sends a keyed request to one of two workers of a cell, where it fails after `span`. True if it is resent.
-bool KeyedIsRepeatedAfter(Time span, Time window, Time connect_timeout) {
+bool KeyedIsRetriedAfter(Time span, Time window, Time connect_timeout) {
   Settings s = PlainSettings();
   s.connect_timeout = connect_timeout;
   for (ClassSettings& c : s.classes) c.aim = 4 * kSecond, c.window = window;
@@ -229,15 +229,15 @@
 
 // Regression test: a resent keyed job may need a new connection. One connected slowly and ran after the
 // window.
-TEST(Rules, AKeyedRequestIsNotRepeatedWhereItMayArriveAfterItsWindow) {
-  EXPECT_TRUE(KeyedIsRepeatedAfter(1900 * kMs, 3 * kSecond, kSecond));
-  EXPECT_FALSE(KeyedIsRepeatedAfter(2000 * kMs, 3 * kSecond, kSecond));
-  EXPECT_TRUE(KeyedIsRepeatedAfter(2000 * kMs, 3 * kSecond, 200 * kMs));
-  EXPECT_FALSE(KeyedIsRepeatedAfter(0, 500 * kMs, kSecond));
-  EXPECT_FALSE(KeyedIsRepeatedAfter(0, 0, 0));  // a window of 0: no deduplication
+TEST(Rules, AKeyedRequestIsNotRetriedIfItMayArriveAfterItsWindow) {
+  EXPECT_TRUE(KeyedIsRetriedAfter(1900 * kMs, 3 * kSecond, kSecond));
+  EXPECT_FALSE(KeyedIsRetriedAfter(2000 * kMs, 3 * kSecond, kSecond));
+  EXPECT_TRUE(KeyedIsRetriedAfter(2000 * kMs, 3 * kSecond, 200 * kMs));
+  EXPECT_FALSE(KeyedIsRetriedAfter(0, 500 * kMs, kSecond));
+  EXPECT_FALSE(KeyedIsRetriedAfter(0, 0, 0));  // a window of 0: no deduplication
 }
 
-TEST(Rules, AnEffectIsTheSettingsAndNotTheNamesOrTheOrders) {
+TEST(Rules, EffectsComeFromTheSettingsNotFromClassNamesOrOrder) {
   Settings s = PlainSettings();
   std::swap(s.classes[kRepeatableClass].effect, s.classes[kUnsafeClass].effect);
   for (int cls : {kRepeatableClass, kUnsafeClass}) {
@@ -248,7 +248,7 @@
   }
 }
 
-TEST(Rules, AKeyedRequestWhoseCellIsUnknownOrChangedIsNotRepeated) {
+TEST(Rules, AKeyedRequestWhoseCellIsUnknownOrChangedIsNotRetried) {
   Node node;
   node.List({Serving("a", kNone), Serving("b", kNone), Serving("c", kNone)});
   node.Ended(1, node.Ask(1, 7, kKeyedClass), Outcome::kError);
@@ -293,7 +293,7 @@
   for (RequestId id = 11; id <= 16; ++id) EXPECT_EQ(node.Ask(id, id), "c");
 }
 
-TEST(Rules, AFleetThatIsAllDrainingGivesRefusals) {
+TEST(Rules, AFullyDrainingFleetDeclinesRequests) {
   Node node;
   ListedWorker draining = Serving("a");
   draining.state = ListedWorker::State::kDraining;
@@ -303,7 +303,7 @@
   EXPECT_TRUE(node.Declined(1));
 }
 
-TEST(Rules, AColdHomeIsSteppedOver) {
+TEST(Rules, AColdHomeIsSkipped) {
   Settings s = PlainSettings();
   s.instances = 30;
   Node node(s);
@@ -325,7 +325,7 @@
   EXPECT_LE(cold, 2);  // of 40 in four seconds
 }
 
-TEST(Waiting, ARepeatKeepsTheAimOfItsFirstTry) {
+TEST(Waiting, ARetryKeepsTheAimOfTheFirstTry) {
   Node node;
   node.ListMany(1, 6);
   ASSERT_NE(node.Ask(1), "");  // its client waits five seconds, the longest wait seen
@@ -338,7 +338,7 @@
   EXPECT_TRUE(node.Declined(2));
 }
 
-TEST(Waiting, AJobThatCannotStartInTimeIsCalledOff) {
+TEST(Waiting, AJobThatCannotStartInTimeIsCancelled) {
   Settings s = PlainSettings();
   Node node(s);
   node.ListMany(4, 6);
@@ -359,7 +359,7 @@
 }
 
 // Regression test: a flood of requests from one tenant delayed all tenants.
-TEST(Waiting, OverShareRequestsTakeNoPlaceInAQueue) {
+TEST(Waiting, OverShareRequestsDoNotQueue) {
   Settings s = PlainSettings();
   s.tenants = {{"inside", 0.5, 1000}, {"flooding", 0.5, 0}};
   s.over_share_worth = 0.1;
@@ -394,7 +394,7 @@
 // ---- Capacity and zones ----------------------------------------------------------------------------------
 
 // Regression test: sets that spanned the whole ring overloaded the store with fetches.
-TEST(Room, AFullFleetDoesNotSpreadAKey) {
+TEST(Capacity, AFullFleetDoesNotSpreadAKey) {
   Settings s = PlainSettings();
   Node node(s);
   node.ListMany(40, 4);
@@ -410,7 +410,7 @@
 }
 
 // Regression test: with sets across zones, a partition between zones lost two thirds of the running jobs.
-TEST(Zones, SetsAreOfTheOwnZoneWhereCrossingIsCharged) {
+TEST(Zones, SetsStayInTheOwnZoneIfCrossingHasAFee) {
   for (double fee : {0.0, 0.02}) {
     Settings s = PlainSettings();
     s.fee_cross_zone = fee;
@@ -436,7 +436,7 @@
 }
 
 // Regression test: stale reports of free slots kept sending jobs to full workers.
-TEST(Room, AFullWorkerIsLeftAloneForARunTime) {
+TEST(Capacity, AFullWorkerIsSkippedForOneRunTime) {
   Node node;
   node.ListMany(10, 6);
   const std::string home = node.Ask(1);
@@ -447,7 +447,7 @@
 // ---- Health ----------------------------------------------------------------------------------------------
 
 // Regression test: two-second-old reports showed free slots that this node's own jobs had since filled.
-TEST(Room, OwnJobsFillAWorkerHoweverOldItsReportIs) {
+TEST(Capacity, OwnJobsFillAWorkerWithAStaleReport) {
   Node node;
   node.ListMany(8, 4);
   const std::string home = node.Ask(1);
@@ -465,7 +465,7 @@
 
 // Regression test: growing run times made the only machine kind count as slow; in one of eight calm
 // simulations, jobs were refused from the first second.
-TEST(Room, RunsThatGetLongerDoNotMakeTheOnlyKindSlow) {
+TEST(Capacity, GrowingRunTimesDoNotMakeTheOnlyKindSlow) {
   Node node;
   node.ListMany(8, 6);
   for (RequestId id = 1; id <= 30; ++id) {
@@ -478,7 +478,7 @@
   EXPECT_NE(node.Ask(31, 31), "");
 }
 
-TEST(Health, AWorkerThatNeverStartsItsJobsIsPutAside) {
+TEST(Health, AWorkerThatNeverStartsItsJobsIsEjected) {
   Node node;
   node.ListMany(10, 6);
   const std::string hung = node.Ask(1);
@@ -491,43 +491,43 @@
   EXPECT_NE(node.Ask(20), hung);
 }
 
-Settings WithTakes() {
+Settings SettingsWithAccepts() {
   Settings s = PlainSettings();
   s.reports_accepts = true, s.reports_starts = false;
   return s;
 }
 
-void Taken(Node& node, RequestId id, int attempt = 0) {
+void Accepted(Node& node, RequestId id, int attempt = 0) {
   node.Tell(AttemptUpdate{id, attempt, AttemptUpdate::Kind::kAccepted, 0});
 }
 
 // Regression test: some runners never answered jobs of one class, while their other jobs succeeded and probes
 // showed free slots; 16% of all requests failed.
-TEST(Health, AWorkerThatLeavesAClassWithoutAWordRestsInItAndThenTakesOneAtATime) {
-  Node node(WithTakes());
+TEST(Health, AWorkerThatNeverAcceptsAClassIsEjectedForItAndThenGetsOneJobAtATime) {
+  Node node(SettingsWithAccepts());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1);
   node.Run(200 * kMs);
   EXPECT_EQ(node.Ask(2), home);  // not suspected yet
-  Taken(node, 2);
+  Accepted(node, 2);
   node.Run(100 * kMs);
   EXPECT_TRUE(node.Fresh<CancelAttempt>().empty());  // an unsafe job may still have its answer
   node.Report(home, 6);                              // a probe does not end the ejection
   const std::string other = node.Ask(3);
   EXPECT_NE(other, home);
-  Taken(node, 3);
+  Accepted(node, 3);
   EXPECT_EQ(node.Ask(8, 7, kRepeatableClass), home);  // jobs of other classes still go there
-  Taken(node, 8);
+  Accepted(node, 8);
   node.Run(1500 * kMs);
   node.Ended(2, home, Outcome::kServed, 0, Reported(6));
   EXPECT_EQ(node.Ask(4), home);  // one trial job
   EXPECT_NE(node.Ask(5), home);
-  Taken(node, 4);
+  Accepted(node, 4);
   EXPECT_EQ(node.Ask(6), home);
 }
 
-TEST(Health, AKeyedJobLeftWithoutAWordGoesOnInItsCell) {
-  Node node(WithTakes());
+TEST(Health, AnUnacceptedKeyedJobIsRetriedInItsCell) {
+  Node node(SettingsWithAccepts());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1, 7, kKeyedClass);
   node.Run(300 * kMs);
@@ -537,11 +537,11 @@
   EXPECT_NE(node.SentTo(1), home);
 }
 
-TEST(Health, AJobThatWasTakenIsNotInDoubt) {
-  Node node(WithTakes());
+TEST(Health, AnAcceptedJobIsNotSuspected) {
+  Node node(SettingsWithAccepts());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1, 7, kKeyedClass);
-  Taken(node, 1);
+  Accepted(node, 1);
   node.Started(1);
   node.Run(300 * kMs);
   EXPECT_TRUE(node.Fresh<CancelAttempt>().empty());
@@ -550,8 +550,8 @@
 
 // Regression test: a runner failed 85% of its jobs within 15 ms and so always looked idle; it received a
 // third of all jobs for 18 s.
-TEST(Health, AWorkerThatFailsAClassAtOnceRestsInIt) {
-  Node node(WithTakes());
+TEST(Health, AWorkerThatFailsAClassFastIsEjectedForIt) {
+  Node node(SettingsWithAccepts());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1);
   node.Ended(1, home, Outcome::kError);
@@ -563,8 +563,8 @@
   EXPECT_EQ(node.Ask(5), home);
 }
 
-TEST(Health, AWorkerThatFailsNowAndThenGoesOn) {
-  Node node(WithTakes());
+TEST(Health, AWorkerWithOccasionalFailuresIsNotEjected) {
+  Node node(SettingsWithAccepts());
   node.ListMany(4, 6);
   const std::string home = node.Ask(1000);
   node.Ended(1000, home, Outcome::kServed, 0, Reported(6));
@@ -575,8 +575,8 @@
   }
 }
 
-TEST(Health, WordlessJobsEverywhereDoNotEmptyTheRing) {
-  Node node(WithTakes());
+TEST(Health, UnacceptedJobsOnAllWorkersDoNotEmptyTheRing) {
+  Node node(SettingsWithAccepts());
   node.ListMany(4, 6);
   std::set<std::string> used;
   for (RequestId id = 1; id <= 12; ++id) used.insert(node.Ask(id, id));
@@ -585,7 +585,7 @@
   EXPECT_NE(node.Ask(41), "");
 }
 
-TEST(Health, OneBadViewDoesNotEmptyTheRing) {
+TEST(Health, ALocalFaultDoesNotEmptyTheRing) {
   Node node;
   node.ListMany(6, 6);
   for (RequestId id = 1; id <= 12; ++id) node.Ask(id, id);
@@ -597,7 +597,7 @@
 
 // ---- The list --------------------------------------------------------------------------------------------
 
-TEST(List, ASubscriptionIsAskedForAndRenewed) {
+TEST(List, ASubscriptionIsRequestedAndRenewed) {
   Settings s = PlainSettings();
   s.list_on_request = true;
   Node node(s);
@@ -614,7 +614,7 @@
 
 // ---- Use as a library ------------------------------------------------------------------------------------
 
-TEST(Library, SenselessSettingsAreNamed) {
+TEST(Library, InvalidSettingsAreNamed) {
   auto message = [](Settings s) -> std::string {
     try {
       Scheduler scheduler(std::move(s), 1);
@@ -635,7 +635,7 @@
   EXPECT_NE(message(s).find("cold_share"), std::string::npos);
 }
 
-TEST(Library, NewsAboutWhatIsNotHeldIsPassedOver) {
+TEST(Library, EventsAboutUnknownItemsAreIgnored) {
   Settings s = PlainSettings();
   s.repeats_marked = true;
   Node node(s);
@@ -663,7 +663,7 @@
   EXPECT_EQ(node.scheduler.sizes().requests, 0u);
 }
 
-TEST(Library, MemoryStaysBoundedOverOneOffKeysAndWorkersThatComeAndGo) {
+TEST(Library, MemoryStaysBoundedWithOneOffKeysAndWorkerChurn) {
   Node node;
   RequestId id = 0;
   for (int round = 0; round < 300; ++round) {
--- a/tests/rules_checker.cpp
+++ b/tests/rules_checker.cpp
@@ -2,17 +2,17 @@
 
 namespace rookgw::test {
 
-void RulesChecker::Break(const std::string& what, RequestId id) {
-  breaks_.push_back(what + " (request " + std::to_string(id) + ")");
+void RulesChecker::AddViolation(const std::string& what, RequestId id) {
+  violations_.push_back(what + " (request " + std::to_string(id) + ")");
 }
 
-bool RulesChecker::Proven(const Job& job) const {
-  for (const Try& t : job.tries)
-    if (!t.harmless) return false;
+bool RulesChecker::NeverRan(const Job& job) const {
+  for (const Attempt& t : job.attempts)
+    if (!t.never_ran) return false;
   return true;
 }
 
-void RulesChecker::Told(int node, Time now, const Event& event) {
+void RulesChecker::OnEvent(int node, Time now, const Event& event) {
   if (const auto* e = std::get_if<RequestArrived>(&event)) {
     Job job;
     job.cls = e->cls;
@@ -21,13 +21,13 @@
     jobs_[{node, e->id}] = job;
   } else if (const auto* end = std::get_if<AttemptEnded>(&event)) {
     Job& job = jobs_.at({node, end->id});
-    Try& t = job.tries.at(end->attempt);
-    t.out = false;
-    t.harmless = end->outcome == Outcome::kFull || end->outcome == Outcome::kConnectFailed ||
-                 end->outcome == Outcome::kVoid;
+    Attempt& t = job.attempts.at(end->attempt);
+    t.open = false;
+    t.never_ran = end->outcome == Outcome::kFull || end->outcome == Outcome::kConnectFailed ||
+                  end->outcome == Outcome::kVoid;
     if (end->complete && job.ended_at < 0) job.ended_at = now;
-  } else if (const auto* gone = std::get_if<RequestAbandoned>(&event)) {
-    jobs_.at({node, gone->id}).gone = true;
+  } else if (const auto* abandoned = std::get_if<RequestAbandoned>(&event)) {
+    jobs_.at({node, abandoned->id}).abandoned = true;
   } else if (const auto* list = std::get_if<ListChanged>(&event)) {
     if (list->form == ListChanged::Form::kFailed) return;
     if (list->form != ListChanged::Form::kPatch)
@@ -50,51 +50,53 @@
   }
 }
 
-void RulesChecker::Did(int node, Time now, const Action& action) {
+void RulesChecker::OnAction(int node, Time now, const Action& action) {
   auto end = [&](RequestId id, bool refused) {
     auto it = jobs_.find({node, id});
-    if (it == jobs_.end()) return Break("unknown request ended", id);
+    if (it == jobs_.end()) return AddViolation("unknown request ended", id);
     Job& job = it->second;
-    if (job.gone) return;
-    if (job.ended_at >= 0) return Break("lost: ended twice", id);
-    if (now > job.valid_until + slack_) Break("lost: answered too late", id);
+    if (job.abandoned) return;
+    if (job.ended_at >= 0) return AddViolation("lost: ended twice", id);
+    if (now > job.valid_until + slack_) AddViolation("lost: answered too late", id);
     job.ended_at = now;
     const ClassSettings& cls = s_.classes[job.cls];
-    const bool free_to =
+    const bool may_repeat =
         cls.effect == Effect::kRepeatable || (cls.effect == Effect::kKeyed && cls.scope == KeyScope::kAll);
-    if (refused && !free_to && !Proven(job)) Break("effect: declined a request that may have run", id);
+    if (refused && !may_repeat && !NeverRan(job))
+      AddViolation("effect: declined a request that may have run", id);
   };
   if (const auto* d = std::get_if<Decline>(&action)) return end(d->id, true);
   if (const auto* f = std::get_if<Fail>(&action)) return end(f->id, false);
   const auto* d = std::get_if<Dispatch>(&action);
   if (d == nullptr) return;
   auto it = jobs_.find({node, d->id});
-  if (it == jobs_.end()) return Break("unknown request sent", d->id);
+  if (it == jobs_.end()) return AddViolation("unknown request sent", d->id);
   Job& job = it->second;
-  if (job.ended_at >= 0 || job.gone) Break("lost: sent after its end", d->id);
+  if (job.ended_at >= 0 || job.abandoned) AddViolation("lost: sent after its end", d->id);
   const auto listed = lists_.find({node, d->worker});
-  if (listed == lists_.end()) return Break("drain: sent to a worker that was never listed", d->id);
+  if (listed == lists_.end()) return AddViolation("drain: sent to a worker that was never listed", d->id);
   const Entry& entry = listed->second;
   if (!entry.serving && now > entry.stopped_at + s_.drain_grace)
-    Break("drain: sent to a worker that stopped serving", d->id);
-  int out = 0;
-  const Try* first = nullptr;
-  for (const Try& t : job.tries) {
-    out += t.out;
-    if (first == nullptr && !t.harmless) first = &t;
+    AddViolation("drain: sent to a worker that stopped serving", d->id);
+  int open = 0;
+  const Attempt* first = nullptr;
+  for (const Attempt& t : job.attempts) {
+    open += t.open;
+    if (first == nullptr && !t.never_ran) first = &t;
   }
-  if (out > (s_.second_copies ? 1 : 0)) Break("effect: too many attempts at once", d->id);
+  if (open > (s_.second_copies ? 1 : 0)) AddViolation("effect: too many attempts at once", d->id);
   const ClassSettings& cls = s_.classes[job.cls];
-  if (first != nullptr && cls.effect == Effect::kUnsafe) Break("effect: unsafe request sent again", d->id);
+  if (first != nullptr && cls.effect == Effect::kUnsafe)
+    AddViolation("effect: unsafe request sent again", d->id);
   if (first != nullptr && cls.effect == Effect::kKeyed) {
     const Entry& was = lists_.at({node, first->worker});
-    if (now > first->at + cls.window) Break("effect: keyed request sent after its window", d->id);
+    if (now > first->at + cls.window) AddViolation("effect: keyed request sent after its window", d->id);
     if (cls.scope == KeyScope::kCell && (entry.cell == kNone || entry.cell != was.cell))
-      Break("effect: keyed request left its cell", d->id);
+      AddViolation("effect: keyed request left its cell", d->id);
     if (cls.scope == KeyScope::kZone && (entry.zone == kNone || entry.zone != was.zone))
-      Break("effect: keyed request left its zone", d->id);
+      AddViolation("effect: keyed request left its zone", d->id);
   }
-  job.tries.push_back({d->worker, now});
+  job.attempts.push_back({d->worker, now});
 
   // Slow start: the work sent to a cold worker by all nodes, in the window that ends now.
   const Time since = started_[d->worker];
@@ -108,13 +110,13 @@
   const double share = s_.cold_share + (1 - s_.cold_share) * age;
   const double span = static_cast<double>(s_.overload_for) / 1e6;
   if (work > s_.overload_factor * capacity_ * share * span + run_seconds * job.slots)
-    Break("cold: " + d->worker + " overloaded during slow start", d->id);
+    AddViolation("cold: " + d->worker + " overloaded during slow start", d->id);
 }
 
 void RulesChecker::Finish(Time now) {
   for (const auto& [key, job] : jobs_)
-    if (job.ended_at < 0 && !job.gone && now > job.valid_until + slack_)
-      Break("lost: never ended", key.second);
+    if (job.ended_at < 0 && !job.abandoned && now > job.valid_until + slack_)
+      AddViolation("lost: never ended", key.second);
 }
 
 }  // namespace rookgw::test
--- a/tests/rules_checker.h
+++ b/tests/rules_checker.h
@@ -17,26 +17,26 @@
   RulesChecker(Settings settings, double capacity, Time slack)
       : s_(std::move(settings)), capacity_(capacity), slack_(slack) {}
 
-  void Told(int node, Time now, const Event& event);
-  void Did(int node, Time now, const Action& action);
+  void OnEvent(int node, Time now, const Event& event);
+  void OnAction(int node, Time now, const Action& action);
   void Finish(Time now);
 
   double run_seconds = 0.3;  // run time of a job on a warm worker
 
-  const std::vector<std::string>& breaks() const { return breaks_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  struct Try {
+  struct Attempt {
     std::string worker;
     Time at;
-    bool out = true, harmless = false;
+    bool open = true, never_ran = false;
   };
   struct Job {
     int cls = 0;
     double slots = 1;
     Time valid_until = 0, ended_at = -1;
-    bool gone = false;
-    std::vector<Try> tries;
+    bool abandoned = false;
+    std::vector<Attempt> attempts;
   };
   struct Entry {
     bool serving = false;
@@ -44,8 +44,8 @@
     int cell = kNone, zone = kNone;
   };
 
-  void Break(const std::string& what, RequestId id);
-  bool Proven(const Job& job) const;
+  void AddViolation(const std::string& what, RequestId id);
+  bool NeverRan(const Job& job) const;
 
   Settings s_;
   double capacity_;
@@ -54,7 +54,7 @@
   std::map<std::pair<int, std::string>, Entry> lists_;  // as each node received them
   std::map<std::string, std::vector<std::pair<Time, double>>> sent_;
   std::map<std::string, Time> started_;
-  std::vector<std::string> breaks_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace rookgw::test
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -16,9 +16,9 @@
 constexpr double kSlots = 4;
 
 // Generates random but valid events; outcomes are drawn at random instead of simulated.
-class Storm {
+class RandomRun {
  public:
-  Storm(Settings settings, int nodes, std::uint64_t seed)
+  RandomRun(Settings settings, int nodes, std::uint64_t seed)
       : settings_(std::move(settings)), random_(seed), checker_(settings_, kSlots, kSlack) {
     for (int i = 0; i < 12; ++i) fleet_.push_back(Serving("w" + std::to_string(i), i / 4));
     for (int n = 0; n < nodes; ++n) {
@@ -28,8 +28,8 @@
       schedulers_.push_back(std::make_unique<Scheduler>(mine, seed * 100 + n));
       std::vector<Action> actions;
       schedulers_[n]->Start(now_, &actions);
-      Take(n, actions);
-      Tell(n, ListChanged{ListChanged::Form::kWhole, 1, fleet_});
+      HandleActions(n, actions);
+      SendEvent(n, ListChanged{ListChanged::Form::kWhole, 1, fleet_});
     }
   }
 
@@ -39,51 +39,51 @@
     while (now_ < until + 6 * kSecond) {
       now_ += settings_.tick;
       if (now_ < until && now_ >= next_job) NewJob(), next_job = now_ + Draw(1, 20) * kMs;
-      if (now_ < until && now_ >= next_change) Change(), next_change = now_ + Draw(200, 2000) * kMs;
-      while (!later_.empty() && later_.begin()->first <= now_) {
-        const auto [node, event] = later_.begin()->second;
-        later_.erase(later_.begin());
-        Deliver(node, event);
+      if (now_ < until && now_ >= next_change) ChangeWorker(), next_change = now_ + Draw(200, 2000) * kMs;
+      while (!pending_.empty() && pending_.begin()->first <= now_) {
+        const auto [node, event] = pending_.begin()->second;
+        pending_.erase(pending_.begin());
+        DeliverPending(node, event);
       }
     }
     checker_.Finish(now_);
-    return checker_.breaks();
+    return checker_.violations();
   }
 
   long served() const { return served_; }
 
  private:
-  struct Attempted {
+  struct SentAttempt {
     std::string worker;
     bool closed = false;
   };
   struct Job {
     Time valid_until;
-    bool over = false;
-    std::vector<Attempted> attempts;
+    bool ended = false;
+    std::vector<SentAttempt> attempts;
   };
 
-  Time Draw(Time least, Time most) { return std::uniform_int_distribution<Time>(least, most)(random_); }
+  Time Draw(Time min, Time max) { return std::uniform_int_distribution<Time>(min, max)(random_); }
 
   void NewJob() {
     const int node = static_cast<int>(Draw(0, static_cast<Time>(schedulers_.size()) - 1));
     RequestArrived e;
-    e.id = ++ids_;
+    e.id = ++last_id_;
     if (Draw(0, 9) > 0) e.key = static_cast<std::uint64_t>(Draw(0, 30));
     e.cls = static_cast<int>(Draw(0, 2));
     e.valid_until = now_ + (Draw(0, 3) > 0 ? 5000 : Draw(50, 5000)) * kMs;
     jobs_[e.id] = Job{e.valid_until, false, {}};
-    Tell(node, e);
-    if (Draw(0, 40) == 0) later_.insert({now_ + Draw(1, 3000) * kMs, {node, RequestAbandoned{e.id}}});
+    SendEvent(node, e);
+    if (Draw(0, 40) == 0) pending_.insert({now_ + Draw(1, 3000) * kMs, {node, RequestAbandoned{e.id}}});
     // Open attempts time out at the deadline; the request must still be ended.
     for (int attempt = 0; attempt < settings_.max_attempts; ++attempt) {
       AttemptEnded timeout;
       timeout.id = e.id, timeout.attempt = attempt, timeout.outcome = Outcome::kTimeout;
-      later_.insert({e.valid_until, {node, timeout}});
+      pending_.insert({e.valid_until, {node, timeout}});
     }
   }
 
-  void Change() {
+  void ChangeWorker() {
     ListedWorker& w = fleet_[Draw(0, static_cast<Time>(fleet_.size()) - 1)];
     if (w.state == ListedWorker::State::kServing) {
       w.state = Draw(0, 1) == 0 ? ListedWorker::State::kDraining : ListedWorker::State::kGone;
@@ -97,44 +97,44 @@
         std::vector<ListedWorker> whole;
         for (const ListedWorker& x : fleet_)
           if (x.state != ListedWorker::State::kGone) whole.push_back(x);
-        Tell(static_cast<int>(n), ListChanged{ListChanged::Form::kWhole, 1, whole});
+        SendEvent(static_cast<int>(n), ListChanged{ListChanged::Form::kWhole, 1, whole});
       } else {
-        Tell(static_cast<int>(n), ListChanged{ListChanged::Form::kPatch, 1, std::span(&w, 1)});
+        SendEvent(static_cast<int>(n), ListChanged{ListChanged::Form::kPatch, 1, std::span(&w, 1)});
       }
     }
   }
 
-  void Deliver(int node, Event event) {
+  void DeliverPending(int node, Event event) {
     if (auto* end = std::get_if<AttemptEnded>(&event)) {
       Job& job = jobs_.at(end->id);
       if (end->attempt >= static_cast<int>(job.attempts.size())) return;
-      Attempted& a = job.attempts[end->attempt];
+      SentAttempt& a = job.attempts[end->attempt];
       if (a.closed) return;
       a.closed = true;
       end->worker = a.worker;
-      end->complete = job.over || end->outcome == Outcome::kServed;
-      if (end->outcome == Outcome::kServed && !job.over) ++served_, job.over = true;
+      end->complete = job.ended || end->outcome == Outcome::kServed;
+      if (end->outcome == Outcome::kServed && !job.ended) ++served_, job.ended = true;
       if (Draw(0, 1) == 0)
         end->report = Reported(static_cast<double>(Draw(0, 4)), static_cast<double>(Draw(0, 3)));
-    } else if (auto* gone = std::get_if<RequestAbandoned>(&event)) {
-      if (jobs_.at(gone->id).over) return;
-      jobs_.at(gone->id).over = true;
+    } else if (auto* abandoned = std::get_if<RequestAbandoned>(&event)) {
+      if (jobs_.at(abandoned->id).ended) return;
+      jobs_.at(abandoned->id).ended = true;
     } else if (auto* note = std::get_if<AttemptUpdate>(&event)) {
       if (jobs_.at(note->id).attempts[note->attempt].closed) return;
     }
-    Tell(node, event);
+    SendEvent(node, event);
   }
 
-  void Tell(int node, const Event& event) {
-    checker_.Told(node, now_, event);
+  void SendEvent(int node, const Event& event) {
+    checker_.OnEvent(node, now_, event);
     std::vector<Action> actions;
     schedulers_[node]->Handle(now_, event, &actions);
-    Take(node, actions);
+    HandleActions(node, actions);
   }
 
-  void Take(int node, const std::vector<Action>& actions) {
+  void HandleActions(int node, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      checker_.Did(node, now_, action);
+      checker_.OnAction(node, now_, action);
       if (const auto* d = std::get_if<Dispatch>(&action)) {
         Job& job = jobs_.at(d->id);
         AttemptEnded end;
@@ -148,21 +148,21 @@
         const Time runs = Draw(1, 900) * kMs;
         if (Draw(0, 15) == 0) continue;  // hangs until the deadline
         if (Draw(0, 3) > 0)
-          later_.insert({now_ + runs / 4,
-                         {node, AttemptUpdate{end.id, end.attempt, AttemptUpdate::Kind::kStarted, 0}}});
-        later_.insert({now_ + runs, {node, end}});
+          pending_.insert({now_ + runs / 4,
+                           {node, AttemptUpdate{end.id, end.attempt, AttemptUpdate::Kind::kStarted, 0}}});
+        pending_.insert({now_ + runs, {node, end}});
       } else if (const auto* t = std::get_if<SetTimer>(&action)) {
-        later_.insert({now_ + t->span, {node, TimerFired{t->token}}});
+        pending_.insert({now_ + t->span, {node, TimerFired{t->token}}});
       } else if (const auto* p = std::get_if<Probe>(&action)) {
-        later_.insert({now_ + 5 * kMs, {node, ProbeEnded{p->worker, Draw(0, 5) > 0, kMs, Reported(2)}}});
+        pending_.insert({now_ + 5 * kMs, {node, ProbeEnded{p->worker, Draw(0, 5) > 0, kMs, Reported(2)}}});
       } else if (const auto* c = std::get_if<CancelAttempt>(&action)) {
         AttemptEnded end;
         end.id = c->id, end.attempt = c->attempt, end.outcome = Outcome::kCancelled;
-        later_.insert({now_ + settings_.tick, {node, end}});
+        pending_.insert({now_ + settings_.tick, {node, end}});
       } else if (const auto* x = std::get_if<Decline>(&action)) {
-        jobs_.at(x->id).over = true;
+        jobs_.at(x->id).ended = true;
       } else if (const auto* f = std::get_if<Fail>(&action)) {
-        jobs_.at(f->id).over = true;
+        jobs_.at(f->id).ended = true;
       }
     }
   }
@@ -172,10 +172,10 @@
   RulesChecker checker_;
   std::vector<std::unique_ptr<Scheduler>> schedulers_;
   std::vector<ListedWorker> fleet_;
-  std::multimap<Time, std::pair<int, Event>> later_;
+  std::multimap<Time, std::pair<int, Event>> pending_;
   std::map<RequestId, Job> jobs_;
   Time now_ = 1000 * kSecond;
-  RequestId ids_ = 0;
+  RequestId last_id_ = 0;
   long served_ = 0;
 };
 
@@ -184,25 +184,25 @@
   void (*change)(Settings*);
 };
 
-class RulesStorm : public testing::TestWithParam<Variant> {};
+class RulesUnderRandomEvents : public testing::TestWithParam<Variant> {};
 
-TEST_P(RulesStorm, KeepsTheFourRules) {
+TEST_P(RulesUnderRandomEvents, KeepsTheFourRules) {
   long served = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     Settings s = PlainSettings();
     GetParam().change(&s);
-    Storm storm(s, 3, seed);
-    const auto& breaks = storm.Run(60 * kSecond);
-    EXPECT_TRUE(breaks.empty()) << "seed " << seed << ": " << breaks.size()
-                                << " violations, first: " << breaks.front();
-    served += storm.served();
+    RandomRun run(s, 3, seed);
+    const auto& violations = run.Run(60 * kSecond);
+    EXPECT_TRUE(violations.empty()) << "seed " << seed << ": " << violations.size()
+                                    << " violations, first: " << violations.front();
+    served += run.served();
   }
   // One run in 75 serves under 1000, with any decision module, due to unlucky draws.
   EXPECT_GT(served, 6 * 1000);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Sites, RulesStorm,
+    Sites, RulesUnderRandomEvents,
     testing::Values(
         Variant{"answers", [](Settings*) {}},
         Variant{"probes", [](Settings* s) { s->reports = Settings::Reports::kProbe, s->probes = true; }},
@@ -219,19 +219,21 @@
  protected:
   CheckerTest() : checker(PlainSettings(), kSlots, kSlack) {
     workers = {Serving("a", 0), Serving("b", 1)};
-    checker.Told(0, now, ListChanged{ListChanged::Form::kWhole, 1, workers});
+    checker.OnEvent(0, now, ListChanged{ListChanged::Form::kWhole, 1, workers});
   }
   void Arrive(RequestId id, int cls) {
     RequestArrived e;
     e.id = id, e.cls = cls, e.valid_until = now + kSecond;
-    checker.Told(0, now, e);
+    checker.OnEvent(0, now, e);
   }
   void End(RequestId id, Outcome outcome) {
     AttemptEnded e;
     e.id = id, e.outcome = outcome, e.worker = "a";
-    checker.Told(0, now, e);
+    checker.OnEvent(0, now, e);
+  }
+  std::string FirstViolation() const {
+    return checker.violations().empty() ? "" : checker.violations().front().substr(0, 5);
   }
-  std::string First() const { return checker.breaks().empty() ? "" : checker.breaks().front().substr(0, 5); }
 
   Time now = 1000 * kSecond;
   std::vector<ListedWorker> workers;
@@ -241,56 +243,56 @@
 TEST_F(CheckerTest, CatchesALostRequest) {
   Arrive(1, kUnsafeClass);
   checker.Finish(now + 2 * kSecond);
-  EXPECT_EQ(First(), "lost:");
+  EXPECT_EQ(FirstViolation(), "lost:");
 }
 
 TEST_F(CheckerTest, CatchesASendAfterTheEnd) {
   Arrive(1, kUnsafeClass);
-  checker.Did(0, now, Fail{1});
-  EXPECT_EQ(First(), "");
-  checker.Did(0, now, Dispatch{1, "a", 0});
-  EXPECT_EQ(First(), "lost:");
+  checker.OnAction(0, now, Fail{1});
+  EXPECT_EQ(FirstViolation(), "");
+  checker.OnAction(0, now, Dispatch{1, "a", 0});
+  EXPECT_EQ(FirstViolation(), "lost:");
 }
 
 TEST_F(CheckerTest, CatchesARepeatedUnsafeRequest) {
   Arrive(1, kUnsafeClass);
-  checker.Did(0, now, Dispatch{1, "a", 0});
+  checker.OnAction(0, now, Dispatch{1, "a", 0});
   End(1, Outcome::kError);
-  checker.Did(0, now, Dispatch{1, "b", 0});
-  EXPECT_EQ(First(), "effec");
+  checker.OnAction(0, now, Dispatch{1, "b", 0});
+  EXPECT_EQ(FirstViolation(), "effec");
 }
 
-TEST_F(CheckerTest, CatchesARefusalOfWhatMayHaveRun) {
+TEST_F(CheckerTest, CatchesADeclineOfARequestThatMayHaveRun) {
   Arrive(1, kUnsafeClass);
-  checker.Did(0, now, Dispatch{1, "a", 0});
-  checker.Did(0, now, Decline{1, 0});
-  EXPECT_EQ(First(), "effec");
+  checker.OnAction(0, now, Dispatch{1, "a", 0});
+  checker.OnAction(0, now, Decline{1, 0});
+  EXPECT_EQ(FirstViolation(), "effec");
 }
 
 TEST_F(CheckerTest, CatchesAKeyedRequestThatLeavesItsCell) {
   Arrive(1, kKeyedClass);
-  checker.Did(0, now, Dispatch{1, "a", 0});
+  checker.OnAction(0, now, Dispatch{1, "a", 0});
   End(1, Outcome::kError);
-  checker.Did(0, now, Dispatch{1, "b", 0});
-  EXPECT_EQ(First(), "effec");
+  checker.OnAction(0, now, Dispatch{1, "b", 0});
+  EXPECT_EQ(FirstViolation(), "effec");
 }
 
 TEST_F(CheckerTest, CatchesASendToADrainingWorker) {
   workers[0].state = ListedWorker::State::kDraining;
-  checker.Told(0, now, ListChanged{ListChanged::Form::kPatch, 2, std::span(workers.data(), 1)});
+  checker.OnEvent(0, now, ListChanged{ListChanged::Form::kPatch, 2, std::span(workers.data(), 1)});
   Arrive(1, kUnsafeClass);
-  checker.Did(0, now + kSecond, Dispatch{1, "a", 0});
-  EXPECT_EQ(First(), "drain");
+  checker.OnAction(0, now + kSecond, Dispatch{1, "a", 0});
+  EXPECT_EQ(FirstViolation(), "drain");
 }
 
-TEST_F(CheckerTest, CatchesAColdWorkerPushedOver) {
+TEST_F(CheckerTest, CatchesAnOverloadedColdWorker) {
   workers[0].since = now;
-  checker.Told(0, now, ListChanged{ListChanged::Form::kPatch, 2, std::span(workers.data(), 1)});
+  checker.OnEvent(0, now, ListChanged{ListChanged::Form::kPatch, 2, std::span(workers.data(), 1)});
   for (RequestId id = 1; id <= 30; ++id) {
     Arrive(id, kUnsafeClass);
-    checker.Did(0, now, Dispatch{id, "a", 0});
+    checker.OnAction(0, now, Dispatch{id, "a", 0});
   }
-  EXPECT_EQ(First(), "cold:");
+  EXPECT_EQ(FirstViolation(), "cold:");
 }
 
 }  // namespace
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -15,13 +15,17 @@
 namespace {
 
 constexpr Time kStep = 10 * kMs;
-constexpr int kOthers = 30;  // draining workers: they make own reports scarce and take no jobs
+constexpr int kDrainingWorkers = 30;  // draining workers: they make own reports scarce and take no jobs
 
 enum class Traffic { kBursts, kSteady, kSteadyThenBursts };
-enum class News { kNone, kAll, kLost };  // reports of slots in use: never, always, first half only
+enum class PeerReports {
+  kNever,
+  kAlways,
+  kFirstHalf
+};  // reports of slots in use: never, always, first half only
 struct Case {
   Traffic traffic = Traffic::kBursts;
-  News news = News::kNone;
+  PeerReports peer_reports = PeerReports::kNever;
   bool restarts = false;  // of 70% of the nodes, several times
   bool returns = false;   // the worker restarts at its address halfway
   bool mixed = false;     // jobs with half and 1.5 times the mean work
@@ -39,26 +43,26 @@
 class Tier {
  public:
   Tier(const Site& site, const Case& c, std::uint64_t seed) : site_(site), case_(c), random_(seed) {
-    for (int i = 0; i < site.instances; ++i) seats_.emplace_back();
-    for (int i = 0; i < site.instances; ++i) Begin(i, /*learned=*/c.learned);
+    for (int i = 0; i < site.instances; ++i) members_.emplace_back();
+    for (int i = 0; i < site.instances; ++i) StartNode(i, /*learned=*/c.learned);
     now_ += 48 * site.run;
   }
 
   // Maximum work sent in a window, relative to the budget plus its random variation; above 1 breaks the rule.
-  double Play() {
-    const Time begun = now_, half = begun + site_.settings.ramp_time / 2;
-    since_ = begun + Draw(-20, 20) * kMs;  // possibly slightly in the future
-    TellStart();
-    Time next_burst = begun + Draw(200, 2500) * kMs, next_restart = begun + Draw(500, 3000) * kMs;
+  double MaxBudgetUse() {
+    const Time start = now_, half = start + site_.settings.ramp_time / 2;
+    since_ = start + Draw(-20, 20) * kMs;  // possibly slightly in the future
+    ScheduleLists();
+    Time next_burst = start + Draw(200, 2500) * kMs, next_restart = start + Draw(500, 3000) * kMs;
     bool returned = false;
     for (; now_ < since_ + site_.settings.ramp_time; now_ += kStep) {
       if (case_.returns && !returned && now_ >= half) {
         returned = true, since_ = now_, sent_.clear();
-        TellStart();
+        ScheduleLists();
       }
       if (case_.restarts && now_ >= next_restart) {
         for (int i = 0; i < site_.instances; ++i)
-          if (Draw(0, 9) < 7) Begin(i, /*learned=*/false);
+          if (Draw(0, 9) < 7) StartNode(i, /*learned=*/false);
         next_restart = now_ + Draw(200, 2500) * kMs;
         next_burst = std::min(next_burst, now_ + Draw(0, 300) * kMs);
       }
@@ -66,39 +70,40 @@
           case_.traffic == Traffic::kBursts || (case_.traffic == Traffic::kSteadyThenBursts && now_ >= half);
       if (bursts && now_ >= next_burst) {
         for (int i = 0; i < site_.instances; ++i)
-          for (Time n = Draw(1, 6); n > 0; --n) Ask(i);
+          for (Time n = Draw(1, 6); n > 0; --n) SendRequest(i);
         next_burst = now_ + Draw(300 * kMs, site_.settings.ramp_time / 2);
       } else if (!bursts) {
-        const double a_step = 4 * Budget() / site_.instances * kStep / site_.settings.overload_for;
+        const double per_step = 4 * Budget() / site_.instances * kStep / site_.settings.overload_for;
         for (int i = 0; i < site_.instances; ++i) {
-          seats_[i].due += a_step;
-          for (; seats_[i].due >= 1; seats_[i].due -= 1) Ask(i);
+          members_[i].arrivals_due += per_step;
+          for (; members_[i].arrivals_due >= 1; members_[i].arrivals_due -= 1) SendRequest(i);
         }
       }
-      const bool told = case_.news == News::kAll || (case_.news == News::kLost && now_ < half);
-      if (told && (now_ - begun) % (100 * kMs) < kStep) TellHoldings();
+      const bool reports_due = case_.peer_reports == PeerReports::kAlways ||
+                               (case_.peer_reports == PeerReports::kFirstHalf && now_ < half);
+      if (reports_due && (now_ - start) % (100 * kMs) < kStep) SendPeerReports();
       for (int i = 0; i < site_.instances; ++i) Step(i);
     }
-    return worst_;
+    return max_use_;
   }
 
-  long sent() const { return all_sent_; }
+  long sent() const { return total_sent_; }
 
  private:
-  struct Out {
+  struct OpenAttempt {
     Time ends;
     RequestId id;
     int attempt;
   };
-  struct Seat {
+  struct Member {
     std::unique_ptr<Node> node;
-    std::deque<Out> out;
-    Time hears = -1, told_since = 0;  // of the latest start
-    double due = 0;
+    std::deque<OpenAttempt> open;
+    Time list_due = -1, listed_since = 0;  // of the latest start
+    double arrivals_due = 0;
     int held = 0;
   };
 
-  Time Draw(Time least, Time most) { return std::uniform_int_distribution<Time>(least, most)(random_); }
+  Time Draw(Time min, Time max) { return std::uniform_int_distribution<Time>(min, max)(random_); }
 
   double Budget() const {  // in jobs of mean work, for the window that ends now
     const Settings& s = site_.settings;
@@ -107,137 +112,140 @@
            static_cast<double>(s.overload_for) / static_cast<double>(site_.run);
   }
 
-  Time RunOf(int cls) const {
+  Time RunTimeOf(int cls) const {
     return !case_.mixed ? site_.run : cls == kRepeatableClass ? site_.run / 2 : site_.run * 3 / 2;
   }
 
   // Starts node `i`, or replaces it by a new instance.
-  void Begin(int i, bool learned) {
-    Seat& seat = seats_[i];
+  void StartNode(int i, bool learned) {
+    Member& member = members_[i];
     Settings s = site_.settings;
     s.ordinal = i;
-    seat.node = std::make_unique<Node>(s, random_(), now_ + (learned ? Draw(0, 50) * kMs : 0));
-    seat.out.clear(), seat.held = 0;
-    Node& node = *seat.node;
+    member.node = std::make_unique<Node>(s, random_(), now_ + (learned ? Draw(0, 50) * kMs : 0));
+    member.open.clear(), member.held = 0;
+    Node& node = *member.node;
     if (learned) {  // run times, learned from a warm worker
       node.List({Serving("warm")});
       for (int n = 0; n < 24; ++n) {
-        const RequestId id = ++ids_;
+        const RequestId id = ++last_id_;
         const int cls = n % 2 == 0 ? kRepeatableClass : kUnsafeClass;
         if (node.Ask(id, 7, cls) != "warm") continue;
         node.Started(id);
-        node.now += RunOf(cls);
+        node.now += RunTimeOf(cls);
         node.Ended(id, "warm", Outcome::kServed, 0, Reported(site_.slots));
       }
     }
-    if (seat.told_since != 0) TellList(seat);  // it starts with the current list
+    if (member.listed_since != 0) SendList(member);  // it starts with the current list
     node.Report("other0", site_.slots);
-    Clear(node);
+    ClearActions(node);
   }
 
-  static void Clear(Node& node) {  // drops the node's actions after their timers are set
+  static void ClearActions(Node& node) {  // drops the node's actions after their timers are set
     node.Run(0), node.actions.clear(), node.Run(0);
   }
 
-  void TellStart() {  // each node gets the list at another time
-    for (Seat& seat : seats_) seat.hears = now_ + (Draw(0, 2) == 0 ? 0 : Draw(0, 2000) * kMs);
+  void ScheduleLists() {  // each node gets the list at another time
+    for (Member& member : members_) member.list_due = now_ + (Draw(0, 2) == 0 ? 0 : Draw(0, 2000) * kMs);
   }
 
-  void TellList(Seat& seat) {
+  void SendList(Member& member) {
     std::vector<ListedWorker> workers{Serving("cold")};
-    workers[0].since = seat.told_since;
-    for (int i = 0; i < kOthers; ++i) {
+    workers[0].since = member.listed_since;
+    for (int i = 0; i < kDrainingWorkers; ++i) {
       workers.push_back(Serving("other" + std::to_string(i)));
       workers.back().state = ListedWorker::State::kDraining;
       workers.back().weight = 0.001;  // few ring points, for short walks
     }
-    seat.node->List(workers);
-    Take(seat);
-    for (int i = 0; i < kOthers; i += 10) seat.node->Report("other" + std::to_string(i), site_.slots);
+    member.node->List(workers);
+    HandleActions(member);
+    for (int i = 0; i < kDrainingWorkers; i += 10)
+      member.node->Report("other" + std::to_string(i), site_.slots);
   }
 
-  void TellHoldings() {
+  void SendPeerReports() {
     int all = 0;
-    for (const Seat& seat : seats_) all += seat.held;
-    for (Seat& seat : seats_) {
+    for (const Member& member : members_) all += member.held;
+    for (Member& member : members_) {
       if (Draw(0, 9) == 0) continue;  // lost
-      seat.node->Tell(PeerReport{"cold", static_cast<double>(all_held_before_ - seat.held)});
-      Take(seat);
+      member.node->Tell(PeerReport{"cold", static_cast<double>(last_total_held_ - member.held)});
+      HandleActions(member);
     }
-    all_held_before_ = all;  // reports are 0.1 s old
+    last_total_held_ = all;  // reports are 0.1 s old
   }
 
-  void Ask(int i) {
-    Seat& seat = seats_[i];
-    seat.node->now = std::max(seat.node->now, now_);
-    const int cls = classes_[++ids_] = Draw(0, 1) == 0 ? kRepeatableClass : kUnsafeClass;
-    seat.node->Ask(ids_, 7, cls);
-    Take(seat);
+  void SendRequest(int i) {
+    Member& member = members_[i];
+    member.node->now = std::max(member.node->now, now_);
+    const int cls = classes_[++last_id_] = Draw(0, 1) == 0 ? kRepeatableClass : kUnsafeClass;
+    member.node->Ask(last_id_, 7, cls);
+    HandleActions(member);
   }
 
   void Step(int i) {
-    Seat& seat = seats_[i];
-    Node& node = *seat.node;
+    Member& member = members_[i];
+    Node& node = *member.node;
     node.now = std::max(node.now, now_);
-    if (seat.hears >= 0 && now_ >= seat.hears) {
-      seat.hears = -1, seat.told_since = since_;
-      TellList(seat);
+    if (member.list_due >= 0 && now_ >= member.list_due) {
+      member.list_due = -1, member.listed_since = since_;
+      SendList(member);
     }
-    while (!seat.out.empty() && seat.out.front().ends <= now_) {
-      const Out out = seat.out.front();
-      seat.out.pop_front(), --seat.held;
-      node.Ended(out.id, "cold", Outcome::kServed, out.attempt, Reported(site_.slots));
-      Take(seat);
+    while (!member.open.empty() && member.open.front().ends <= now_) {
+      const OpenAttempt ended = member.open.front();
+      member.open.pop_front(), --member.held;
+      node.Ended(ended.id, "cold", Outcome::kServed, ended.attempt, Reported(site_.slots));
+      HandleActions(member);
     }
     if (node.now < now_ + kStep) node.Run(now_ + kStep - node.now);
-    Take(seat);
-    Clear(node);
+    HandleActions(member);
+    ClearActions(node);
   }
 
-  void Take(Seat& seat) {  // processes the node's new actions
-    const auto cancelled = seat.node->Fresh<CancelAttempt>();
-    for (const Dispatch& d : seat.node->Fresh<Dispatch>()) {
+  void HandleActions(Member& member) {  // processes the node's new actions
+    const auto cancelled = member.node->Fresh<CancelAttempt>();
+    for (const Dispatch& d : member.node->Fresh<Dispatch>()) {
       if (d.worker != "cold") continue;
-      const Time runs = RunOf(classes_.at(d.id));
-      seat.out.push_back({now_ + runs, d.id, 0});
-      std::ranges::sort(seat.out, {}, &Out::ends);
-      ++seat.held;
-      if (seat.told_since == since_) Count(static_cast<double>(runs) / static_cast<double>(site_.run));
+      const Time runs = RunTimeOf(classes_.at(d.id));
+      member.open.push_back({now_ + runs, d.id, 0});
+      std::ranges::sort(member.open, {}, &OpenAttempt::ends);
+      ++member.held;
+      if (member.listed_since == since_)
+        CountSent(static_cast<double>(runs) / static_cast<double>(site_.run));
     }
     for (const CancelAttempt& c : cancelled) {
-      seat.held -= static_cast<int>(std::erase_if(seat.out, [&](const Out& o) { return o.id == c.id; }));
-      seat.node->Ended(c.id, "cold", Outcome::kCancelled, c.attempt);
-      Take(seat);
+      member.held -=
+          static_cast<int>(std::erase_if(member.open, [&](const OpenAttempt& o) { return o.id == c.id; }));
+      member.node->Ended(c.id, "cold", Outcome::kCancelled, c.attempt);
+      HandleActions(member);
     }
   }
 
-  void Count(double work) {
+  void CountSent(double work) {
     if (now_ + kStep >= since_ + site_.settings.ramp_time) return;  // the worker may be warm by then
-    ++all_sent_;
+    ++total_sent_;
     sent_.push_back({now_, work});
     // One step shorter than the window, since a dispatch may happen up to a step after it is counted.
     while (sent_.front().first <= now_ - site_.settings.overload_for + kStep) sent_.pop_front();
     double sum = 0;
     for (const auto& [at, w] : sent_) sum += w;
     const double n = Budget();
-    worst_ = std::max(worst_, sum / (n + 2 * std::sqrt(n) + 2));
+    max_use_ = std::max(max_use_, sum / (n + 2 * std::sqrt(n) + 2));
   }
 
   Site site_;
   Case case_;
   std::mt19937_64 random_;
-  std::deque<Seat> seats_;
+  std::deque<Member> members_;
   std::map<RequestId, int> classes_;
   std::deque<std::pair<Time, double>> sent_;  // in the window: time and work
   Time now_ = 1000 * kSecond, since_ = 0;
-  RequestId ids_ = 0;
-  long all_sent_ = 0;
-  int all_held_before_ = 0;
-  double worst_ = 0;
+  RequestId last_id_ = 0;
+  long total_sent_ = 0;
+  int last_total_held_ = 0;
+  double max_use_ = 0;
 };
 
 // Checks random tiers of 1 to 300 nodes and random sites; the seed makes the result deterministic.
-void StaysInBudget(Case c) {
+void ExpectWithinBudget(Case c) {
   long sent = 0;
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
     std::mt19937_64 random(seed);
@@ -255,9 +263,9 @@
     for (ClassSettings& k : s.classes) k.aim = one({200, 3000}) * kMs;
     c.traffic = one({Traffic::kBursts, Traffic::kSteady, Traffic::kSteadyThenBursts});
     Tier tier(site, c, seed);
-    EXPECT_LE(tier.Play(), 1.0) << "of the tolerated budget; seed " << seed << ", " << site.instances
-                                << " nodes, " << site.slots << " slots, runs of " << site.run / kMs << " ms, "
-                                << tier.sent() << " sent";
+    EXPECT_LE(tier.MaxBudgetUse(), 1.0)
+        << "of the tolerated budget; seed " << seed << ", " << site.instances << " nodes, " << site.slots
+        << " slots, runs of " << site.run / kMs << " ms, " << tier.sent() << " sent";
     sent += tier.sent();
   }
   EXPECT_GT(sent, 200);  // the budget is actually used
@@ -272,21 +280,23 @@
       site.settings.cold_share = 0.4;
       for (ClassSettings& k : site.settings.classes) k.aim = 3 * kSecond;
       Tier tier(site, {}, seed);
-      EXPECT_LE(tier.Play(), 1.0) << "of the tolerated budget; seed " << seed << ", " << instances
-                                  << " nodes, " << tier.sent() << " sent";
+      EXPECT_LE(tier.MaxBudgetUse(), 1.0) << "of the tolerated budget; seed " << seed << ", " << instances
+                                          << " nodes, " << tier.sent() << " sent";
     }
 }
 
-TEST(SlowStart, BudgetHoldsWhereNobodyIsHeard) { StaysInBudget({}); }
-TEST(SlowStart, BudgetHoldsWhereAllAreHeard) { StaysInBudget({.news = News::kAll}); }
-TEST(SlowStart, BudgetHoldsWhereNewsStops) { StaysInBudget({.news = News::kLost}); }
-TEST(SlowStart, BudgetHoldsWhenNodesBeginAnew) { StaysInBudget({.restarts = true}); }
-TEST(SlowStart, BudgetHoldsWhenNodesThatAreHeardBeginAnew) {
-  StaysInBudget({.news = News::kAll, .restarts = true});
+TEST(SlowStart, BudgetHoldsWithoutPeerReports) { ExpectWithinBudget({}); }
+TEST(SlowStart, BudgetHoldsWithPeerReports) { ExpectWithinBudget({.peer_reports = PeerReports::kAlways}); }
+TEST(SlowStart, BudgetHoldsWhenPeerReportsStop) {
+  ExpectWithinBudget({.peer_reports = PeerReports::kFirstHalf});
 }
-TEST(SlowStart, BudgetHoldsWhenTheWorkerReturnsAtItsAddress) { StaysInBudget({.returns = true}); }
-TEST(SlowStart, BudgetHoldsForJobsOfTwoSizes) { StaysInBudget({.mixed = true}); }
-TEST(SlowStart, BudgetHoldsBeforeAnythingIsLearned) { StaysInBudget({.learned = false}); }
+TEST(SlowStart, BudgetHoldsWhenNodesRestart) { ExpectWithinBudget({.restarts = true}); }
+TEST(SlowStart, BudgetHoldsWhenNodesWithPeerReportsRestart) {
+  ExpectWithinBudget({.peer_reports = PeerReports::kAlways, .restarts = true});
+}
+TEST(SlowStart, BudgetHoldsWhenTheWorkerRestartsAtItsAddress) { ExpectWithinBudget({.returns = true}); }
+TEST(SlowStart, BudgetHoldsForJobsOfTwoSizes) { ExpectWithinBudget({.mixed = true}); }
+TEST(SlowStart, BudgetHoldsBeforeRunTimesAreLearned) { ExpectWithinBudget({.learned = false}); }
 
 }  // namespace
 }  // namespace rookgw::test
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -26,80 +26,81 @@
   std::string out, errors;
 };
 
-Result Play(const std::string& input) {
+Result RunTranscript(const std::string& input) {
   std::istringstream in(input);
   std::ostringstream out, errors;
   const int code = RunHost(in, out, errors);
   return {code, out.str(), errors.str()};
 }
 
-std::string Opening(const std::string& node = "node_1") {
+std::string AttachBatch(const std::string& node = "node_1") {
   return "MARK 1000000\nATTACH " + node + " 7 " + kSettings +
          "\nCENSUS 0 1\nITEM - SERVING 0 executor-a 1 box z1\nTOPOLOGY " + node +
          " stale_copy 1 0\nOVER_TO_YOU\n";
 }
 
 TEST(WireHost, AnEmptyBatchGetsAnEmptyReply) {
-  const Result r = Play("MARK 8412250\nOVER_TO_YOU\n");
+  const Result r = RunTranscript("MARK 8412250\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0);
   EXPECT_EQ(r.out, "END\n");
   EXPECT_EQ(r.errors, "");
 }
 
-TEST(WireHost, ARequestIsSentServedAndForgotten) {
-  const Result r = Play(Opening() +
-                        "MARK 2000000\nORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\n"
-                        "OVER_TO_YOU\n"
-                        "MARK 2100000\nCHANGE node_1 ce0a1b2c5d3a91c4 executor-a 1 0 0\n"
-                        "CLOSED_ATTEMPT node_1 ce0a1b2c5d3a91c4 executor-a - 0 1 0 18500 waiting:3,x0:0.4\n"
-                        "GONE node_1 ce0a1b2c5d3a91c4\nOVER_TO_YOU\n");
+TEST(WireHost, ARequestIsDispatchedAndServed) {
+  const Result r =
+      RunTranscript(AttachBatch() +
+                    "MARK 2000000\nORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\n"
+                    "OVER_TO_YOU\n"
+                    "MARK 2100000\nCHANGE node_1 ce0a1b2c5d3a91c4 executor-a 1 0 0\n"
+                    "CLOSED_ATTEMPT node_1 ce0a1b2c5d3a91c4 executor-a - 0 1 0 18500 waiting:3,x0:0.4\n"
+                    "GONE node_1 ce0a1b2c5d3a91c4\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0) << r.errors;
   EXPECT_NE(r.out.find("DISPATCH node_1 ce0a1b2c5d3a91c4 "), std::string::npos) << r.out;
   EXPECT_NE(r.out.find(" executor-a\n"), std::string::npos);
   EXPECT_EQ(r.out.substr(r.out.size() - 8), "END\nEND\n");
 }
 
-TEST(WireHost, AbsentValuesAreTaken) {
-  const Result r =
-      Play(Opening() + "MARK 2000000\nORDER node_1 ce0a1b2c5d3a91c4 - - - 7000000 - - - c1\nOVER_TO_YOU\n");
+TEST(WireHost, AbsentValuesAreAccepted) {
+  const Result r = RunTranscript(
+      AttachBatch() + "MARK 2000000\nORDER node_1 ce0a1b2c5d3a91c4 - - - 7000000 - - - c1\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0) << r.errors;
   EXPECT_NE(r.out.find("DISPATCH node_1 ce0a1b2c5d3a91c4 "), std::string::npos);
 }
 
-TEST(WireHost, AListNumberIsUsedAgainInABatch) {
-  const Result r =
-      Play(Opening() +
-           "MARK 2000000\nCENSUS 0 1\nITEM - DELETED 0 executor-a 1 box z1\nTOPOLOGY node_1 patch 2 0\n"
-           "CENSUS 0 1\nITEM - SERVING 0 executor-b 1 box z1\nTOPOLOGY node_1 patch 3 0\n"
-           "ORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
+TEST(WireHost, AListNumberIsReusedInABatch) {
+  const Result r = RunTranscript(
+      AttachBatch() +
+      "MARK 2000000\nCENSUS 0 1\nITEM - DELETED 0 executor-a 1 box z1\nTOPOLOGY node_1 patch 2 0\n"
+      "CENSUS 0 1\nITEM - SERVING 0 executor-b 1 box z1\nTOPOLOGY node_1 patch 3 0\n"
+      "ORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0) << r.errors;
   EXPECT_NE(r.out.find("executor-b"), std::string::npos);
   EXPECT_EQ(r.out.find("executor-a"), std::string::npos);
 }
 
-TEST(WireHost, ANodeDiesAndComesBackInOneBatch) {
+TEST(WireHost, ANodeStopsAndRestartsInOneBatch) {
   const Result r =
-      Play(Opening() + "MARK 2000000\nSHUTDOWN node_1\nATTACH node_1 9 " + kSettings +
-           "\nCENSUS 3 0\nTOPOLOGY node_1 stale_copy 1 3\n"
-           "ORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
+      RunTranscript(AttachBatch() + "MARK 2000000\nSHUTDOWN node_1\nATTACH node_1 9 " + kSettings +
+                    "\nCENSUS 3 0\nTOPOLOGY node_1 stale_copy 1 3\n"
+                    "ORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0) << r.errors;
   EXPECT_EQ(r.out.find("DISPATCH"), std::string::npos);  // the new instance knows no workers
 }
 
 TEST(WireHost, InstancesAreKeptApart) {
   const Result r =
-      Play(Opening("node_1") + Opening("node_2") +
-           "MARK 2000000\nCENSUS 1 1\nITEM - DELETED 0 executor-a 1 box z1\n"
-           "TOPOLOGY node_1 patch 2 1\n"
-           "ORDER node_1 00000000000000a1 0000000000000001 1 - 7000000 - 0 t1 c1\n"
-           "ORDER node_2 00000000000000a2 0000000000000001 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
+      RunTranscript(AttachBatch("node_1") + AttachBatch("node_2") +
+                    "MARK 2000000\nCENSUS 1 1\nITEM - DELETED 0 executor-a 1 box z1\n"
+                    "TOPOLOGY node_1 patch 2 1\n"
+                    "ORDER node_1 00000000000000a1 0000000000000001 1 - 7000000 - 0 t1 c1\n"
+                    "ORDER node_2 00000000000000a2 0000000000000001 1 - 7000000 - 0 t1 c1\nOVER_TO_YOU\n");
   EXPECT_EQ(r.code, 0) << r.errors;
   EXPECT_EQ(r.out.find("DISPATCH node_1"), std::string::npos);
   EXPECT_NE(r.out.find("DISPATCH node_2 00000000000000a2"), std::string::npos);
 }
 
-TEST(WireHost, BrokenInputIsToldInOneLine) {
-  const std::string open = Opening();
+TEST(WireHost, InvalidInputIsReportedInOneLine) {
+  const std::string open = AttachBatch();
   std::string huge = kSettings;
   huge.replace(huge.find("\"Ordinal\":0"), 11, "\"Ordinal\":1e300");
   const std::pair<std::string, std::string> cases[] = {
@@ -131,7 +132,7 @@
       {"MARK 5\nATTACH node_1 7 {\"Instances\":\nOVER_TO_YOU\n", "JSON"},
   };
   for (const auto& [input, expected] : cases) {
-    const Result r = Play(input);
+    const Result r = RunTranscript(input);
     EXPECT_NE(r.code, 0) << input;
     EXPECT_EQ(r.errors.substr(0, 5), "line ") << r.errors;
     EXPECT_NE(r.errors.find(expected), std::string::npos) << r.errors;
@@ -139,9 +140,9 @@
   }
 }
 
-TEST(WireHost, BrokenLinesNeverCrashIt) {
+TEST(WireHost, MalformedLinesNeverCrash) {
   const std::string good =
-      Opening() +
+      AttachBatch() +
       "MARK 2000000\nORDER node_1 ce0a1b2c5d3a91c4 91f03b7c55d20a64 1 - 7000000 - 0 t1 c1\n"
       "CLOSED_ATTEMPT node_1 ce0a1b2c5d3a91c4 executor-a - 0 1 0 18500 waiting:3,x0:0.4\n"
       "PROBED node_1 executor-a 0 1400 waiting:3,x0:0.4\nFIRED node_1 sweep\nOVER_TO_YOU\n";
@@ -170,7 +171,7 @@
       }
       if (bad.empty()) break;
     }
-    const Result r = Play(bad);
+    const Result r = RunTranscript(bad);
     refused += r.code != 0;
     EXPECT_EQ(r.code == 0, r.errors.empty());
   }
