--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -15,14 +15,10 @@
 namespace {
 
 constexpr Time kStep = 10 * kMs;
-constexpr int kDrainingWorkers = 30;  // draining workers: they make own reports scarce and take no jobs
+constexpr int kDrainingWorkers = 30;  // they make a node's own reports scarce and take no jobs
 
 enum class Traffic { kBursts, kSteady, kSteadyThenBursts };
-enum class PeerReports {
-  kNever,
-  kAlways,
-  kFirstHalf
-};  // reports of slots in use: never, always, first half only
+enum class PeerReports { kNever, kAlways, kFirstHalf };  // when nodes report their slots in use
 struct Case {
   Traffic traffic = Traffic::kBursts;
   PeerReports peer_reports = PeerReports::kNever;
@@ -135,7 +131,7 @@
         node.Ended(id, "warm", Outcome::kServed, 0, Reported(site_.slots));
       }
     }
-    if (member.listed_since != 0) SendList(member);  // it starts with the current list
+    if (member.listed_since != 0) SendList(member);  // starts with the current list
     node.Report("other0", site_.slots);
     ClearActions(node);
   }
