--- a/include/rookgw/brain.h
+++ b/include/rookgw/brain.h
@@ -75,8 +75,7 @@
   Time progress = 0;             // interval of AttemptUpdate::kProgress events; 0: none
   enum class Reports { kNever, kProbe, kAnswers } reports = Reports::kNever;
   bool reports_slots = false, reports_memory = false, reports_waiting = false, reports_active = false;
-  bool reports_weights = false,
-       weights_live = false;  // ListedWorker::weight is a size / falls with load
+  bool reports_weights = false, weights_live = false;  // ListedWorker::weight: a size / falls with load
   // Fees: deducted from the score, as shares
   double fee_cross_zone = 0, fee_fetch = 0, fee_handshake = 0, fee_late = 0, fee_probe = 0, fee_waste = 0;
   // Guarantees
@@ -125,14 +124,14 @@
 };
 
 struct AttemptUpdate {
-  enum class Kind { kAccepted, kStarted, kProgress };  // kAccepted: the worker accepted the job
+  enum class Kind { kAccepted, kStarted, kProgress };  // kAccepted: the worker has received the job
   RequestId id = 0;
   int attempt = 0;
   Kind kind = Kind::kStarted;
   double share_done = 0;
 };
 
-// kVoid: the attempt never ran and says nothing of the worker.
+// kVoid: the attempt never ran and says nothing about the worker.
 enum class Outcome { kServed, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kVoid };
 
 struct AttemptEnded {
