--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// The one clock: Unix microseconds, read once at the start and then carried on by the steady clock, so that a
-// stepped system clock moves no deadline.
+// The process's clock: Unix microseconds, read once at startup and advanced by the steady clock, so that a
+// step of the system clock doesn't move deadlines.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace lichenlug {
 
-using Time = std::int64_t;  // microseconds, a point or a span
+using Time = std::int64_t;  // microseconds; a point in time or a duration
 inline constexpr Time kMillisecond = 1000, kSecond = 1000 * kMillisecond;
 
 class Clock {
--- a/src/base/deadlines.cpp
+++ b/src/base/deadlines.cpp
@@ -10,7 +10,7 @@
 }
 
 void Deadlines::Remove(Key* key) {
-  due_.erase(*key);  // the timer is left as it is: waking up once for nothing costs less than arming again
+  due_.erase(*key);  // leaves the timer armed: one spurious wake-up costs less than rearming
   *key = {};
 }
 
@@ -26,7 +26,7 @@
   armed_ = first;
   timer_.expires_at(clock_.ToSteady(first.first));
   timer_.async_wait([this](std::error_code error) {
-    if (error) return;  // armed again for an earlier one
+    if (error) return;  // rearmed for an earlier deadline
     armed_ = {};
     Serve();
   });
@@ -34,7 +34,8 @@
 
 void Deadlines::Serve() {
   serving_ = true;
-  // Only what is due at the start: a deadline that hangs itself up again for now must not starve the sockets.
+  // Runs only what is due at the start: a callback that schedules itself again for now must not starve the
+  // sockets.
   const Time now = Now();
   const std::uint64_t newest = number_;
   while (!due_.empty() && due_.begin()->first.first <= now && due_.begin()->first.second <= newest) {
--- a/src/base/deadlines.h
+++ b/src/base/deadlines.h
@@ -1,4 +1,4 @@
-// All deadlines of the process in one ordered structure, served by one Asio timer.
+// All deadlines of the process in one ordered map, served by one Asio timer.
 #pragma once
 
 #include <asio.hpp>
@@ -13,7 +13,7 @@
 
 class Deadlines {
  public:
-  using Key = std::pair<Time, std::uint64_t>;  // {0, 0} names nothing
+  using Key = std::pair<Time, std::uint64_t>;  // {0, 0} refers to no deadline
 
   Deadlines(asio::io_context& io, const Clock& clock) : clock_(clock), timer_(io) {}
 
@@ -21,10 +21,10 @@
 
   Key Add(Time at, std::function<void()> due);
 
-  // Takes a deadline back, if it has not come yet, and clears the key.
+  // Cancels the deadline, if it has not fired yet, and clears the key.
   void Remove(Key* key);
 
-  // Takes the old deadline of `key` back and hangs up a new one in its place.
+  // Cancels the deadline of `key` and schedules a new one in its place.
   void Move(Key* key, Time at, std::function<void()> due);
 
  private:
--- a/src/base/delay_estimate.h
+++ b/src/base/delay_estimate.h
@@ -1,5 +1,5 @@
-// How long answers of one kind take of late, and how long to wait for one before it counts as missing: the
-// retransmission timer of RFC 6298, section 2. Pure.
+// Estimates the round-trip time of one kind of request and the timeout after which a reply counts as lost:
+// the retransmission timer of RFC 6298, section 2. No clock, no I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 
 class DelayEstimate {
  public:
-  // The bounds of the wait, in microseconds.
+  // The bounds of the timeout, in microseconds.
   DelayEstimate(Time min, Time max) : min_(min), max_(max) {}
 
-  // `delay`: of one answer. None is noted where it is unclear which of several questions was answered (RFC
-  // 6298, section 3), nor where no answer came.
+  // Adds the delay of one reply. Don't call it if it is unclear which of several transmissions the reply
+  // answers (RFC 6298, section 3), or if no reply came.
   void Note(Time delay) {
     if (smoothed_ == 0) {
       smoothed_ = std::max<Time>(delay, 1);
@@ -30,7 +30,7 @@
 
  private:
   Time min_, max_;
-  Time smoothed_ = 0, deviation_ = 0;  // 0: none noted yet
+  Time smoothed_ = 0, deviation_ = 0;  // 0: no sample yet
 };
 
 }  // namespace lichenlug
--- a/src/base/estimators.h
+++ b/src/base/estimators.h
@@ -1,4 +1,4 @@
-// Estimators that forget: a running mean and a rate.
+// Estimators with exponential forgetting: a running mean and a rate.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace lichenlug {
 
-// A mean that starts as a plain average and then forgets: the last `max_samples` samples count.
+// A mean that starts as a plain average and becomes an exponential one: about the last `max_samples` samples
+// count.
 struct RunningMean {
   double value = 0, weight = 0;
 
@@ -18,7 +19,7 @@
   }
 };
 
-// Events by microsecond, an exponential average over about `memory` microseconds.
+// Events per microsecond: an exponential average over about `memory` microseconds.
 struct RateMeter {
   double memory;
   double count = 0;
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -1,5 +1,5 @@
-// Parts of the routing and placement policy that an experiment may leave out, to learn what each is worth.
-// Nothing on the operator's path sets them: all are on unless the command line says otherwise.
+// Mechanisms of the routing and placement policy that an experiment can disable, to measure what each is
+// worth. All are enabled unless the command line disables them; no operator's setting does.
 #pragma once
 
 #include <array>
@@ -12,9 +12,9 @@
 namespace lichenlug {
 
 enum class Mechanism {
-  kPromptHomes,   // requests that share a prompt's prefix share a home among the holders of their model
-  kServerErrors,  // a runner that answers with an error is set aside; what may be repeated goes to another
-  kStoreHomes,    // dispatchers that keep a store are the homes of runners
+  kPromptHomes,   // requests with a common prompt prefix share a home among the runners that hold their model
+  kServerErrors,  // a runner that returns an error is avoided; repeatable requests are retried on another
+  kStoreHomes,    // dispatchers with a store are the homes of runners
 };
 
 inline constexpr std::array<std::string_view, 3> kMechanismNames = {"prompt-homes", "server-errors",
@@ -24,8 +24,7 @@
  public:
   bool Has(Mechanism mechanism) const { return !without_[static_cast<std::size_t>(mechanism)]; }
 
-  // Leaves out the mechanisms of a list of names with commas between. Returns the first name that there is
-  // not.
+  // Disables the mechanisms in a comma-separated list of names. Returns the first unknown name, if any.
   std::optional<std::string> Disable(std::string_view names) {
     while (!names.empty()) {
       const std::size_t end = names.find(',');
--- a/src/base/slots.h
+++ b/src/base/slots.h
@@ -1,5 +1,5 @@
-// A bounded table of numbered slots. A handle names a slot and its generation: once the slot is given to
-// another entry, old handles find nothing, so that a late event can never reach the wrong one.
+// A bounded table of numbered slots. A handle consists of a slot and its generation: once the slot is reused,
+// old handles no longer resolve, so that a late event can't reach the wrong entry.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 namespace lichenlug {
 
 struct Handle {
-  std::uint32_t slot = 0, generation = 0;  // generation 0 names nothing
+  std::uint32_t slot = 0, generation = 0;  // generation 0: the null handle
 
   explicit operator bool() const { return generation != 0; }
   bool operator==(const Handle&) const = default;
@@ -28,7 +28,7 @@
   std::size_t size() const { return size_; }
   bool full() const { return size_ >= max_; }
 
-  // A handle that names nothing when the table is full.
+  // Returns a null handle if the table is full.
   Handle Insert(T value) {
     if (full()) return {};
     if (spare_.empty()) {
@@ -37,7 +37,7 @@
     }
     const std::uint32_t index = spare_.back();
     spare_.pop_back();
-    slots_[index].value = std::make_unique<T>(std::move(value));  // stays where it is while the table grows
+    slots_[index].value = std::make_unique<T>(std::move(value));  // keeps its address while the table grows
     ++size_;
     return {index, slots_[index].generation};
   }
@@ -56,7 +56,7 @@
     --size_;
   }
 
-  // Calls with each handle and entry; the call may erase its own entry.
+  // Calls `call` with each handle and entry; it may erase that entry.
   template <typename Call>
   void ForEach(Call call) {
     for (std::uint32_t i = 0; i < slots_.size(); ++i)
--- a/src/base/tier.h
+++ b/src/base/tier.h
@@ -1,9 +1,8 @@
-// What the pure parts that share facts between dispatchers have in common: who is there, and how a part is
-// asked what it has to tell and handed what it is told. No I/O, no clock: times are arguments.
+// Common interface of the components that share state between dispatchers: the membership view, and how a
+// component produces and receives messages. No I/O, no clock: times are arguments.
 //
-// Guards against parts that know of sockets: a part makes bodies of datagrams and reads them; which address
-// they go to, and how they are told apart on the wire, is `peers/`. The laboratory drives the same parts in
-// virtual time.
+// Components only encode and decode datagram bodies. Addressing and framing belong to `peers/`, so components
+// don't depend on sockets and the lab can run them in virtual time.
 #pragma once
 
 #include <algorithm>
@@ -17,32 +16,32 @@
 
 namespace lichenlug {
 
-// Of a dispatcher, as seen from here.
+// The state of a dispatcher, as seen by this one.
 enum class MemberStatus : std::uint8_t {
-  kUnknown,  // never heard of in any life
-  kJoining,  // heard, its zone or life is not known yet
+  kUnknown,  // no incarnation of it has been heard from
+  kJoining,  // heard from, but its zone or incarnation is not known yet
   kAlive,
-  kSuspected,  // silent; it has time to object
-  kCutOff,     // others hear it, this one does not
-  kLeft,       // it said so
-  kDead,       // agreed on by observers of more than one zone, or by all where there is only one
+  kSuspected,  // silent; it has time to refute the suspicion
+  kCutOff,     // reachable by others, but not by this one
+  kLeft,       // announced that it left
+  kDead,       // confirmed by observers in more than one zone, or by all if there is only one zone
 };
 
 struct TierMember {
-  int number = 0;  // its place in the configuration's `peers`
-  int zone = -1;   // below 0: not known
+  int number = 0;  // its index in the configuration's `peers`
+  int zone = -1;   // negative: unknown
   MemberStatus status = MemberStatus::kUnknown;
-  std::uint64_t life = 0;  // grows with each start of the same number; 0: not known
+  std::uint64_t life = 0;  // incarnation: increases with each start of the same number; 0: unknown
 };
 
-// A view of the whole tier. Views compare by `version`, which grows with each change seen here; two
-// dispatchers' versions say nothing of one another.
+// A view of the whole tier. `version` increases with each change seen by this dispatcher; the versions of two
+// dispatchers are not comparable.
 struct TierView {
   std::uint64_t version = 0;
   int own = 0;
-  std::vector<TierMember> members;  // by number, this one among them: as many as the configuration names
+  std::vector<TierMember> members;  // by number, including this one: all that are configured
 
-  // Those that answer to what is asked of them: alive, and suspected ones until they are given up.
+  // Whether the dispatcher is expected to respond: it is alive, or suspected and not yet declared dead.
   static bool Counts(MemberStatus status) {
     return status == MemberStatus::kAlive || status == MemberStatus::kSuspected;
   }
@@ -50,31 +49,33 @@
     return static_cast<int>(
         std::ranges::count_if(members, [](const TierMember& it) { return Counts(it.status); }));
   }
-  // What counts for the share: those that left are no loss, the rest might be at work behind a cut.
+  // The members that count towards the majority: those that left don't, the rest may be running behind a
+  // network partition.
   int expected() const {
     return static_cast<int>(std::ranges::count_if(
         members, [](const TierMember& it) { return it.status != MemberStatus::kLeft; }));
   }
-  // Over half of what might be at work is here. Below it, what needs the tier as a whole takes its safe part.
+  // Whether a majority of the members that may be running is present. Without one, whatever depends on the
+  // whole tier must use its safe fallback.
   bool whole() const { return 2 * present() > expected(); }
 };
 
-// A part of the dispatcher that tells its peers something. What is told is state with an age, never a
-// command: merging it in any order, any number of times, gives the same.
+// A component of the dispatcher that exchanges messages with its peers. Messages carry state with an age,
+// never commands: merging is commutative and idempotent.
 class PeerProtocol {
  public:
-  static constexpr int kAll = -1;               // to every member that counts
-  static constexpr std::size_t kMaxBody = 254;  // bytes: a datagram of 256 less head and padding
+  static constexpr int kAll = -1;               // broadcast to every present member
+  static constexpr std::size_t kMaxBody = 254;  // bytes: a 256-byte datagram without header and padding
 
   struct Datagram {
     int peer = kAll;
-    std::string body;  // 1 to kMaxBody bytes; may come with one zero byte behind it
+    std::string body;  // 1 to kMaxBody bytes; may arrive with one trailing zero byte
   };
 
   virtual ~PeerProtocol() = default;
-  virtual Time DueAt() const = 0;  // when something is to be told; 0: nothing is
+  virtual Time DueAt() const = 0;  // when the next message is due; 0: none is
   virtual std::vector<Datagram> MakeDatagrams(Time now) = 0;
-  // False: malformed, or of a version not known. It then has changed nothing.
+  // Returns false and changes nothing if the message is malformed or of an unknown version.
   virtual bool HandleMessage(int peer, std::string_view body, Time now) = 0;
   virtual void TierChanged(const TierView&, Time) {}
 };
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket: so many a second, saved up to a burst.
+// A token bucket with a refill rate and a burst size.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
   Time at = 0;
   double left = 0;
 
-  // Takes one token. False: there is none.
+  // Takes one token; returns false if there is none.
   bool Take(Time now, double per_s, double burst) {
     left = std::min(burst, left + per_s * (now - at) / kSecond);
     at = now;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,5 +1,5 @@
-// What the core asks of the stages round it. Nothing here knows how clients or runners are spoken to, so that
-// another front can send its jobs through the same decisions and rules.
+// The interfaces between the core and the stages around it. They are independent of the protocols that
+// clients and runners use, so that another front end can pass its jobs through the same decisions and rules.
 #pragma once
 
 #include <memory>
@@ -11,12 +11,12 @@
 
 namespace lichenlug {
 
-// What a runner gets unchanged. The core hands it on and reads nothing of it.
+// The part of a request that is forwarded to a runner unchanged. The core doesn't interpret it.
 struct Job {
   std::string call_id, target, body, idempotency_key, content_type;
 };
 
-struct BranchRef {  // the attempt of this number of a transaction
+struct BranchRef {  // identifies an attempt: a client request and the attempt's number within it
   Handle transaction;
   int number = 0;
 };
@@ -24,19 +24,22 @@
 struct FinalAnswer {
   enum class Kind { kServed, kBusy, kFailed, kTooLate };
   Kind kind = Kind::kFailed;
-  std::string result;  // served: what a runner made
-  Time come_back = 0;  // busy: when the client had best try again; 0: no advice
+  std::string result;  // kServed: the runner's result
+  Time come_back = 0;  // kBusy: when the client should retry; 0: no advice
 };
 
-// The front that a transaction came by.
+// The front end that a client request arrived through.
 class CallerPort {
  public:
   virtual ~CallerPort() = default;
   virtual void Answer(Handle leg, const FinalAnswer& answer) = 0;
-  virtual bool Gone(Handle leg) = 0;  // as the system knows it now, before the event that tells of it
+  // Whether the client has disconnected. Checks the socket itself, so it doesn't depend on the event having
+  // been handled.
+  virtual bool Gone(Handle leg) = 0;
 };
 
-// The way to the runners. Outcomes come back through TransactionTable::BranchEnded and ProbeEnded.
+// Sends attempts and probes to runners. Outcomes are reported through TransactionTable::BranchEnded and
+// ProbeEnded.
 class BranchPort {
  public:
   virtual ~BranchPort() = default;
@@ -46,20 +49,20 @@
   virtual void Probe(const std::string& runner) = 0;
 };
 
-// Takes runners' call-backs, by whichever front they come in.
+// Receives runners' callbacks, from any front end.
 class CallBackPort {
  public:
   virtual ~CallBackPort() = default;
-  // False: it is malformed. One for a branch that is not held is well-formed and changes nothing.
+  // Returns false if the callback is malformed. A well-formed callback for an unknown attempt is ignored.
   virtual bool CallBack(const std::string& body) = 0;
 };
 
-// Hears what this dispatcher has out, so that others can be told.
+// Receives this dispatcher's use of runners, to share it with the other dispatchers.
 class PeerPort {
  public:
   virtual ~PeerPort() = default;
-  virtual void Hold(const std::string& runner, double slots) = 0;  // so many more; fewer where negative
-  virtual void Failed(const std::string& runner, int cls) = 0;     // a job of this class
+  virtual void Hold(const std::string& runner, double slots) = 0;  // change in the slots held at the runner
+  virtual void Failed(const std::string& runner, int cls) = 0;     // a job of this class failed there
 };
 
 class DiscoveryPort {
--- a/src/core/transactions.cpp
+++ b/src/core/transactions.cpp
@@ -19,7 +19,7 @@
   for (const rookgw::Action& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
 }
 
-// ---- What happens ----
+// ---- Events ----
 
 Handle TransactionTable::Begin(rookgw::RequestArrived arrived, std::shared_ptr<const Job> job,
                                CallerPort* caller, Handle leg) {
@@ -29,8 +29,8 @@
   const Handle handle = table_.Insert(std::move(fresh));
   if (!handle) return {};
   ++owed_;
-  // The decisions end a transaction a little before its deadline; this holds should they ever not, or where
-  // the process ends before.
+  // The decisions end a request shortly before its deadline. This timer is the fallback if they don't, or if
+  // the process ends before then.
   const Time last = std::min(arrived.valid_until, end_new_by_);
   table_.Find(handle)->last_moment = deadlines_->Add(last, [this, handle] {
     Answer(handle, {FinalAnswer::Kind::kTooLate, {}, 0});
@@ -70,10 +70,10 @@
   Transaction* transaction = table_.Find(ref.transaction);
   if (transaction == nullptr) return;
   Branch& branch = transaction->branches[ref.number];
-  if (std::exchange(branch.over, true)) return;  // one outcome only: the first
+  if (std::exchange(branch.over, true)) return;  // only the first outcome counts
   if (peers_ != nullptr) peers_->Hold(branch.runner, -transaction->slots);
   if (peers_ != nullptr && outcome == Outcome::kError) peers_->Failed(branch.runner, transaction->cls);
-  // The caller comes first, the bookkeeping after.
+  // Answers the client before the bookkeeping.
   if (outcome == Outcome::kServed)
     Answer(ref.transaction, {FinalAnswer::Kind::kServed, std::move(result), 0});
   rookgw::AttemptEnded ended;
@@ -91,7 +91,8 @@
 
 void TransactionTable::RoutesChanged(rookgw::ListChanged::Form form, std::int64_t version,
                                      const std::vector<rookgw::ListedWorker>& runners) {
-  // The event holds a view, which is good only while it is fed: news never comes out of an action.
+  // The event holds a view that is valid only during this call. That suffices because no action produces a
+  // list change, so the event is never queued.
   Feed(rookgw::ListChanged{form, version, runners});
 }
 
@@ -117,7 +118,7 @@
   feeding_ = false;
 }
 
-// ---- What is to be done ----
+// ---- Actions ----
 
 void TransactionTable::Do(const rookgw::Dispatch& action) {
   const Handle handle = Handle::Unpack(action.id);
@@ -167,7 +168,7 @@
 
 void TransactionTable::Do(const rookgw::Log& action) { std::fprintf(stderr, "%s\n", action.text.c_str()); }
 
-// ---- How it ends ----
+// ---- Completion ----
 
 void TransactionTable::Answer(Handle handle, const FinalAnswer& answer) {
   Transaction* transaction = table_.Find(handle);
@@ -177,7 +178,7 @@
   if (transaction->caller != nullptr) transaction->caller->Answer(transaction->leg, answer);
 }
 
-// A transaction is kept until its last branch is over: till then the decisions count the branch's slots.
+// A request is kept until its last attempt has ended: until then the decisions count the attempt's slots.
 void TransactionTable::DropIfDone(Handle handle) {
   Transaction* transaction = table_.Find(handle);
   if (transaction == nullptr || !transaction->answered) return;
--- a/src/core/transactions.h
+++ b/src/core/transactions.h
@@ -1,6 +1,6 @@
-// The transaction table: feeds the decisions (rookgw::Scheduler) with what happens, carries out what they
-// decide and settles how it ends. Here it is kept that each branch has exactly one outcome and each
-// transaction exactly one final answer, whatever comes twice, late or out of order.
+// The table of client requests: passes events to the decisions (rookgw::Scheduler), carries out the resulting
+// actions and completes requests. It ensures that each attempt has exactly one outcome and each request
+// exactly one final answer, even if events are duplicated, late or out of order.
 #pragma once
 
 #include <deque>
@@ -23,17 +23,19 @@
 
   void Start(BranchPort* branches, DiscoveryPort* discovery, PeerPort* peers = nullptr);
 
-  // `arrived.id` is filled in here. A handle that names nothing: the table is full, and nothing is owed. The
-  // answer may come before this returns.
+  // Sets `arrived.id`. Returns a null handle if the table is full; no answer follows then. The answer may be
+  // delivered before this returns.
   Handle Begin(rookgw::RequestArrived arrived, std::shared_ptr<const Job> job, CallerPort* caller,
                Handle leg);
   void CallerGone(Handle transaction);
 
-  // To be asked right before an attempt begins: what decided on it may be older than the final answer or than
-  // the caller's end, which then ends the transaction here. The attempt may be over when this returns.
+  // Whether the request still needs an answer. Must be called immediately before an attempt is sent, because
+  // the request may have been answered, or its client may have disconnected, since the attempt was decided
+  // on. In the latter case it ends the request, so the attempt may have ended when this returns.
   bool Wanted(Handle transaction);
 
-  // The process will be ended: what comes from now on has its final answer by then at the latest.
+  // The process is shutting down: requests that arrive from now on get their final answer by `at` at the
+  // latest.
   void EndNewBy(Time at) { end_new_by_ = at; }
 
   void BranchNote(BranchRef ref, rookgw::AttemptUpdate::Kind kind, double share);
@@ -45,7 +47,7 @@
   void HeldElsewhere(const std::string& runner, double slots);
   void FailingElsewhere(const std::string& runner, int cls);
 
-  std::size_t owed() const { return owed_; }  // transactions with no final answer yet
+  std::size_t owed() const { return owed_; }  // requests without a final answer yet
 
  private:
   struct Branch {
@@ -85,7 +87,7 @@
   DiscoveryPort* discovery_ = nullptr;
   PeerPort* peers_ = nullptr;
   SlotTable<Transaction> table_;
-  std::deque<rookgw::Event> events_;  // what actions bring about is told after the event that led to them
+  std::deque<rookgw::Event> events_;  // events raised by actions wait until the current event is handled
   bool feeding_ = false;
   std::size_t owed_ = 0;
   Time end_new_by_ = std::numeric_limits<Time>::max();
