--- a/src/branch/branches.cpp
+++ b/src/branch/branches.cpp
@@ -13,11 +13,12 @@
 
 using rookgw::Outcome;
 
-constexpr Time kProbeTimeout = 500 * kMillisecond;  // a later answer would tell of another load
+constexpr Time kProbeTimeout = 500 * kMillisecond;  // a later response would report an outdated load
 constexpr Time kGiveUpTimeout = kSecond;
-constexpr Time kSecondAnswerAfter = 50 * kMillisecond;  // a spoilt one has come by then, and is seen
+// A surplus response has arrived by then and is detected.
+constexpr Time kSecondAnswerAfter = 50 * kMillisecond;
 
-// No descriptor, buffer or port is left on this side, which tells nothing of the runner.
+// Whether this process or machine ran out of descriptors, buffers or ports, which is no fault of the runner.
 bool LackedHere(std::error_code error) {
   const int code = error.value();
   return code == EMFILE || code == ENFILE || code == ENOBUFS || code == ENOMEM || code == EADDRNOTAVAIL;
@@ -43,11 +44,11 @@
       branches_(settings.max_open),
       links_(settings.max_links) {}
 
-// ---- What the core asks for ----
+// ---- Operations called by the core ----
 
 Handle Branches::Open(BranchRef ref, std::shared_ptr<const Job> job, const std::string& runner,
                       Time deadline) {
-  // One runner gets one attempt of a request at a time.
+  // A runner gets at most one attempt of a request at a time.
   std::string name = NameOf(job->call_id, runner);
   Branch fresh;
   fresh.ref = ref, fresh.runner = runner, fresh.deadline = deadline;
@@ -74,11 +75,12 @@
   deadlines_->Remove(&branch->alarm);
   const Link* link = branch->stage == Stage::kSent ? links_.Find(branch->link) : nullptr;
   if (branch->stage == Stage::kAccepted || (link != nullptr && link->connection->Written())) {
-    // Once the runner may have said 202 only a DELETE gives it up, and it counts as out until that has gone
-    // through; until then closing does. The job may still lie unread in a connection that came up late, where
-    // a DELETE finds nothing yet: so the close goes first, and a job whose connection was new is asked for
-    // twice, as the DELETE may overtake the close, too. A runner that has not even said 202 is waited for
-    // only as long as a connection to a live one may take.
+    // Once the runner may have accepted the job, only a DELETE cancels it, and the attempt counts as in
+    // flight until the DELETE is answered. Before that, closing the connection is enough. The job may still
+    // be unread in a connection that was established late, where a DELETE would not find it yet: so the
+    // connection is closed first, and for a job on a new connection the DELETE is sent twice, because it can
+    // overtake the close as well. If not even the 202 has arrived, the DELETE is given no more time than
+    // connecting to a live runner may take.
     const Time timeout = link != nullptr ? settings_.connect_timeout : kGiveUpTimeout;
     branch->stage = Stage::kGivingUp;
     Exchange exchange;
@@ -87,12 +89,12 @@
     exchange.kind = Exchange::Kind::kGiveUp, exchange.branch = handle, exchange.outcome = outcome;
     exchange.deadline = deadlines_->Now() + timeout, exchange.call_id = branch->job->call_id;
     Begin(std::string(branch->runner), std::move(exchange));
-    // Where attempts may overlap, none waits for the runner's word.
+    // If attempts may overlap, the next one doesn't wait for the runner's response.
     if (settings_.site.settings.second_copies) EndBranch(handle, outcome);
     return;
   }
-  // Before the last byte closing gives it up. A connection still coming up has sent nothing and may be of
-  // use.
+  // Until the last byte is written, closing the connection cancels the job. A connection that is still being
+  // established has sent nothing, so it is kept for later use.
   if (link != nullptr) DropLink(branch->link);
   EndBranch(handle, outcome);
 }
@@ -130,7 +132,8 @@
     Link* connected = links_.Find(handle);
     if (connected == nullptr) return;
     if (error) return Broke(handle, LackedHere(error) ? Outcome::kVoid : Outcome::kConnectFailed);
-    // Found only now, and before the alarm: what may go over it was decided for the time until then.
+    // The process was delayed and handles this before the timer: the decision to send is only valid until
+    // `due`.
     if (deadlines_->Now() >= due) return Broke(handle);
     connected->up = true;
     HttpConnection::Events events;
@@ -144,13 +147,14 @@
   });
 }
 
-// The latest used of those that have rested: an answer names no request, so a second one that comes late is
-// taken for the answer to the next, which could read as "never ran" for a job that runs. Once it lies unread
-// it shows that the connection is of no more use. A DELETE says the same whatever answers it, and waits for
-// none.
+// Returns the most recently used connection that has been idle for kSecondAnswerAfter. HTTP/1.1 responses
+// don't identify their request, so a late surplus response would be taken for the response to the next
+// request and could report a running job as never run. After the delay such a response is detected as unread
+// bytes and the connection is dropped. A DELETE needs no delay: its outcome is the same whatever the
+// response.
 //
-// One that is not fit for a job is closed, so that the new one in its place does not add to what runners
-// hold.
+// A connection that is not reliable enough for a job is closed, so that its replacement doesn't add to the
+// connections that runners hold.
 Handle Branches::IdleLink(const Route& route, Exchange::Kind kind) {
   std::vector<Handle>& idle = idle_[route.runner.id];
   const Time now = deadlines_->Now();
@@ -169,7 +173,7 @@
   return {};
 }
 
-// The first byte goes out here. Connecting takes time, so what was decided is looked at once more.
+// Sends the request. Connecting takes time, so the preconditions of a job are checked once more.
 void Branches::Transmit(Handle handle) {
   Link& link = *links_.Find(handle);
   Exchange& exchange = link.exchange;
@@ -179,7 +183,7 @@
     Branch* branch = branches_.Find(exchange.branch);
     if (branch == nullptr || now >= branch->deadline || !routes_->Serving(link.runner) ||
         !core_->Wanted(branch->ref.transaction)) {
-      // The branch is over, its time is up, its runner drains by now, or nobody waits any more.
+      // The attempt has ended, its deadline has passed, its runner drains, or the client no longer waits.
       const Handle unsent = exchange.branch;
       Rest(handle);
       return EndBranch(unsent, Outcome::kVoid);
@@ -201,8 +205,8 @@
   deadlines_->Move(&link.alarm, exchange.deadline, [this, handle] {
     const Link* late = links_.Find(handle);
     const Handle job = late->exchange.kind == Exchange::Kind::kJob ? late->exchange.branch : Handle{};
-    // A job's own alarm words the outcome, and one that is being given up drops its connection when it ends;
-    // this frees the connection of a job that is over already.
+    // The attempt's own timer sets the outcome of a job, and cancelling an attempt drops its connection; this
+    // frees the connection of a job whose attempt has already ended.
     if (job) GiveUp(job, Outcome::kTimeout);
     if (links_.Find(handle) != nullptr && branches_.Find(job) == nullptr) Broke(handle);
   });
@@ -242,8 +246,8 @@
   }
 }
 
-// The connection is of no more use. What it means for a job turns on whether its last byte was written: until
-// then it never ran; from then on it may have, and must not be taken for one that could not connect.
+// Handles a failed connection. If the last byte of a job was not written, the job never ran; otherwise it may
+// have run, and must not count as a failure to connect.
 void Branches::Broke(Handle handle, Outcome unwritten) {
   Link* link = links_.Find(handle);
   if (link == nullptr) return;
@@ -256,7 +260,8 @@
   Failed(exchange, runner, outcome);
 }
 
-// The answer cannot be read and may have been a 202: closing ends the exchange, only a DELETE the job.
+// The response is malformed and may have been a 202: closing the connection ends the exchange, but only a
+// DELETE cancels the job.
 void Branches::Spoilt(Handle handle) {
   const Link* link = links_.Find(handle);
   if (link == nullptr) return;
@@ -278,8 +283,8 @@
   }
 }
 
-// Idle now. The runner's machine closes it when it has stood idle for IdleClose, and a request that crosses
-// that end is lost as a reset; so it is closed here well before.
+// Marks the connection as idle. The runner closes connections that are idle for IdleClose, and a request that
+// crosses that close is lost as a reset; so this side closes them well before.
 void Branches::Rest(Handle handle) {
   Link* link = links_.Find(handle);
   link->exchange = {};
@@ -305,11 +310,11 @@
   return false;
 }
 
-// ---- How a branch ends ----
+// ---- End of an attempt ----
 
 void Branches::JobAnswered(Handle handle, const HttpMessage& answer) {
   Branch* branch = branches_.Find(handle);
-  if (branch == nullptr) return;  // its call-back was faster
+  if (branch == nullptr) return;  // the callback arrived before the response
   if (answer.status == 202) {
     branch->link = {};
     branch->stage = Stage::kAccepted;
@@ -321,7 +326,8 @@
   const std::string* rejected = answer.Header("x-rejected");
   const bool unseen =
       (answer.status == 503 || answer.status == 504) && rejected != nullptr && *rejected == "1";
-  // What a client sent wrongly is not the runner's fault: as a taking back it may have run and tells nothing.
+  // A client error is not the runner's fault. Like a cancelled job it may have run, and it says nothing about
+  // the runner.
   const bool clients = answer.status >= 400 && answer.status < 500 && answer.status != 429;
   EndBranch(handle, unseen ? Outcome::kFull : clients ? Outcome::kCancelled : Outcome::kError, report);
 }
@@ -338,7 +344,7 @@
   Outcome outcome = Outcome::kServed;
   const bool note = *state == "started" || *state == "running";
   if (*state == "failed" || (*state == "done" && result == nullptr))
-    outcome = Outcome::kError;  // done with no result: there is nothing that the client could be served
+    outcome = Outcome::kError;  // done without a result: there is nothing to return to the client
   else if (*state == "returned")
     outcome = Outcome::kFull;
   else if (*state == "lost")
@@ -346,7 +352,8 @@
   else if (*state != "done" && !note)
     return false;
 
-  // Both the id and the runner have to match: a late word of an older branch must not end the present one.
+  // The ID and the runner must both match: a late callback of an earlier attempt must not end the current
+  // one.
   const auto held = by_name_.find(NameOf(*id, *from));
   if (held == by_name_.end()) return true;
   const Handle handle = held->second;
--- a/src/branch/branches.h
+++ b/src/branch/branches.h
@@ -1,8 +1,8 @@
-// Branches: the attempts at runners, the connections they use, the call-backs that end them, the calls that
-// give them up, and probes.
+// Attempts to run a job on a runner: the connections they use, the callbacks that complete them, the DELETE
+// requests that cancel them, and probes of runners.
 //
-// A branch outlives its exchange: the exchange ends with the runner's 202, the branch with a call-back. A
-// call-back can also come first, so each knows the other by handle only.
+// An attempt outlives its HTTP exchange: the exchange ends with the runner's 202, the attempt with a
+// callback. The callback can also arrive before the 202, so the two refer to each other by handle only.
 #pragma once
 
 #include <memory>
@@ -22,9 +22,9 @@
 namespace lichenlug {
 
 struct BranchSettings {
-  std::size_t max_open = 0, max_links = 0;   // branches; connections to runners, idle ones among them
-  Time connect_timeout = 0, idle_close = 0;  // spans; runners close what is idle for idle_close
-  const rookgw::Site& site;                  // outlives the branches
+  std::size_t max_open = 0, max_links = 0;   // attempts; connections to runners, including idle ones
+  Time connect_timeout = 0, idle_close = 0;  // runners close connections that are idle for idle_close
+  const rookgw::Site& site;                  // must outlive the attempts
 };
 
 class Branches : public BranchPort, public CallBackPort {
@@ -37,8 +37,8 @@
   void GiveUp(Handle branch) override;
   void Probe(const std::string& runner) override;
 
-  // A runner's call-back. False: it is malformed. One for a branch that is not held (it is over, given up, or
-  // of an earlier life) is well-formed and changes nothing.
+  // Handles a runner's callback. Returns false if it is malformed. A well-formed callback for an unknown
+  // attempt (ended, cancelled, or of an earlier run of this process) is ignored.
   bool CallBack(const std::string& body) override;
 
   std::size_t out() const { return branches_.size(); }
@@ -55,25 +55,25 @@
     Deadlines::Key alarm;
   };
 
-  // One request to a runner and its answer.
+  // One HTTP request to a runner and its response.
   struct Exchange {
     enum class Kind { kNone, kJob, kGiveUp, kProbe };
     Kind kind = Kind::kNone;
-    Handle branch;  // of a job or of what is given up
+    Handle branch;  // kJob, kGiveUp: the attempt
     Time began = 0, deadline = 0;
-    rookgw::Outcome outcome = rookgw::Outcome::kCancelled;  // of a branch given up
-    bool twice = false;  // a DELETE that is said once more when it is answered
+    rookgw::Outcome outcome = rookgw::Outcome::kCancelled;  // kGiveUp: of the attempt
+    bool twice = false;                                     // kGiveUp: repeat the DELETE when it is answered
     std::string call_id;
   };
 
-  // One connection to a runner. It is idle when it has no exchange.
+  // One connection to a runner. It is idle if it has no exchange.
   struct Link {
     std::shared_ptr<HttpConnection> connection;
     std::string runner, host;
     asio::ip::tcp::endpoint address;
     Exchange exchange;
     bool up = false;
-    Time idle_since = 0, kept = KeptLinks::kNew;  // kept: how long it had stood idle before this exchange
+    Time idle_since = 0, kept = KeptLinks::kNew;  // kept: how long it was idle before this exchange
     Deadlines::Key alarm;
   };
 
@@ -87,7 +87,7 @@
   void DropLink(Handle handle);
   bool EvictIdleLink();
 
-  // The exchange came to nothing.
+  // The exchange ended without a usable response.
   void Failed(const Exchange& exchange, const std::string& runner, rookgw::Outcome outcome);
   void JobAnswered(Handle branch, const HttpMessage& answer);
   void GiveUp(Handle branch, rookgw::Outcome outcome);
@@ -102,8 +102,8 @@
   SlotTable<Branch> branches_;
   SlotTable<Link> links_;
   KeptLinks kept_links_;
-  std::unordered_map<std::string, Handle> by_name_;            // call id and runner
-  std::unordered_map<std::string, std::vector<Handle>> idle_;  // by runner, the latest used last
+  std::unordered_map<std::string, Handle> by_name_;            // attempts by call ID and runner
+  std::unordered_map<std::string, std::vector<Handle>> idle_;  // by runner, most recently used last
 };
 
 }  // namespace lichenlug
--- a/src/branch/kept_links.h
+++ b/src/branch/kept_links.h
@@ -1,11 +1,11 @@
-// Which kept connections to runners are fit for a job, by how those of like age fared of late. Pure: no
-// clock, no I/O.
+// Decides which idle keep-alive connections to runners are reliable enough for a job, by the recent failure
+// rate of connections with a similar idle time. No clock, no I/O.
 //
-// Guards against machines that drop idle connections long before the time in the settings and say so only to
-// the next request: that request is lost as a reset, may have run, and a job that must not run twice is then
-// lost for good. A new connection costs a handshake; so a kept one is passed over where connections as old as
-// it broke clearly more often than new ones do. Probes and DELETEs go over any, cost nothing when they break,
-// and show when the trouble is over.
+// Some machines drop idle connections long before the timeout in the settings, and the next request on one
+// gets a reset. That request may have run, so a job that must not run twice is lost. A new connection costs a
+// handshake; therefore an idle one is rejected only if connections with its idle time failed clearly more
+// often than new ones. Probes and DELETEs use any connection: their failure costs nothing, and their success
+// shows that the condition has ended.
 #pragma once
 
 #include <algorithm>
@@ -19,16 +19,17 @@
 
 class KeptLinks {
  public:
-  static constexpr Time kNew = -1;  // the age of a connection that has carried nothing yet
+  static constexpr Time kNew = -1;  // the age of a connection that has not been used yet
 
-  // An exchange over a connection that had stood idle for `age` ended: the connection broke, or did not.
+  // Records the end of an exchange on a connection that had been idle for `age`, and whether the connection
+  // failed.
   void Note(Time age, bool broke, Time now) {
     Tally& tally = At(age);
     tally.Fade(now);
     tally.uses += 1, tally.broke += broke ? 1 : 0;
   }
 
-  // Would a job do better over a new connection than over one that has stood idle for `age`?
+  // Whether a job should use a new connection instead of one that has been idle for `age`.
   bool Unfit(Time age, Time now) {
     Tally &old = At(age), &fresh = At(kNew);
     old.Fade(now), fresh.Fade(now);
@@ -36,9 +37,9 @@
   }
 
  private:
-  static constexpr double kMargin = 0.1;         // of new ones' breaks: what a handshake is worth
-  static constexpr double kDoubt = 10;           // uses that went well, counted beside those seen
-  static constexpr Time kMemory = 10 * kSecond;  // what was seen counts less with time, over about this long
+  static constexpr double kMargin = 0.1;         // excess failure rate that is worth a handshake
+  static constexpr double kDoubt = 10;           // successful uses assumed in addition to the observed ones
+  static constexpr Time kMemory = 10 * kSecond;  // time constant of the decay of observations
   static constexpr std::size_t kAges = 12;       // new; under 0.1 s, 0.2 s, 0.4 s ... 51.2 s; older
 
   struct Tally {
--- a/src/branch/load_report.cpp
+++ b/src/branch/load_report.cpp
@@ -10,7 +10,7 @@
   for (const auto& [name, value] : object.items()) {
     if (!value.is_number()) continue;
     const double number = value.get<double>();
-    // The sockets' names, then the settings' names for the same figures.
+    // The names in reports on the wire, then the names of the same figures in the settings.
     if (name == "inflight" || name == "active") report.active = number;
     if (name == "queue" || name == "waiting") report.waiting = number;
     if (name == "x0" && site.x0_is_slots) report.free_slots = number;
--- a/src/branch/load_report.h
+++ b/src/branch/load_report.h
@@ -1,4 +1,4 @@
-// Load reports as runners word them, in the decisions' terms.
+// Converts runners' load reports to the form that the decisions use.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -8,7 +8,7 @@
 
 namespace lichenlug {
 
-// Unknown and malformed fields are passed over: a report is a hint and fails nothing.
+// Ignores unknown and malformed fields: a report is only a hint, so a malformed one fails nothing.
 rookgw::LoadReport ParseLoadReport(const nlohmann::json& object, const rookgw::Site& site);
 
 }  // namespace lichenlug
--- a/src/routes/news_lines.h
+++ b/src/routes/news_lines.h
@@ -1,8 +1,9 @@
-// Puts what a watch says together again: objects of news, one a line or indented over several, from pieces
-// that end anywhere. Pure.
+// Reassembles the stream of a watch: JSON objects, on one line or indented over several, and blank lines as
+// heartbeats, from chunks that end anywhere. No clock, no I/O.
 //
-// Guards against a watch that speaks without end (an object has a greatest length) and one that broke off
-// inside an object and goes on: a blank line, which is a heartbeat between objects, cannot stand within one.
+// An object has a maximum length, so a stream without end can't grow the buffer without bound. A blank line
+// inside an object is an error: it shows that the sender stopped in the middle of the object and went on with
+// heartbeats.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +17,8 @@
  public:
   static constexpr std::size_t kMax = 1024 * 1024;  // bytes of an object
 
-  // Calls `take` with each object that is whole, and with nothing for each heartbeat, for as long as it
-  // returns true. False: what was said makes no sense, or `take` said so.
+  // Calls `take` with each complete object, and with an empty view for each heartbeat, for as long as it
+  // returns true. Returns false if the stream is malformed or `take` returned false.
   template <typename Take>
   bool Add(std::string_view bytes, Take take) {
     for (const char c : bytes) {
@@ -29,7 +30,7 @@
       }
       const bool said = std::exchange(said_on_line_, false);
       if (depth_ > 0 && !in_text_ && said) {
-        held_ += c;  // an object goes on
+        held_ += c;  // the object continues on the next line
       } else if (depth_ > 0 || in_text_) {
         return false;
       } else {
--- a/src/routes/route_set.cpp
+++ b/src/routes/route_set.cpp
@@ -7,7 +7,8 @@
 namespace lichenlug {
 namespace {
 
-constexpr std::size_t kMaxRoutes = 4096;  // gone runners are kept up to here: their last jobs may need them
+// Removed runners are kept up to this number of entries: their last jobs may still need them.
+constexpr std::size_t kMaxRoutes = 4096;
 
 using State = rookgw::ListedWorker::State;
 
@@ -39,7 +40,7 @@
     route.runner.state = State::kGone;
   else if (phase != "active")
     throw std::runtime_error("members[].phase: active, leaving or left expected");
-  route.runner.since = Get<Time>(member, "up_since_ms", 0) * kMillisecond;  // 0 stays 0: long ago
+  route.runner.since = Get<Time>(member, "up_since_ms", 0) * kMillisecond;  // 0: unknown, up for long
   route.runner.cell = Get<int>(member, "cell", rookgw::kNone);
   route.runner.kind = Index(site.kinds, Get<std::string>(member, "flavor", ""));
   route.runner.zone = Index(site.zones, Get<std::string>(member, "locality", ""));
@@ -78,7 +79,7 @@
 }
 
 void RouteSet::Apply(const RouteNews& news) {
-  if (news.complete)  // what a whole list leaves out is gone; a patch says nothing of what it leaves out
+  if (news.complete)  // a complete list removes the runners that it omits; a patch leaves them unchanged
     for (auto& [id, route] : routes_) route.runner.state = State::kGone;
   for (const Route& route : news.members) {
     Route& held = routes_[route.runner.id];
--- a/src/routes/route_set.h
+++ b/src/routes/route_set.h
@@ -1,4 +1,4 @@
-// The route set: every runner that discovery has named, with its address and phase, by id.
+// The runner registry: every runner that discovery has listed, with its address and phase, by ID.
 #pragma once
 
 #include <asio.hpp>
@@ -18,17 +18,17 @@
   std::string host;
 };
 
-// What discovery says at one time: the whole list, or the entries that changed.
+// An update from discovery: the complete list, or the entries that changed.
 struct RouteNews {
   std::int64_t revision = 0;
   bool complete = false;
   std::vector<Route> members;
 };
 
-// Throws std::runtime_error naming the key. Zones and kinds that the settings do not name count as none.
+// Throws std::runtime_error naming the key. Zones and kinds that are not in the settings become kNone.
 RouteNews ParseRouteNews(const nlohmann::json& object, const rookgw::Site& site);
 
-// Reads "address:port"; throws std::runtime_error naming `key`.
+// Parses "address:port"; throws std::runtime_error naming `key`.
 asio::ip::tcp::endpoint ParseEndpoint(const std::string& text, const std::string& key);
 
 class RouteSet {
--- a/src/routes/watch.cpp
+++ b/src/routes/watch.cpp
@@ -25,7 +25,7 @@
   if (std::exchange(address_, address) == address) return;
   backoff_.Hurry();
   End(asked_), End(older_);
-  silent_ = false;  // the call is no longer for the silence: it goes on if the one that stands wakes
+  silent_ = false;  // the new call goes on even if the established watch delivers a heartbeat again
   Begin();
 }
 
@@ -49,7 +49,7 @@
   events.on_end = [lost](HttpConnection::End) { lost(); };
   connection->SetEvents(std::move(events));
   connection->Connect(address_, [this, handle](std::error_code error) {
-    const bool full = error.value() == EMFILE || error.value() == ENFILE;  // of this process, or the system
+    const bool full = error.value() == EMFILE || error.value() == ENFILE;  // no descriptor left
     if (error) return Lost(handle, full ? Loss::kNoDescriptor : Loss::kNoAnswer);
     Connected(handle);
   });
@@ -78,15 +78,16 @@
     Lost(handle);
 }
 
-// A whole line has come, empty: a heartbeat. Only lines count: bytes that never make one could come for ever.
+// Handles a complete line; an empty one is a heartbeat. Only complete lines count as a sign of life: bytes
+// that never form a line could arrive forever.
 bool Watch::Line(Handle handle, std::string_view object) {
   if (!object.empty() && !News(object)) return false;
-  // A heartbeat alone says that nothing has changed; where nothing is known, the list has to come first.
+  // A heartbeat means that nothing has changed; as long as no list is known, one has to arrive first.
   if (object.empty() && handle != standing_ && routes_->empty()) return true;
   Call* call = calls_.Find(handle);
   if (call == nullptr) return false;
   call->heard = deadlines_->Now();
-  if (handle != standing_) {  // all others have had their time
+  if (handle != standing_) {  // this watch replaces all others
     for (const Handle other : {standing_, asked_, older_})
       if (other != handle) End(other);
     standing_ = handle, asked_ = older_ = {};
@@ -100,7 +101,7 @@
   return true;
 }
 
-// False: what it said is not known, so it is to be asked again from what is.
+// Returns false if the update can't be used; the watch is then restarted from the last known revision.
 bool Watch::News(std::string_view object) {
   RouteNews news;
   try {
@@ -108,7 +109,7 @@
   } catch (const std::exception&) {
     return false;
   }
-  // Patches count upwards; where discovery has begun anew, it tells the whole list.
+  // Revisions of patches increase; after a restart of discovery it sends a complete list.
   if (!news.complete && news.revision < routes_->revision()) return false;
   backoff_.Succeeded();
   routes_->Apply(news);
@@ -116,7 +117,8 @@
   return true;
 }
 
-// It may wait in discovery's queue, or be lost: it is kept while a second one is asked for, but no longer.
+// The call may be waiting in discovery's queue or be lost: it is kept while a second call is made as a hedge,
+// but not any longer.
 void Watch::Unheard(Handle handle) {
   if (handle != asked_ || !backoff_.Hedge()) return Lost(handle);
   End(older_);
@@ -126,7 +128,7 @@
   Begin();
 }
 
-// The watch that stands may be broken, or its heartbeat late: it goes on while a new one is asked for.
+// The established watch may be broken, or its heartbeat late: it stays open while a new one is requested.
 void Watch::Silent(Handle handle) {
   const Call* call = calls_.Find(handle);
   if (asked_ || again_ != Deadlines::Key{}) return;
--- a/src/routes/watch.h
+++ b/src/routes/watch.h
@@ -1,8 +1,8 @@
-// The watch on discovery: keeps one chunked answer open, reads the list and its changes from it, and asks
-// again when it ends or falls silent. When to do so is WatchBackoff's.
+// The watch on discovery: keeps one chunked response open, reads the list of runners and its changes from it,
+// and reconnects when it ends or falls silent. WatchBackoff decides when.
 //
-// When discovery moves or the watch falls silent, the one that stands goes on until a new one speaks: between
-// the two there is no time in which news could be missed.
+// When discovery moves or the watch falls silent, the established watch stays open until a new one delivers
+// its first line, so that there is no gap in which updates could be missed.
 #pragma once
 
 #include <functional>
@@ -22,25 +22,25 @@
 
 class Watch {
  public:
-  // `news` is called with what has come, or with null when a call failed or the watch was lost.
+  // `news` is called with each update, or with null when a call failed or the watch was lost.
   Watch(asio::io_context& io, const asio::ip::tcp::endpoint& discovery, const rookgw::Site& site,
         std::uint64_t seed, RouteSet* routes, Deadlines* deadlines,
         std::function<void(const RouteNews*)> news);
 
-  void Ask();  // does nothing while a watch stands, is asked for or is to be asked for again
+  void Ask();  // does nothing while a watch is established, being established or scheduled
 
-  // Discovery is at another address now: asks there at once.
+  // Discovery has a new address: connects to it at once.
   void MoveTo(const asio::ip::tcp::endpoint& address);
 
  private:
-  struct Call {  // one answer, asked for or standing
+  struct Call {  // one watch request, pending or established
     std::shared_ptr<HttpConnection> connection;
     JsonStreamSplitter lines;
     Deadlines::Key alarm;
-    bool good = false;   // answered 200
-    bool begun = false;  // has said something, maybe no whole line
-    Time since = 0;      // when it was asked for, then when it began to stand
-    Time heard = 0;      // when its last line was whole
+    bool good = false;   // the status is 200
+    bool begun = false;  // bytes of the body have arrived, maybe not a whole line
+    Time since = 0;      // when it was requested, later when it was established
+    Time heard = 0;      // when its last line was completed
   };
 
   enum class Loss { kNoAnswer, kOverloaded, kNoDescriptor };
@@ -57,17 +57,16 @@
   void End(Handle handle);
 
   asio::io_context& io_;
-  const rookgw::Site& site_;  // outlives the watch
+  const rookgw::Site& site_;  // must outlive the watch
   asio::ip::tcp::endpoint address_;
   RouteSet* routes_;
   Deadlines* deadlines_;
   std::function<void(const RouteNews*)> news_;
   SlotTable<Call> calls_{3};
-  Handle asked_,
-      older_;        // no line has come yet; `older_` has waited for long, so `asked_` was begun beside it
-  Handle standing_;  // the one that speaks
-  Deadlines::Key again_;  // when to ask again
-  bool silent_ = false;   // the one that stands has said nothing for too long
+  Handle asked_, older_;  // no line yet; `older_` has waited for so long that `asked_` was started as a hedge
+  Handle standing_;       // the established watch
+  Deadlines::Key again_;  // when to connect again
+  bool silent_ = false;   // the established watch has missed its heartbeat
   WatchBackoff backoff_;
 };
 
