--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kMaxPending = kMaxBody + kMaxHead;
 constexpr std::size_t kReadSize = 16 * 1024;
 
-// Bytes lie here only between a read and their parsing or keeping.
+// Holds bytes only from a read until they are copied to the connection's own buffer.
 char* ReadBuffer() {
   thread_local std::array<char, kReadSize> buffer;
   return buffer.data();
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// What http-parser calls. A result other than 0 stops it with an error.
+// The callbacks of http-parser. A result other than 0 stops it with an error.
 struct HttpConnection::Callbacks {
   static HttpConnection& Of(http_parser* p) { return *static_cast<HttpConnection*>(p->data); }
 
@@ -43,16 +43,16 @@
     if (c.in_value_) c.field_.clear();
     c.in_value_ = false;
     c.field_.append(at, size);
-    // "Content-Length : 5" is a length to some readers and none to others; http-parser takes it for either.
+    // Some implementations read "Content-Length : 5" as a length and others don't; http-parser accepts it.
     const bool odd = std::find(at, at + size, ' ') != at + size;
     return odd || !HeadFits(c, size) ? 1 : 0;
   }
   static int Value(http_parser* p, const char* at, std::size_t size) {
     HttpConnection& c = Of(p);
-    // A value comes in pieces only where what was read ends. Else it is a folded line, which readers join in
-    // different ways (RFC 9112 has it refused).
+    // A value is split only at the end of the parsed bytes. Any other continuation is a folded line, which
+    // implementations join in different ways (RFC 9112 requires rejecting it).
     if (c.in_value_ && !c.cut_) return 1;
-    // Trailers come when the head has been acted on; they may be dropped (RFC 9110) and are.
+    // Trailers arrive after the head has been processed. RFC 9110 allows discarding them, which is done here.
     if (!c.in_value_ && !c.in_trailers_)
       c.message_.headers.emplace_back(c.options_.keep_name_case ? c.field_ : LowerCase(c.field_), "");
     c.in_value_ = true, c.cut_ = at + size == c.bytes_end_;
@@ -72,7 +72,7 @@
       c.message_.method = http_method_str(static_cast<http_method>(p->method));
     else
       c.message_.status = static_cast<int>(p->status_code);
-    c.in_trailers_ = true;  // headers from here on
+    c.in_trailers_ = true;  // any further headers are trailers
     c.message_.minor_version = p->http_minor;
     const bool counted = p->content_length != ULLONG_MAX && p->content_length > 0;
     c.message_.has_length = (p->flags & (F_CHUNKED | F_CONTENTLENGTH)) != 0;
@@ -80,8 +80,8 @@
     if (c.events_.on_head) c.events_.on_head(c.message_);
     if (c.ended_) return -1;  // 1 would mean "no body"
     if (!c.events_.on_body_chunk && counted && p->content_length > c.options_.max_body) c.too_large_ = true;
-    // What wants to leave HTTP, is of another version or of a coding that is not undone here is not for this
-    // program: a body handed on still coded would be read in another way by the one who gets it.
+    // Rejects upgrades to other protocols, other HTTP versions and transfer codings that are not decoded
+    // here: a body that is forwarded without decoding would be interpreted differently by its receiver.
     if (c.options_.ignore_upgrade && p->method != HTTP_CONNECT && p->type == HTTP_REQUEST) p->upgrade = 0;
     const bool foreign = p->upgrade || p->http_major != 1 || !CodingKnown(c.message_);
     if (c.too_large_ || foreign) return -1;
@@ -99,7 +99,7 @@
   }
   static int Complete(http_parser* p) {
     HttpConnection& c = Of(p);
-    if (p->type == HTTP_RESPONSE && p->status_code < 200) return 0;  // an interim answer
+    if (p->type == HTTP_RESPONSE && p->status_code < 200) return 0;  // an interim response
     c.message_.keep_alive = http_should_keep_alive(p) != 0;
     c.complete_ = true;
     http_parser_pause(p, 1);
@@ -118,7 +118,7 @@
 void HttpConnection::Connect(const asio::ip::tcp::endpoint& to, std::function<void(std::error_code)> done) {
   std::error_code error;
   socket_.open(to.protocol(), error);
-  if (error)  // no descriptor left, for one; told later, as any other failure
+  if (error)  // for example, no descriptor is left; reported asynchronously, like any other failure
     return asio::post(socket_.get_executor(), [self = shared_from_this(), error, done] {
       if (!self->ended_) done(error);
     });
@@ -130,7 +130,8 @@
   });
 }
 
-// Connecting leaves the reactor watching for room to write, too: each wait for bytes would wake up twice.
+// Connecting leaves the descriptor registered with the reactor for writability as well, so that each wait for
+// bytes would wake up twice. Registers it anew.
 void HttpConnection::WatchReadingOnly(const asio::ip::tcp::endpoint& local) {
   std::error_code ignored;
   const auto descriptor = socket_.release(ignored);
@@ -145,8 +146,8 @@
   AwaitBytes();
 }
 
-// Only waits: bytes that an operation had taken already, its handler still to be called, Read() could not
-// see.
+// Only waits for readability and doesn't read: bytes that an asynchronous read had consumed, with its handler
+// still pending, would be invisible to Read().
 void HttpConnection::AwaitBytes() {
   if (ended_ || eof_ || awaiting_ || Held()) return;
   awaiting_ = true;
@@ -175,7 +176,8 @@
   options_.max_head = max_head, options_.max_body = max_body;
 }
 
-// Takes what has come, never waits. While no message is being served a full buffer is parsed first.
+// Reads what is available without blocking. While no message is being processed, a full buffer is parsed
+// first.
 void HttpConnection::Read(int max_reads) {
   if (!started_ || ended_ || eof_) return;
   for (int reads = 0; reads < max_reads && (resting_ || pending_.size() < MaxPending()); ++reads) {
@@ -228,7 +230,7 @@
     if (fault != HPE_OK && fault != HPE_PAUSED) return Tell(too_large_ ? End::kTooLarge : End::kMalformed);
   }
   if (!resting_ && !complete_ && eof_ && !reset_)
-    http_parser_execute(&parser_, &settings, nullptr, 0);  // may end a body
+    http_parser_execute(&parser_, &settings, nullptr, 0);  // the end of the stream may end a body
   if (ended_) return;
   if (complete_) {
     complete_ = false, resting_ = true;
@@ -246,7 +248,7 @@
   AwaitBytes();
 }
 
-// Not now: a peer that sends many requests at once must not deepen the stack.
+// Parses asynchronously: a peer that sends many requests at once must not deepen the call stack.
 void HttpConnection::ParseLater() {
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     if (!self->ended_) self->Parse();
@@ -258,7 +260,7 @@
   pending_.clear();
   std::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  ParseLater();  // the other side may have ended before
+  ParseLater();  // the peer may already have ended its side
   AwaitBytes();
 }
 
@@ -266,7 +268,7 @@
   const std::size_t known = pending_.size();
   const bool known_end = eof_;
   Read(kMaxReads);
-  // What was taken here no event of the system tells of any more.
+  // The system reports no further event for what was read here.
   if (pending_.size() != known || eof_ != known_end) ParseLater();
   return eof_ || ended_;
 }
@@ -279,7 +281,7 @@
     auto on_end = std::move(events_.on_end);
     Close();
     if (on_end) on_end(end);
-  } else if (events_.on_end) {  // still open: a server words the fault and closes then
+  } else if (events_.on_end) {  // still open: a server sends an error response and closes
     resting_ = true;
     events_.on_end(end);
   }
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -1,4 +1,4 @@
-// One HTTP/1.1 connection over Asio, either side of it. Bytes are parsed by http-parser; buffers are bounded.
+// One HTTP/1.1 connection over Asio, as server or client. Parsed with http-parser; buffers are bounded.
 #pragma once
 
 #include <http_parser.h>
@@ -17,35 +17,35 @@
 
 inline constexpr std::size_t kMaxBody = 64 * 1024, kMaxHead = 16 * 1024;
 
-// How a connection reads while it cannot hand over what comes.
+// How a connection reads while it can't deliver what arrives.
 enum class Reading {
-  kDrain,  // all that is there at each wake-up; what goes beyond the bound of the buffer is dropped
-  kPaced,  // once a wake-up, and not at all while the buffer is full or reading is paused: the peer has to
-           // wait
+  kDrain,  // reads everything available at each wake-up and drops what exceeds the buffer
+  kPaced,  // reads once per wake-up, and not while the buffer is full or reading is paused: flow control then
+           // makes the peer wait
 };
 
 struct HttpOptions {
   std::size_t max_head = kMaxHead, max_body = kMaxBody;
   Reading reading = Reading::kDrain;
-  bool keep_name_case = false;  // of headers; else their names become lower case
-  bool ignore_upgrade = false;  // a wish to leave HTTP is not followed; else it is a fault
+  bool keep_name_case = false;  // of headers; otherwise their names are converted to lower case
+  bool ignore_upgrade = false;  // ignores requests to upgrade to another protocol; otherwise they are errors
 };
 
-// Messages are handed over one at a time: after one, parsing rests until Next(). Reading goes on meanwhile,
-// so that the other side's end is noticed at once; `Reading` tells what becomes of what no buffer has room
-// for. Lives until its last operation has ended; after Close() no event is told.
+// Messages are delivered one at a time: after each, parsing pauses until Next(). Reading goes on meanwhile,
+// so that the peer's end of stream is noticed at once; `Reading` determines what happens when the buffer is
+// full. The object lives until its last operation has completed; after Close() it delivers no events.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
   enum class Side { kServer, kClient };
   enum class End { kClosed, kMalformed, kTooLarge };
   struct Events {
-    std::function<void()> on_begin;                   // the first byte of a message has come
-    std::function<void(const HttpMessage&)> on_head;  // optional: the head is there
+    std::function<void()> on_begin;                   // the first byte of a message has arrived
+    std::function<void(const HttpMessage&)> on_head;  // optional: the head is complete
     std::function<void(std::string_view)>
-        on_body_chunk;  // optional: takes the body piece by piece, unbounded
+        on_body_chunk;  // optional: receives the body in pieces, without a limit
     std::function<void(HttpMessage)> on_message;
-    std::function<void(End)> on_end;   // no message after it; kClosed may follow another end
-    std::function<void()> on_drained;  // optional: all that Send() had to keep is written
+    std::function<void(End)> on_end;   // no message follows; kClosed may follow another end
+    std::function<void()> on_drained;  // optional: everything that Send() buffered is written
   };
 
   HttpConnection(asio::ip::tcp::socket socket, Side side, const HttpOptions& options = {});
@@ -53,42 +53,42 @@
 
   void SetEvents(Events events) { events_ = std::move(events); }
   void Connect(const asio::ip::tcp::endpoint& to, std::function<void(std::error_code)> done);
-  void Start();  // begins to read
-  void Next();   // goes on to the message after the one handed over
+  void Start();  // starts reading
+  void Next();   // resumes parsing after a delivered message
   void Write(std::string bytes, std::function<void(std::error_code)> done);
-  // As Write(), any number of times and with no call back: what the system does not take at once is kept and
-  // written when it does. A failure is told as the connection's end.
+  // Like Write(), but may be called while bytes are unsent, and has no callback: what the system doesn't
+  // accept at once is buffered and written later. A failure is reported as the end of the connection.
   void Send(std::string_view bytes);
   std::size_t unsent() const { return out_.size() - out_at_; }
-  bool Written() const { return out_at_ == out_.size(); }  // the system has the last byte of what is written
+  bool Written() const { return out_at_ == out_.size(); }  // the system has accepted every byte
   void Close();
-  // The graceful close: sends the end of the stream and drops what still comes until the other side ends or
-  // Close() is called. A close with unread bytes would reset the connection and could take the answer with
-  // it. Nothing that is read from here on is handed over, so ask HasUnread() right before.
+  // Graceful close: sends the end of the stream and discards input until the peer ends its side or Close() is
+  // called. Closing with unread bytes would reset the connection and could discard the response. Nothing read
+  // from here on is delivered, so check HasUnread() immediately before.
   void Finish(std::function<void()> ended);
 
-  // Both look at what the system holds by now, whichever events have been served: PeerEnded() tells whether
-  // the other side has ended, HasUnread() whether its end or bytes are there that have not been handed over.
+  // Both check what the system has received by now, even if its events have not been handled yet: PeerEnded()
+  // returns whether the peer has ended its side, HasUnread() whether that or undelivered bytes are present.
   bool PeerEnded();
   bool HasUnread();
-  void PauseReading(bool pause);  // kPaced only; the end of the other side is not noticed meanwhile
-  void SetBounds(std::size_t max_head, std::size_t max_body);  // of the messages from here on
-  void ExpectNoBody(bool no_body) { no_body_ = no_body; }      // the next answers are to HEAD requests
-  bool head_too_large() const { return head_too_large_; }      // what made the message malformed
-  asio::ip::tcp::socket& socket() { return socket_; }          // for its options
-  bool overflowed() const { return overflowed_; }  // bytes were dropped: what comes next cannot be read
+  void PauseReading(bool pause);  // kPaced only; the peer's end of stream is not noticed meanwhile
+  void SetBounds(std::size_t max_head, std::size_t max_body);  // for the following messages
+  void ExpectNoBody(bool no_body) { no_body_ = no_body; }      // the next responses are to HEAD requests
+  bool head_too_large() const { return head_too_large_; }      // the reason why the message is malformed
+  asio::ip::tcp::socket& socket() { return socket_; }          // to set its options
+  bool overflowed() const { return overflowed_; }  // bytes were dropped: the rest of the stream is unusable
 
  private:
   struct Callbacks;
   void AwaitBytes();
-  // In one go: a side that never stops sending must not starve the others.
+  // Per wake-up: a peer that never stops sending must not starve the other connections.
   static constexpr int kMaxReads = 128;
   void Read(int max_reads);
   void Parse();
   void Flush(std::function<void(std::error_code)> done);
   void ParseLater();
   void Tell(End end);
-  bool Held() const;  // kPaced: nothing may be read now
+  bool Held() const;  // kPaced: reading is suspended
   void WatchReadingOnly(const asio::ip::tcp::endpoint& local);
   void GoOnSending(std::error_code error);
   std::size_t MaxPending() const;
@@ -99,7 +99,7 @@
   HttpMessage message_;
   std::string pending_, parsing_, field_, out_;
   std::size_t head_size_ = 0, out_at_ = 0;
-  const char* bytes_end_ = nullptr;  // of what the parser reads now
+  const char* bytes_end_ = nullptr;  // of the bytes that are being parsed
   HttpOptions options_;
   std::function<void()> finished_;
   bool resting_ = false, started_ = false, ended_ = false, in_value_ = false, cut_ = false,
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 message, and its words on the wire.
+// An HTTP/1.1 message and its serialization.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
   int status = 0;
   bool keep_alive = true;
   int minor_version = 1;     // of HTTP/1
-  bool has_length = false;   // the head tells of a body: by its length or in chunks
-  std::uint64_t length = 0;  // the Content-Length; 0 for one in chunks
-  std::vector<std::pair<std::string, std::string>> headers;  // names in lower case, unless kept as they came
+  bool has_length = false;   // the head announces a body: with its length or chunked
+  std::uint64_t length = 0;  // the Content-Length; 0 for a chunked body
+  std::vector<std::pair<std::string, std::string>> headers;  // lower-case names, unless keep_name_case is set
 
-  const std::string* Header(std::string_view name) const;  // whichever its case; null: absent
+  const std::string* Header(std::string_view name) const;  // case-insensitive; null if absent
 };
 
-std::string LowerCase(std::string text);                      // of ASCII letters
-bool SameName(std::string_view one, std::string_view other);  // of headers, ignoring case
+std::string LowerCase(std::string text);                      // ASCII only
+bool SameName(std::string_view one, std::string_view other);  // compares header names, ignoring case
 
 std::string FormatRequest(std::string_view method, std::string_view target, std::string_view host,
                           const std::vector<std::pair<std::string, std::string>>& headers,
--- a/src/net/http_send.cpp
+++ b/src/net/http_send.cpp
@@ -1,4 +1,4 @@
-// How an HTTP connection writes.
+// The writing side of HttpConnection.
 #include <cassert>
 
 #include "net/http_connection.h"
@@ -6,13 +6,13 @@
 namespace lichenlug {
 
 void HttpConnection::Write(std::string bytes, std::function<void(std::error_code)> done) {
-  assert(Written());  // one at a time
+  assert(Written());  // one write at a time
   out_ = std::move(bytes), out_at_ = 0;
   Flush(std::move(done));
 }
 
-// Gives the system what it takes at once, so that Written() is known whichever event is served next: an
-// operation's handler could come after that of an end which the other side sent before.
+// Writes synchronously what the system accepts at once, so that Written() is accurate whichever event is
+// handled next: the handler of an asynchronous write could run after that of the peer's end of stream.
 void HttpConnection::Flush(std::function<void(std::error_code)> done) {
   if (ended_) return;
   std::error_code error;
@@ -39,7 +39,7 @@
 void HttpConnection::GoOnSending(std::error_code error) {
   const bool full = error == asio::error::would_block || error == asio::error::interrupted;
   if (!full) {
-    Read(kMaxReads);  // what the other side said before its end
+    Read(kMaxReads);  // what the peer sent before it closed
     eof_ = reset_ = true;
     return ParseLater();
   }
--- a/src/routes/watch_backoff.h
+++ b/src/routes/watch_backoff.h
@@ -1,31 +1,33 @@
-// The backoff of the watch on discovery, with its time-outs for calls and heartbeats: how long a call or a
-// watch is waited for, and when to ask again after a call failed, a watch was lost or one that stands fell
-// silent. Pure: no clock, no I/O.
+// Timeouts and backoff of the watch on discovery: how long to wait for a call or a heartbeat, and when to
+// reconnect after a call failed, a watch was lost or an established watch fell silent. No clock, no I/O.
 //
-// A change counts as told 6 s after discovery had it and could be reached again, which this process does not
-// see. So whatever failed before, from any moment on there has to be time for
-//   1.0 s  a call that was begun just before and never comes up,
-//   1.4 s  the longest wait,
-//   2.4 s  a call that is lost: it comes up and says nothing; a second one is begun beside it,
-//          or it never comes up (1 s) and is waited after once more (1.4 s),
-//   1.0 s  at least until the second one's answer.
+// The dispatcher is required to know a change 6 s after discovery had it and was reachable again, a moment
+// that this process can't observe. So whatever failed before, from any moment on there must be time for
+//   1.0 s  a call that was started just before and is never established,
+//   1.4 s  the maximum backoff,
+//   2.4 s  a lost call: it is established and delivers nothing, so that a second one is started as a hedge,
+//          or it is never established (1 s) and followed by another backoff (1.4 s),
+//   1.0 s  at least for the response to the second call.
 //
-// Guards against a herd: discovery is one service of fixed capacity for all dispatchers and serves their
-// calls in turn. When it goes down all watches end at one moment. Large tiers spread their calls over the
-// wait above; a call that waits in its queue is kept when the second one is begun, so that no work of
-// discovery's is lost. One that was kept waiting and turned away (503) has found it overloaded: the next
-// comes after up to 3.5 s by the tier's size, which leaves time for one call instead of two.
+// Thundering herd: discovery is one service of fixed capacity for all dispatchers and processes their calls
+// sequentially. When it goes down, all watches end at once. Large tiers spread their calls over the backoff
+// above; a call that waits in discovery's queue is kept when the hedge is started, so that no work of
+// discovery is wasted. A call that was queued and then rejected with 503 shows that discovery is overloaded:
+// the next one follows after up to 3.5 s, depending on the tier's size, which leaves time for one call
+// instead of two.
 //
-// Guards against news that counts as told and never came: what a silent watch misses counts as told 6 s after
-// it fell silent. So a silence is no outage: a new watch is asked for beside the old one, and of those 6 s
-//   2.4 s  go by until the silence is noticed (a heartbeat comes every 2 s),
-//   0.8 s  at most spread the calls of a large tier,
-//   1.0 s  at least is left to the first call, and all until 4.7 s if it came early,
-//   0.3 s  at most lie between it and a second,
-//   1.0 s  is left to the second. After that one failed, too, it is an outage.
+// Missed updates: the dispatcher is required to know whatever a silent watch missed 6 s after it fell silent.
+// So a silence is not handled as an outage: a new watch is requested while the old one stays open, and of
+// those 6 s
+//   2.4 s  pass until the silence is detected (a heartbeat is due every 2 s),
+//   0.8 s  at most are jitter that spreads the calls of a large tier,
+//   1.0 s  at least is left for the first call, and the time until 4.7 s if it started early,
+//   0.3 s  at most separate it from a second call,
+//   1.0 s  is left for the second call. If it fails as well, the silence counts as an outage.
 //
-// Where lists are pushed, discovery's address is an agent on this machine that answers at once and serves
-// nobody else, and what it has counts as told as soon as it has it: waits are short and know no tier.
+// With pushed lists, discovery's address is an agent on this machine that responds at once and serves nobody
+// else, and the dispatcher is required to know a change as soon as the agent has it: delays are short and
+// don't depend on the tier's size.
 #pragma once
 
 #include <algorithm>
@@ -39,21 +41,22 @@
 
 class WatchBackoff {
  public:
-  // A call is given up for when no connection comes up in 1 s; when it says nothing in 2.4 s, another one is
-  // begun beside it. After SIGHUP all that discovery has to tell counts as told within 4 s, so a call that
-  // gets no answer must leave time for another.
+  // A call fails if no connection is established within 1 s; if it delivers nothing within 2.4 s, a second
+  // one is started as a hedge. After SIGHUP the dispatcher is required to know discovery's state within 4 s,
+  // so a call without a response must leave time for another.
   static constexpr Time kConnectTimeout = kSecond, kHedgeDelay = 2400 * kMillisecond;
   static constexpr Time kCallTimeout = kConnectTimeout + kHedgeDelay;
   static constexpr Time kMaxBackoff = 1400 * kMillisecond, kMaxOverloadBackoff = 3500 * kMillisecond;
-  // Pushed: drains hold within 500 ms of what the agent has; patience, wait and answer lie within.
+  // Pushed lists: a drain must take effect within 500 ms of the agent knowing it, including this timeout, the
+  // backoff and the response.
   static constexpr Time kAgentTimeout = 250 * kMillisecond;
   static constexpr Time kHeartbeatTimeout = 2400 * kMillisecond, kMaxHeartbeatTimeout = 3200 * kMillisecond;
-  static constexpr Time kSecondCallAt = 4700 * kMillisecond,
-                        kMinHedgeDelay = kSecond;  // after a silence began
-  static constexpr Time kStood = kSecond;          // a watch that stood as long was one
+  // kSecondCallAt counts from the beginning of a silence.
+  static constexpr Time kSecondCallAt = 4700 * kMillisecond, kMinHedgeDelay = kSecond;
+  static constexpr Time kStood = kSecond;  // a watch that lasted at least this long counts as established
 
-  // `poll_interval`: one that neither watches nor asks for that long counts as told of what it does not know;
-  // 0: none.
+  // `poll_interval`: a dispatcher that has had no watch or call for this long is required to know all updates
+  // that it missed; 0: no such limit.
   WatchBackoff(int dispatchers, bool pushed, Time poll_interval, std::uint64_t seed)
       : pushed_(pushed),
         tier_(std::max(kFirstBackoff, std::max(dispatchers, 1) * kCall)),
@@ -61,50 +64,52 @@
                                    : kMaxOverloadBackoff),
         random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
-  // Discovery has moved: what it tells counts as told soon, so waits are short until it has spoken.
+  // Discovery has moved: its state must be known soon, so the backoff is short until it has delivered an
+  // update.
   void Hurry() { hurried_ = true, failures_ = 0; }
 
   void Succeeded() { hurried_ = second_chance_ = false, failures_ = 0, silent_since_ = 0; }
 
   Time ConnectBy(Time now) const { return now + (pushed_ ? kAgentTimeout : kConnectTimeout); }
 
-  // Until when a call that has come up is to say a whole line.
+  // The deadline for the first complete line of an established call.
   Time FirstLineBy(Time now) const {
     if (pushed_) return now + kAgentTimeout;
     if (!second_chance_) return now + kHedgeDelay;
     return std::clamp(silent_since_ + kSecondCallAt, now + kMinHedgeDelay, now + kHedgeDelay);
   }
 
-  // It has begun to speak, and its first line was to come by `by`. An agent that speaks is there, however
-  // long its list is.
+  // The deadline for the first complete line after its first bytes have arrived; `by` is the previous
+  // deadline. An agent that sends anything is alive, however long its list is.
   Time WholeLineBy(Time by, Time now) const { return pushed_ ? now + kMinHedgeDelay : by; }
 
-  // It has said nothing by then: whether to begin another one beside it; else it is given up.
+  // A call has delivered nothing by its deadline: returns whether to start a second one as a hedge; otherwise
+  // the call has failed.
   bool Hedge() { return second_chance_ = false, !pushed_; }
 
-  // The watch that stands has said something: until when the next is waited for.
+  // The established watch has delivered a line: returns the deadline for the next one.
   Time HeartbeatBy(Time now) {
     heartbeat_timeout_ = std::max(kHeartbeatTimeout, heartbeat_timeout_ - kForgive);
     return now + heartbeat_timeout_;
   }
 
-  // The watch that stands has said nothing since `since`: when to ask anew beside it.
+  // The established watch has been silent since `since`: returns when to request a new one beside it.
   Time HeartbeatMissed(Time since, Time now) {
     silent_since_ = since, second_chance_ = true;
     return now + (pushed_ ? AgentBackoff() : Jitter());
   }
 
-  // It spoke on after all: heartbeats come late here, so they are waited for longer. What is lost by that is
-  // won back by 40 heartbeats in time.
+  // The silent watch delivered a line after all: heartbeats arrive late here, so their timeout is extended.
+  // 40 heartbeats in time undo the extension.
   void HeartbeatLate() {
     second_chance_ = false, silent_since_ = 0;
     heartbeat_timeout_ = std::min(kMaxHeartbeatTimeout, heartbeat_timeout_ + 40 * kForgive);
   }
 
-  // The span to wait after a watch that stood for `stood` has ended: by itself that is no outage.
+  // The delay after a watch that was established for `stood` has ended: by itself this is not an outage.
   Time Ended(Time stood) { return pushed_ || stood < kStood ? Failed() : Jitter(); }
 
-  // The span to wait after discovery took a call, kept it for `kept` and turned it away.
+  // The delay after discovery accepted a call, kept it waiting for `kept` and rejected it.
   Time Overloaded(Time kept) {
     if (pushed_ || second_chance_ || kept < kOverloadedAfter || std::exchange(hurried_, false))
       return Failed();
@@ -112,10 +117,10 @@
     return Drawn(latest / 2, latest);
   }
 
-  // The span to wait after this process had no descriptor for a call: that tells nothing of discovery.
+  // The delay after this process had no descriptor for a call, which says nothing about discovery.
   Time NoDescriptor() { return pushed_ ? AgentBackoff() : Drawn(kMinBackoff, kFirstBackoff); }
 
-  // The span to wait after one more failure.
+  // The delay after another failure.
   Time Failed() {
     if (pushed_) return AgentBackoff();
     if (std::exchange(second_chance_, false)) return Drawn(kMinBackoff, kFirstBackoff);
@@ -125,12 +130,12 @@
 
  private:
   static constexpr Time kMinBackoff = 100 * kMillisecond, kFirstBackoff = 300 * kMillisecond;
-  static constexpr Time kCall =
-      80 * kMillisecond;  // of discovery's time, kept free for each dispatcher's call
-  static constexpr Time kMinJitter = 50 * kMillisecond;  // what lies unread after a pause comes first
+  static constexpr Time kCall = 80 * kMillisecond;  // share of discovery's time for each dispatcher's call
+  static constexpr Time kMinJitter = 50 * kMillisecond;  // to read first what arrived during a pause
   static constexpr Time kMaxJitter = 800 * kMillisecond;
   static constexpr Time kForgive = 10 * kMillisecond;
-  static constexpr Time kOverloadedAfter = kSecond / 2;  // who is down turns away sooner than who has a queue
+  // A service that is down rejects calls sooner than one that has a queue.
+  static constexpr Time kOverloadedAfter = kSecond / 2;
 
   Time Drawn(Time soonest, Time latest) {
     return soonest + static_cast<Time>(random_() % static_cast<std::uint64_t>(latest - soonest));
@@ -143,7 +148,7 @@
   std::minstd_rand random_;
   int failures_ = 0;
   bool hurried_ = false;
-  bool second_chance_ = false;  // a silence began, and no call has failed since
+  bool second_chance_ = false;  // a silence has begun and no call has failed since
   Time silent_since_ = 0;
 };
 
