--- a/src/fronts/http/callers.cpp
+++ b/src/fronts/http/callers.cpp
@@ -11,22 +11,24 @@
 namespace lichenlug {
 namespace {
 
-// A client that sends nothing, or half a request, is owed an error or a close within 3 s of connecting.
-constexpr Time kReadTimeout =
-    2500 * kMillisecond;                     // for the first request to be whole; for the rest of a later
-constexpr Time kSlowRead = kSecond;          // from then on a half request is among the first to go
+// For the first request to be complete, and for the rest of a later one. A client that sends nothing, or half
+// a request, must get an error or a close within 3 s of connecting.
+constexpr Time kReadTimeout = 2500 * kMillisecond;
+constexpr Time kSlowRead = kSecond;          // after this, an incomplete request is evicted earlier
 constexpr Time kIdleTimeout = 90 * kSecond;  // between requests
-constexpr Time kWriteTimeout = 3 * kSecond;  // for a client to take its answer
-constexpr Time kFinishTimeout = kSecond;     // for a client to end its side
+constexpr Time kWriteTimeout = 3 * kSecond;  // for a client to read its response
+constexpr Time kFinishTimeout = kSecond;     // for a client to close its side
 constexpr Time kAcceptPause = 20 * kMillisecond;
-constexpr std::size_t kRoom = 8;  // so many legs before the cap the first are asked to end
-constexpr Time kNewConnections = 450 * kMillisecond;  // they go on coming for 0.2 to 0.4 s after SIGTERM
-// SIGKILL comes no sooner than this after SIGTERM, and the longest deadline, counted as 3 s at most, later.
+constexpr std::size_t kRoom = 8;  // eviction starts this many connections below the limit
+// After SIGTERM; new connections keep arriving for 0.2 to 0.4 s.
+constexpr Time kNewConnections = 450 * kMillisecond;
+// SIGKILL follows SIGTERM after at least kKillAfter plus the longest deadline, of which 3 s at most count.
 constexpr Time kKillAfter = 700 * kMillisecond, kMaxCounted = 3 * kSecond;
-constexpr Time kLastAnswer = 200 * kMillisecond;          // before SIGKILL
-constexpr Time kLastJob = kSecond;                        // of time for the last job that is taken
-constexpr Time kNewComeFor = 120 * kMillisecond;          // after SIGTERM, at the least
-constexpr std::size_t kSpareLegs = 4, kLegsPerSpare = 5;  // of clients, kept idle while draining
+constexpr Time kLastAnswer = 200 * kMillisecond;  // before SIGKILL
+constexpr Time kLastJob = kSecond;                // time that the last accepted job has
+constexpr Time kNewComeFor = 120 * kMillisecond;  // after SIGTERM, at least
+// Client connections that are kept idle while draining.
+constexpr std::size_t kSpareLegs = 4, kLegsPerSpare = 5;
 constexpr Time kCheckInterval = 20 * kMillisecond;
 
 }  // namespace
@@ -49,19 +51,20 @@
 // ---- Connections ----
 
 void Callers::Accept() {
-  // Only waits, as HttpConnection does: a connection taken, its handler still to be called, would be
-  // overlooked when the program ends.
+  // Only waits for readability, like HttpConnection: with an asynchronous accept, a connection whose handler
+  // is still pending would be missed when the program ends.
   acceptor_.async_wait(asio::ip::tcp::acceptor::wait_read, [this](std::error_code error) {
     if (error) return;
     TakeWaiting();
-    // At the cap a new connection waits in the backlog: one that is accepted and closed would lose its
-    // request. Where there is no descriptor left, as a rule: a pause, not a spin and not an end.
+    // At the limit a new connection waits in the backlog: accepting and closing it would lose its request.
+    // The usual reason for an error is that no descriptor is left; accepting is then retried after a pause,
+    // instead of at once or not at all.
     if (backlog_empty_) return Accept();
     deadlines_->Add(deadlines_->Now() + kAcceptPause, [this] { Accept(); });
   });
 }
 
-// Takes all that waits in the backlog and finds room.
+// Accepts the connections in the backlog, as far as the limit allows.
 void Callers::TakeWaiting() {
   backlog_empty_ = false;
   while (!backlog_empty_ && MakeRoom(settings_.max_legs)) {
@@ -70,7 +73,7 @@
     backlog_empty_ = error == asio::error::would_block;
     if (!error) Accepted(std::move(socket));
     if (error && !backlog_empty_ && error != asio::error::connection_aborted)
-      return void(MakeRoom(legs_.size()));  // no descriptor left, as a rule
+      return void(MakeRoom(legs_.size()));  // usually no descriptor is left
   }
 }
 
@@ -89,13 +92,13 @@
   leg.connection->Start();
 }
 
-// The lower the earlier a leg goes when room is needed; -1: it stays. Clients that open connections by the
-// hundred and ask nothing of use must not cost the usual ones theirs, and those that are closed between two
-// requests lose nothing by it.
+// Connections with a lower rank are evicted first; -1: never. Clients that open hundreds of connections
+// without using them must not cause the eviction of regular clients. A connection that is closed between two
+// requests loses nothing.
 int Callers::EvictionRank(const Leg& leg) const {
   switch (leg.stage) {
     case Stage::kIdle:
-      // A new one's request may be on its way: it goes no sooner than one that rests between two.
+      // The first request on a new connection may be on its way, so it is not evicted before idle ones.
       return leg.carried || deadlines_->Now() - leg.since < kSlowRead ? 3 : 1;
     case Stage::kReading:
       return deadlines_->Now() - leg.since >= kSlowRead ? 2 : 4;
@@ -104,8 +107,9 @@
   }
 }
 
-// True: there is room for one more. Some legs are asked to end before the cap is reached, so that at the cap
-// there are such as have had time for it; those are closed.
+// Returns whether there is room for one more connection. Some are closed gracefully before the limit is
+// reached, so that at the limit there are connections whose clients have had time to close their side; those
+// are dropped.
 bool Callers::MakeRoom(std::size_t most) {
   if (legs_.size() + kRoom < most) return true;
   std::vector<std::tuple<int, Time, Handle>> legs;
@@ -135,7 +139,7 @@
   deadlines_->Move(&leg.alarm, leg.since + kIdleTimeout, [this, handle] { Retire(handle); });
 }
 
-// Ends a leg on which nothing is owed. One with bytes on it that are not read yet stays: false.
+// Closes a connection without an unanswered request. Returns false and keeps it if it has unread bytes.
 bool Callers::Retire(Handle handle) {
   if (legs_.Find(handle)->connection->HasUnread()) return false;
   return FinishLeg(handle), true;
@@ -164,7 +168,8 @@
   Leg* leg = legs_.Find(handle);
   if (leg == nullptr) return;
   leg->stage = Stage::kReading;
-  // A first request has its time from the connecting, so that sending one byte gains none.
+  // The time for the first request counts from the connection's start, so that sending one byte doesn't
+  // extend it.
   leg->since = leg->asked ? deadlines_->Now() : leg->connected;
   deadlines_->Move(&leg->alarm, leg->since + kReadTimeout, [this, handle] {
     Reply(handle, 408, "the rest of the request did not come\n", {}, /*close=*/true);
@@ -202,8 +207,8 @@
     return Reply(handle, 400, std::string(fault) + "\n");
   job->body = std::move(message.body);
   legs_.Find(handle)->of_client = true;
-  // Nothing of it has run, so a busy answer is harmless; the last descriptors are kept for call-backs. What
-  // counts is the jobs in work: connections on which nothing is owed make room when it is needed.
+  // Nothing of the job has run, so a 503 refusal is harmless; the last descriptors are kept for callbacks.
+  // The limit is on unanswered jobs: connections without one are evicted when room is needed.
   if (core_->owed() >= settings_.max_serving)
     return Reply(handle, 503, "too many connections\n", {}, /*close=*/true);
   if (!HasSpareLegs()) return Reply(handle, 503, "draining\n");
@@ -261,7 +266,7 @@
   leg.stage = Stage::kAnswering;
   open_ids_.erase(leg.call_id);
   leg.call_id.clear();
-  // A client that does not take its answer must not hold its connection for good.
+  // A client that doesn't read its response must not hold its connection forever.
   deadlines_->Move(&leg.alarm, deadlines_->Now() + kWriteTimeout, [this, handle] { DropLeg(handle); });
   leg.connection->Write(FormatAnswer(status, headers, body, !close),
                         [this, handle, close](std::error_code e) {
@@ -279,7 +284,7 @@
   FinishLeg(handle);
 }
 
-// ---- The end ----
+// ---- Shutdown ----
 
 void Callers::Drain(std::function<void()> done) {
   if (std::exchange(draining_, true)) return;
@@ -293,13 +298,13 @@
   LookForEnd();
 }
 
-// A client that finds all its connections busy opens a new one. While the program drains none comes through,
-// and clients then take it for dead and use none of the others any more, for as long as it still serves;
-// where the other dispatchers restart as well, all they have fails. So some connections stay idle: a job on
-// one of the last is refused at once.
+// A client whose connections are all busy opens a new one. While the program drains, new connections fail,
+// and clients then consider it dead and stop using their other connections to it, although it still serves;
+// if the other dispatchers restart as well, all of the client's requests fail. So some connections are kept
+// idle: a job on one of the last is refused at once.
 bool Callers::HasSpareLegs() {
   if (!draining_ || deadlines_->Now() - drain_began_ < kNewComeFor)
-    return true;  // the more of them the better
+    return true;  // clients can still open more connections
   std::size_t of_clients = 0, idle = 0;
   legs_.ForEach([&](Handle, Leg& leg) {
     of_clients += leg.of_client;
@@ -308,10 +313,10 @@
   return idle >= std::min(kSpareLegs, of_clients / kLegsPerSpare);
 }
 
-// Clients go on with the connections they have for as long as these stay open. Closing these as soon as new
-// ones have stopped coming would leave clients with nobody to ask where the other dispatchers restart at the
-// same time; so they are kept for as long as there is time to end what comes on them, and then the idle ones
-// are closed, but never one with a request on it that is not read yet.
+// Clients use their connections for as long as they stay open. Closing them as soon as no new connections
+// arrive would leave clients without any dispatcher if the others restart at the same time. So they are kept
+// open for as long as there is time to complete what arrives on them; then the idle ones are closed, except
+// those with unread bytes.
 void Callers::LookForEnd() {
   const Time now = deadlines_->Now();
   if (now >= taking_until_)
@@ -319,7 +324,7 @@
       if (leg.stage == Stage::kIdle) Retire(handle);
     });
   if (now - drain_began_ >= kNewConnections && core_->owed() == 0 && legs_.size() == 0) {
-    TakeWaiting();  // what lies in the backlog has been connected and is owed an answer
+    TakeWaiting();  // connections in the backlog are established and must get a response
     if (backlog_empty_ && legs_.size() == 0) {
       acceptor_.close();
       return drained_();
--- a/src/fronts/http/callers.h
+++ b/src/fronts/http/callers.h
@@ -1,5 +1,5 @@
-// The caller legs: the listener, the clients' connections, what they ask and what they are answered. Runners'
-// call-backs come in here too and are handed to the branches.
+// The HTTP front end: the listener, the clients' connections, their requests and the responses. Runners'
+// callbacks arrive here too and are passed to the attempts.
 #pragma once
 
 #include <functional>
@@ -18,23 +18,24 @@
 
 struct CallerSettings {
   asio::ip::tcp::endpoint listen;
-  std::size_t max_legs = 0;     // connections of clients and of runners that call back
-  std::size_t max_serving = 0;  // past so many transactions owed only call-backs are served
-  const rookgw::Site& site;     // outlives the callers
+  std::size_t max_legs = 0;     // connections of clients and of runners that send callbacks
+  std::size_t max_serving = 0;  // with this many unanswered requests, only callbacks are accepted
+  const rookgw::Site& site;     // must outlive the front end
 };
 
 class Callers : public CallerPort {
  public:
-  // `has_list` tells whether there is a list of runners; without one the program is not ready.
-  // Listens at once; throws std::system_error when the address is not to be had.
+  // `has_list` returns whether a list of runners is known; without one the program is not ready.
+  // Listens immediately; throws std::system_error if it can't bind the address.
   Callers(asio::io_context& io, const CallerSettings& settings, std::function<bool()> has_list,
           Deadlines* deadlines, TransactionTable* core, CallBackPort* branches);
 
   asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   void Start();
 
-  // From now on the program is not ready; all that comes is still served, and as long as there is time for
-  // more, answers keep their connections. `done` is called when nothing is owed and no connection is left.
+  // Makes the program report that it is not ready. Requests are still served, and as long as there is time
+  // for more of them, responses keep their connections open. Calls `done` when every request is answered and
+  // no connection is left.
   void Drain(std::function<void()> done);
 
   void Answer(Handle leg, const FinalAnswer& answer) override;
@@ -45,13 +46,13 @@
   struct Leg {
     std::shared_ptr<HttpConnection> connection;
     Stage stage = Stage::kIdle;
-    bool close_after = false;  // said by the client
+    bool close_after = false;  // the client asked for it
     Handle transaction;
     std::string call_id;
-    Time connected = 0, since = 0;  // idle since
-    bool asked = false;             // a whole request has come on it
-    bool carried = false;           // a job or a call-back has come on it
-    bool of_client = false;         // a job has
+    Time connected = 0, since = 0;  // since: when it entered its stage
+    bool asked = false;             // a complete request has arrived on it
+    bool carried = false;           // a job or a callback has arrived on it
+    bool of_client = false;         // a job has arrived on it
     Deadlines::Key alarm;
   };
 
--- a/src/fronts/http/request_parser.cpp
+++ b/src/fronts/http/request_parser.cpp
@@ -11,8 +11,8 @@
 
 constexpr double kMaxBudget = 3600;  // seconds
 constexpr double kMaxSlots = 1e6;
-constexpr std::size_t kMaxValue = 256;                      // of a header that is handed on
-constexpr std::string_view kMarks = "/?:@-._~!$&'()*+,;=";  // beside letters, digits and escapes
+constexpr std::size_t kMaxValue = 256;                      // bytes of a header that is forwarded
+constexpr std::string_view kMarks = "/?:@-._~!$&'()*+,;=";  // allowed besides letters, digits and escapes
 
 int Byte(char c) { return static_cast<unsigned char>(c); }
 
@@ -29,7 +29,7 @@
   return value;
 }
 
-// Calls with each name and value of "name=value" parts.
+// Calls `call` with the name and value of each "name=value" part.
 template <typename Call>
 void ForEachPair(std::string_view text, char separator, Call call) {
   while (!text.empty()) {
@@ -40,7 +40,7 @@
   }
 }
 
-// Keys are 16 hex digits; any other text is hashed (FNV-1a), the same at every dispatcher.
+// Keys are 16 hex digits; any other text is hashed (FNV-1a), with the same result at every dispatcher.
 std::uint64_t KeyOf(std::string_view text) {
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key, 16);
@@ -55,8 +55,8 @@
   return !id.empty() && id.size() <= 128 && std::all_of(id.begin(), id.end(), plain);
 }
 
-// What a runner could not read it closes on, and that would read as the runner's own break: only what RFC
-// 3986 allows in a path and a query is handed on.
+// A runner closes the connection on a target that it can't parse, which would count as the runner's failure.
+// So only what RFC 3986 allows in a path and a query is forwarded.
 bool TargetIsFit(std::string_view target) {
   const auto hex = [&](std::size_t at) { return at < target.size() && std::isxdigit(Byte(target[at])); };
   for (std::size_t i = 0; i < target.size(); ++i) {
@@ -72,7 +72,7 @@
          std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
 
-// Two of these could be read as either.
+// Finds a duplicate of a header that must be unique: different implementations would use either value.
 const char* FindDoubled(const HttpMessage& message) {
   for (const char* name :
        {"x-call-id", "x-caller", "x-budget", "x-call-cost", "x-call-info", "cookie", "idempotency-key",
@@ -104,8 +104,8 @@
   if (const std::string* budget = message.Header("x-budget")) {
     const auto seconds = Number(Trim(*budget));
     if (!seconds || *seconds < 0 || *seconds > kMaxBudget) return "X-Budget: seconds expected";
-    // Nobody waits longer than the class's deadline. Taken at its word, one client's long wait would make the
-    // decisions hold the usual ones, with less time left, for late repeats and refuse them all.
+    // A budget is limited by the class's deadline. Otherwise one client's long budget would make the
+    // decisions take regular requests, which have less time left, for late repeats and refuse them all.
     arrived->valid_until = std::min(arrived->valid_until, now + static_cast<Time>(*seconds * kSecond));
   }
   if (const std::string* caller = message.Header("x-caller")) {
--- a/src/fronts/http/request_parser.h
+++ b/src/fronts/http/request_parser.h
@@ -1,4 +1,4 @@
-// A client's request in the core's terms.
+// Parses a client's HTTP request into the core's types.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 namespace lichenlug {
 
 std::string_view PathOf(std::string_view target);     // without the query
-std::string_view FirstPart(std::string_view target);  // of the path; gives the class
+std::string_view FirstPart(std::string_view target);  // the first segment of the path, which names the class
 
-// Fills in the request that came at `now`. Returns null, or what is wrong with it in one line. Every header
-// but the id may be absent.
+// Parses a request that arrived at `now`. Returns null, or a one-line description of the error. Every header
+// except X-Call-Id is optional.
 const char* ParseJobRequest(const HttpMessage& message, const rookgw::Site& site, int cls, Time now,
                             rookgw::RequestArrived* arrived, Job* job);
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The dispatcher: reads the command line, puts the stages together and runs them.
+// The dispatcher: parses the command line, connects the components and runs them.
 #include <CLI/CLI.hpp>
 #include <asio.hpp>
 #include <csignal>
@@ -27,7 +27,7 @@
   return runners;
 }
 
-// The core asks the watch for the list through its own port: routes know nothing of the core.
+// Adapts the watch to the core's interface, so that `routes/` doesn't depend on the core.
 class WatchPort : public DiscoveryPort {
  public:
   explicit WatchPort(Watch* watch) : watch_(watch) {}
@@ -37,7 +37,7 @@
   Watch* watch_;
 };
 
-// What goes out and ends at runners reaches the other dispatchers; what they tell reaches the decisions.
+// Shares the use of runners with the other dispatchers and passes their reports to the core.
 class Peers : public PeerPort, public HoldingsHeard {
  public:
   Peers(asio::io_context& io, const Config& config, Deadlines* deadlines, TransactionTable* core)
@@ -70,8 +70,8 @@
   }
 
  private:
-  // Where crossing zones is charged a dispatcher seldom sends to other zones' runners and need not hear of
-  // them.
+  // If cross-zone traffic has a cost, a dispatcher seldom uses the runners of other zones and doesn't need
+  // reports on them.
   static int ZoneToHear(const rookgw::Settings& settings) {
     return settings.fee_cross_zone > 0 && settings.my_zone != rookgw::kNone ? settings.my_zone : kNoZone;
   }
@@ -84,8 +84,8 @@
 
 const char* Environment(const char* name) { return std::getenv(name); }
 
-// SIGHUP: where discovery is may change while the program runs; the rest is what it was built on and waits
-// for the next start. A file with a fault changes nothing.
+// SIGHUP: only discovery's address can change while the program runs; other changes take effect at the next
+// start. An invalid file changes nothing.
 void Reload(const Config& config, Watch* watch) {
   try {
     const Config fresh = RereadConfig(Environment, config);
@@ -98,7 +98,7 @@
   }
 }
 
-// The port for what is held, or null where there is nobody to tell.
+// Returns the port for peer reports, or null if there are no peers or their socket can't be opened.
 PeerPort* StartPeers(const Config& config, Peers* peers) {
   if (!config.peers.on()) return nullptr;
   try {
@@ -113,10 +113,10 @@
 
 void Serve() {
   using Form = rookgw::ListChanged::Form;
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that is gone shows as an error of the write
+  std::signal(SIGPIPE, SIG_IGN);  // a closed peer is reported as an error of the write
   asio::io_context io(1);
-  // Before the configuration is read: unhandled, a signal would end the program at once, whatever it owes by
-  // then, and one that comes while it reads asks to read anew.
+  // Installed before the configuration is read: an unhandled signal would end the program at once, even with
+  // unanswered requests, and a SIGHUP during the first read has to cause a reload.
   asio::signal_set reload(io, SIGHUP), signals(io, SIGTERM, SIGINT);
   const Config config = ReadConfig(Environment);
   const Clock clock;
@@ -145,7 +145,7 @@
   core.Start(&branches, &discovery, StartPeers(config, &peers));
   core.RoutesChanged(Form::kStaleCopy, config.known.revision, RunnersOf(config.known));
   peers.Name(config.known);
-  watch.Ask();  // also where the settings say that news comes unasked: on sockets it never does
+  watch.Ask();  // also with pushed lists: over sockets, updates only arrive on a watch
   callers.Start();
   std::cerr << config.name << " serves at " << callers.address() << std::endl;
 
--- a/src/operate/config.cpp
+++ b/src/operate/config.cpp
@@ -24,7 +24,7 @@
   throw ConfigError(line);
 }
 
-// Text of the file; empty where there is none.
+// The string at `key`; empty if it is absent.
 std::string Text(const Json& object, const char* key) {
   const auto it = object.find(key);
   if (it == object.end() || it->is_null()) return "";
@@ -40,14 +40,14 @@
   return *it;
 }
 
-// How many descriptors are open now; the usual three where the system does not tell.
+// The number of open descriptors; the usual three if the system doesn't provide it.
 std::size_t OpenDescriptors() {
   std::error_code error;
   std::size_t open = 0;
   for (std::filesystem::directory_iterator it("/proc/self/fd", error), end; !error && it != end;
        it.increment(error))
     ++open;
-  return error || open == 0 ? 3 : open - 1;  // less the one that reads the list
+  return error || open == 0 ? 3 : open - 1;  // without the one that reads the directory
 }
 
 std::size_t ReadSockets(const Json& root, const Config& config) {
@@ -64,7 +64,8 @@
   const std::size_t least =
       std::max(kMinSockets, config.open_at_start + Config::kOwnDescriptors + Config::kMinShared);
   if (sockets < least)
-    Bad("limits.sockets", std::to_string(least) + " or more expected, here and as the process's limit");
+    Bad("limits.sockets",
+        std::to_string(least) + " or more expected, here and as the process's descriptor limit");
   return sockets;
 }
 
@@ -107,14 +108,14 @@
     const std::string path = "peers[" + std::to_string(peers.peers.size()) + "]";
     peers.peers.push_back(PeerAddress(peer.is_string() ? peer.get<std::string>() : "", path));
   }
-  // One that is not among them is a stranger to the others: it serves alone.
+  // A dispatcher that is not in the list is unknown to the others, so it runs without peers.
   if (static_cast<std::size_t>(own_number) >= peers.peers.size()) peers.peers.clear();
   return peers;
 }
 
 using Environment = std::function<const char*(const char*)>;
 
-// `running`: the configuration of the program that reads its file again, or null at the start.
+// `running`: the current configuration when the file is reloaded, or null at startup.
 Config Read(const Environment& environment, const Config* running) {
   Config config;
   config.open_at_start = running != nullptr ? running->open_at_start : OpenDescriptors();
@@ -140,8 +141,8 @@
   config.max_sockets = ReadSockets(root, config);
 
   if (!root.contains("settings")) Bad("settings", "missing");
-  config.site = rookgw::ReadSettings(Object(root, "settings"));  // its messages begin with "settings: KEY"
-  config.site.settings.reports_accepts = true;                   // by a runner's 202
+  config.site = rookgw::ReadSettings(Object(root, "settings"));  // its messages start with "settings: KEY"
+  config.site.settings.reports_accepts = true;                   // runners acknowledge jobs with a 202
   if (config.site.settings.connect_timeout == 0) Bad("settings.Limits.ConnectTimeout", "above 0 expected");
   if (config.site.max_open == 0) Bad("settings.Limits.MaxOpen", "1 or more expected");
 
--- a/src/operate/config.h
+++ b/src/operate/config.h
@@ -1,5 +1,5 @@
-// The one place where configuration is read, checked and given defaults. What a dispatcher is told comes from
-// the JSON file that BALANCER_CONFIG names; BALANCER_NAME, _LISTEN and _DISCOVERY win over the file.
+// Reads and validates the configuration and sets its defaults. It comes from the JSON file that
+// BALANCER_CONFIG names; BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY override the file.
 #pragma once
 
 #include <asio.hpp>
@@ -18,41 +18,40 @@
   std::string name;
   asio::ip::tcp::endpoint listen, discovery;
   std::uint64_t seed = 0;
-  std::size_t max_sockets = 1024;  // limits.sockets, and no more than the process may open
-  std::size_t open_at_start = 3;   // descriptors: inherited ones, the loop's, the signals'
+  std::size_t max_sockets = 1024;  // limits.sockets, bounded by the process's descriptor limit
+  std::size_t open_at_start = 3;   // descriptors: inherited, the event loop's and the signal handlers'
   rookgw::Site site;
   RouteNews known;
-  PeerSettings peers;  // off where settings.Limits.MayTell is not true
+  PeerSettings peers;  // off unless settings.Limits.MayTell is true
 
-  // Every descriptor has its place in one sum: those open at the start, the program's own, the two shares of
-  // what is left. A connection is closed in the turn in which it leaves its table, so that none is held
-  // beside.
+  // The descriptor budget: those open at startup, the program's own, and two shares of the rest. A connection
+  // is closed as soon as it is removed from its table, so that none exists outside the budget.
   std::size_t max_runner_links() const { return shared() / 4; }
   std::size_t max_caller_legs() const { return shared() - max_runner_links(); }
-  // Past these only call-backs are served: they end work, and a runner tries each but ten times.
+  // Beyond these only callbacks are accepted: they complete work, and a runner retries each only ten times.
   std::size_t max_serving_legs() const { return shared() / 2; }
 
-  // Its own, opened later: the listener and a connection that is accepted and not counted yet (2), the socket
-  // of the datagrams (1), watches (3: one that stands, one that is asked for, one that is on its way out),
-  // the file that is read at SIGHUP (1), one to spare.
+  // The program's own descriptors that are opened later: the listener and a connection that is accepted but
+  // not counted yet (2), the UDP socket (1), watches (3: established, pending and hedged), the file that is
+  // read at SIGHUP (1), and one in reserve.
   static constexpr std::size_t kOwnDescriptors = 8, kMinShared = 16;
 
  private:
   std::size_t shared() const { return max_sockets - open_at_start - kOwnDescriptors; }
 };
 
-// What is wrong with the configuration, in one line that names the key and what is expected there.
+// An error in the configuration: one line with the key and what is expected there.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Throws ConfigError, or rookgw::SettingsError for what is wrong within `settings`. `environment` gives a
-// variable's value or null. What is open now counts as open for good.
+// Throws ConfigError, or rookgw::SettingsError for errors in `settings`. `environment` returns a variable's
+// value or null. Descriptors that are open now are assumed to stay open.
 Config ReadConfig(const std::function<const char*(const char*)>& environment);
 
-// The same for a running program that is told to read its file again: there the file's `discovery` wins, for
-// the variable still holds the address of the start.
+// The same for a reload in a running program: the file's `discovery` overrides the variable, which still has
+// the value from startup.
 Config RereadConfig(const std::function<const char*(const char*)>& environment, const Config& running);
 
 }  // namespace lichenlug
