--- a/src/main.cpp
+++ b/src/main.cpp
@@ -90,11 +90,11 @@
   try {
     const Config fresh = RereadConfig(Environment, config);
     if (fresh.listen != config.listen || fresh.name != config.name)
-      std::cerr << config.name << " keeps its name and address until the next start" << std::endl;
+      std::cerr << config.name << " applies changes of name and listen only at the next start" << std::endl;
     watch->MoveTo(fresh.discovery);
     std::cerr << config.name << " has read its configuration again" << std::endl;
   } catch (const std::exception& e) {
-    std::cerr << config.name << " keeps its configuration: " << e.what() << std::endl;
+    std::cerr << config.name << " could not reload its configuration: " << e.what() << std::endl;
   }
 }
 
@@ -105,8 +105,7 @@
     peers->Start();
     return peers;
   } catch (const std::system_error& e) {
-    std::cerr << config.name << " hears and tells no other dispatcher: peer_listen: " << e.what()
-              << std::endl;
+    std::cerr << config.name << " runs without peers: peer_listen: " << e.what() << std::endl;
     return nullptr;
   }
 }
@@ -171,15 +170,16 @@
 int main(int argc, char** argv) {
   CLI::App app("lichenlug: a dispatcher that spreads jobs across runners");
   app.require_subcommand(1);
-  CLI::App* serve = app.add_subcommand("serve", "Serve, as the file that BALANCER_CONFIG names says");
+  CLI::App* serve = app.add_subcommand(
+      "serve", "Run the dispatcher with the configuration file that BALANCER_CONFIG names");
   CLI::App* version = app.add_subcommand("version", "Print the version");
-  CLI::App* check = app.add_subcommand("check-config", "Read and check the configuration, and do no more");
+  CLI::App* check = app.add_subcommand("check-config", "Validate the configuration and exit");
   try {
     app.parse(argc, argv);
     if (*version) std::cout << "lichenlug " LICHENLUG_VERSION "\n";
     if (*check)
       std::cout << "the configuration of " << lichenlug::ReadConfig(lichenlug::Environment).name
-                << " is good\n";
+                << " is valid\n";
     if (*serve) lichenlug::Serve();
     return 0;
   } catch (const CLI::ParseError& e) {
--- a/src/routes/route_set.cpp
+++ b/src/routes/route_set.cpp
@@ -64,7 +64,7 @@
     if (!error && bad == std::errc() && end == last && first != last && port <= 65535)
       return {address, static_cast<std::uint16_t>(port)};
   }
-  throw std::runtime_error(key + ": '" + text + "' is no address:port");
+  throw std::runtime_error(key + ": '" + text + "' is not an address:port");
 }
 
 RouteNews ParseRouteNews(const nlohmann::json& object, const rookgw::Site& site) {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration and the settings in it: what is refused, in which words, and what has to be served.
+// The configuration and its settings: which values are rejected, with which messages, and which are accepted.
 #include "operate/config.h"
 
 #include <fcntl.h>
@@ -57,7 +57,7 @@
 
 Config Read(const std::string& text) { return ConfigFile(text).Read(); }
 
-// What is said of this file; empty: it is taken.
+// The error message for this file; empty if it is accepted.
 std::string Fault(const std::string& text) {
   try {
     Read(text);
@@ -75,7 +75,7 @@
   return Fault(config.dump());
 }
 
-// The decisions have to live with whatever is taken.
+// The decisions must be able to run with any accepted settings.
 void PlayOneRequest(const rookgw::Settings& settings) {
   rookgw::Scheduler scheduler(settings, 1);
   std::vector<rookgw::Action> actions;
@@ -201,17 +201,17 @@
   struct {
     const char *pointer, *value;
   } const cases[] = {
-      {"/settings/RequestClasses/0/Window", "null"},    // none is named: no job is sent twice
+      {"/settings/RequestClasses/0/Window", "null"},    // absent: no job is sent twice
       {"/settings/RequestClasses/0/Window", "5000"},    // shorter than any deadline
       {"/settings/RequestClasses/1/Window", "0"},       // of a class that is not dedup
-      {"/settings/RequestClasses/1/Deadline", "8001"},  // of which nearly nothing is left
-      {"/settings/RequestClasses/1/Aim", "9000000"},    // in time is what comes by the deadline
-      {"/settings/RequestClasses/1/Aim", "300000.0"},   // as some writers put whole numbers
+      {"/settings/RequestClasses/1/Deadline", "8001"},  // almost entirely used up by two ticks
+      {"/settings/RequestClasses/1/Aim", "9000000"},    // beyond the deadline, which then limits it
+      {"/settings/RequestClasses/1/Aim", "300000.0"},   // some JSON writers format integers like this
       {"/settings/RequestClasses/1/LateValue", "2"},
-      {"/settings/RequestClasses/1/Name", "\"a/b\""},  // no path leads there; the others are served
-      {"/settings/MyZone", "\"elsewhere\""},           // no zone is its own
+      {"/settings/RequestClasses/1/Name", "\"a/b\""},  // unreachable by any path; the others still work
+      {"/settings/MyZone", "\"elsewhere\""},           // not one of the zones
       {"/settings/Dcs", "[]"},
-      {"/settings/Instances", "300"},  // more than the peers that are named
+      {"/settings/Instances", "300"},  // more than the listed peers
       {"/settings/Fees/CrossZone", "-0.1"},
       {"/settings/Limits/IdleClose", "0"},
       {"/settings/Limits/ConnectTimeout", "9000000"},  // longer than the deadlines
@@ -221,7 +221,7 @@
       {"/settings/Guarantees/ColdShare", "0"},
       {"/settings/Specifics/ClassStretch", "[]"},
       {"/settings/Specifics/ClassKind", "[-1, -1, -1, -1]"},
-      {"/settings/Tenants/1/Portion", "0.9"},  // 1.5 with the other: only quotas are gone by
+      {"/settings/Tenants/1/Portion", "0.9"},  // 1.5 in total: only quotas are used
       {"/settings/Tenants", "[]"},
       {"/settings/Weights", "\"a new word\""},
       {"/settings/Report/Fields", "[\"a new one\"]"},
@@ -237,7 +237,8 @@
   }
 }
 
-// Whatever stands in the place of any value: it is refused in one line, or the decisions can live with it.
+// Replaces each value by each of a set of odd values: it is rejected with a one-line message, or the
+// decisions can run with it.
 TEST(ReadConfig, NoValueInAnyPlaceGetsFurtherThanItMay) {
   const Json values = Json::parse(R"([null, true, "", "x", -1, 0, 0.5, 1e-9, 2147483647, 2147483648, 1e15,
     9223372036854775807, 9223372036854775808, 18446744073709551615, 1e300, {}, [], [null], [1e300]])");
@@ -273,7 +274,7 @@
   EXPECT_THROW(ReadConfig(at_missing_file), ConfigError);
 }
 
-// A value that is not asked for may be as deep as it likes.
+// An unknown value may be nested to any depth.
 TEST(ReadConfig, PassesOverWhatIsDeeplyNested) {
   std::string text = kGood.dump();
   const std::string deep = "\"Deep\":" + std::string(200'000, '[') + std::string(200'000, ']') + ",";
@@ -295,7 +296,7 @@
     json["limits"]["sockets"] = sockets;
     const Config config = Read(json.dump());
     const std::size_t kept = config.max_sockets - config.max_caller_legs() - config.max_runner_links();
-    EXPECT_GE(kept, config.open_at_start + 8) << sockets;  // 8: tests/scenarios/descriptors_full.scenario
+    EXPECT_GE(kept, config.open_at_start + 8) << sockets;  // tests/scenarios/descriptors_full.scenario uses 8
     EXPECT_GE(config.max_runner_links(), 8u) << sockets;
     EXPECT_GE(config.max_caller_legs(), config.max_serving_legs() + 8) << sockets;
   }
@@ -310,7 +311,7 @@
   EXPECT_EQ(after.open_at_start, before.open_at_start + 10);
   EXPECT_EQ(after.max_caller_legs() + after.max_runner_links() + 10,
             before.max_caller_legs() + before.max_runner_links());
-  // At SIGHUP the running program's own are open, too.
+  // At a reload the running program's own descriptors are open as well, and must not be counted twice.
   EXPECT_EQ(again.open_at_start, before.open_at_start);
   for (const int fd : held) close(fd);
 }
--- a/tests/http_connection_test.cpp
+++ b/tests/http_connection_test.cpp
@@ -1,4 +1,4 @@
-// One HTTP connection against a plain socket on loopback, the order of events forced by whose turn it is.
+// One HTTP connection against a plain socket on loopback. Events are run one by one to force their order.
 #include "net/http_connection.h"
 
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 
 using asio::ip::tcp;
 
-// The other side ends its sending while a job with the largest body is being written, and goes on reading:
-// who hears of the end has to know whether the last byte went out before.
+// The peer half-closes the connection while a job with the largest body is being written, and goes on
+// reading: the handler of the end must know whether the last byte had been written before.
 TEST(HttpConnection, AnEndDoesNotHideThatTheLastByteIsWritten) {
   asio::io_context io(1);
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
--- a/tests/kept_links_test.cpp
+++ b/tests/kept_links_test.cpp
@@ -1,4 +1,4 @@
-// Which kept connections are fit for a job, in made-up time.
+// Which keep-alive connections are reliable enough for a job, in simulated time.
 #include "branch/kept_links.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 TEST(KeptLinks, AllAreFitUntilSomeBreak) {
   KeptLinks links;
   EXPECT_FALSE(links.Unfit(kOld, kSecond));
-  Note(&links, kOld, 100, 3, kSecond);  // now and then one breaks
+  Note(&links, kOld, 100, 3, kSecond);  // a few failures
   EXPECT_FALSE(links.Unfit(kOld, kSecond));
 }
 
--- a/tests/news_lines_test.cpp
+++ b/tests/news_lines_test.cpp
@@ -1,4 +1,4 @@
-// What a watch says, in pieces that end anywhere, in one line or indented.
+// Parsing the stream of a watch: chunks that end anywhere, objects on one line or indented.
 #include "routes/news_lines.h"
 
 #include <gtest/gtest.h>
--- a/tests/node.h
+++ b/tests/node.h
@@ -1,4 +1,4 @@
-// A node under test: settings as most tests want them, and a Scheduler with its clock, list and actions.
+// A node under test: default test settings, and a Scheduler with its clock, list and actions.
 #pragma once
 
 #include <string>
@@ -68,7 +68,7 @@
     fresh_from_ = 0;
   }
 
-  // Tells an event; Sent() and the like then look at the actions that came of it.
+  // Passes an event to the brain; Fresh() and the queries below then cover the actions that it caused.
   void Tell(const Event& event) {
     fresh_from_ = actions.size();
     scheduler.Handle(now, event, &actions);
@@ -89,7 +89,7 @@
     Tell(ProbeEnded{worker, true, kMs, Reported(free_slots, waiting)});
   }
 
-  // A new request; returns the worker it went to, or "" if it was not sent.
+  // A new request; returns the worker it was sent to, or "" if it was not sent.
   std::string Ask(RequestId id, std::optional<std::uint64_t> key = 7, int cls = kUnsafeClass,
                   int tenant = kNone) {
     RequestArrived e;
@@ -118,7 +118,7 @@
     Tell(AttemptUpdate{id, attempt, AttemptUpdate::Kind::kStarted, 0});
   }
 
-  // Moves the clock on, firing timers as they come due; Sent() and the like then see all of it.
+  // Advances the clock, firing timers as they fall due; Fresh() and the queries below then cover all of it.
   void Run(Time span) {
     const std::size_t from = actions.size();
     const Time until = now + span;
@@ -139,7 +139,7 @@
   }
 
   template <typename T>
-  std::vector<T> Fresh() const {  // actions of this kind that came of the last event or Run
+  std::vector<T> Fresh() const {  // actions of this type caused by the last event or Run()
     std::vector<T> found;
     for (std::size_t i = fresh_from_; i < actions.size(); ++i)
       if (const T* a = std::get_if<T>(&actions[i])) found.push_back(*a);
@@ -170,7 +170,7 @@
 
  private:
   void TakeTimers() {
-    if (seen_ > actions.size()) seen_ = 0;  // the test has cleared them
+    if (seen_ > actions.size()) seen_ = 0;  // the test has cleared `actions`
     for (; seen_ < actions.size(); ++seen_)
       if (const SetTimer* t = std::get_if<SetTimer>(&actions[seen_]))
         timers_.push_back({now + t->span, t->token});
--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -1,7 +1,7 @@
-// Plays one scenario against the real program on loopback: scenario_player PROGRAM SCENARIO. The player is
-// the clients, the runners and discovery. The language is told in tests/scenarios/README.md.
+// Plays one scenario against the real program on loopback: scenario_player PROGRAM SCENARIO. The player acts
+// as the clients, the runners and discovery. tests/scenarios/README.md describes the language.
 #ifdef NDEBUG
-#error "the asserts of the tests have to stay on"
+#error "scenario_player needs assertions"
 #endif
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -36,7 +36,7 @@
 using Json = nlohmann::json;
 using Words = std::vector<std::string>;
 
-std::string g_line;  // the step that is played, for what is said when it fails
+std::string g_line;  // the current step, for failure messages
 
 void Require(bool good, const std::string& what) {
   if (!good) std::cerr << "at '" << g_line << "': " << what << std::endl;
@@ -44,11 +44,11 @@
 }
 
 struct Message {
-  int fd = -1;  // the connection it came on
+  int fd = -1;  // the connection it arrived on
   std::string first, head, body;
 };
 
-// Takes one whole message off the front of `bytes`; bodies have a Content-Length here.
+// Removes one complete message from the front of `bytes`; bodies always have a Content-Length here.
 bool Take(std::string* bytes, Message* message) {
   const std::size_t end = bytes->find("\r\n\r\n");
   if (end == std::string::npos) return false;
@@ -65,19 +65,19 @@
 struct Actor {  // a client, a runner or discovery
   int listener = -1;
   bool accepts = true, rests = false;  // rests: reads nothing
-  std::vector<int> fillers;            // connections that fill the backlog of one that does not
+  std::vector<int> fillers;            // connections that fill the backlog while it doesn't accept
   int port = 0;
   std::string phase = "active";
-  std::map<int, std::string> in;  // bytes that came, by connection
-  std::vector<Message> inbox;     // what has come and is not expected yet
-  std::vector<int> unanswered;    // a runner's jobs and DELETEs, discovery's calls, the oldest first
+  std::map<int, std::string> in;  // received bytes, by connection
+  std::vector<Message> inbox;     // received messages that no step has expected yet
+  std::vector<int> unanswered;    // a runner's jobs and DELETEs or discovery's calls, oldest first
   int fd = -1;                    // a client's connection, or discovery's watch
-  int spoken_on = -1;             // discovery's watch that has had its head
-  int answered = -1;              // the connection that a runner answered on last
-  int ended = 0;                  // connections that the other side ended
+  int spoken_on = -1;             // the watch that discovery has sent the response head on
+  int answered = -1;              // the connection of a runner's last response
+  int ended = 0;                  // connections that the program ended
   int probes = 0;
-  int deaf = 0;             // so many calls to discovery get no answer
-  std::string beat = "\n";  // what discovery says each time
+  int deaf = 0;             // the number of calls to discovery that get no response
+  std::string beat = "\n";  // what discovery sends as heartbeat
   std::chrono::steady_clock::time_point beat_at = std::chrono::steady_clock::time_point::max();
 };
 
@@ -92,14 +92,14 @@
       std::istringstream in(line);
       Words words;
       for (std::string word; in >> word;) {
-        const bool goes_on = !words.empty() && words.back().back() == '\\';  // "\ " is a space in a word
+        const bool goes_on = !words.empty() && words.back().back() == '\\';  // "\ " is a space within a word
         if (goes_on) words.back().back() = ' ';
         goes_on ? void(words.back() += word) : words.push_back(word);
       }
       Step(words, line);
     }
     if (pid_ > 0) Stop();
-    unlink(path_);  // each scenario ends with an orderly end of the program
+    unlink(path_);  // only reached if the program has exited cleanly
   }
 
  private:
@@ -121,7 +121,7 @@
       Expect(words);
     } else if (verb == "close") {
       Close(words);
-    } else if (verb == "wait" && words.at(1) == "time") {  // while the program is stopped its timers fall due
+    } else if (verb == "wait" && words.at(1) == "time") {  // lets timers of the stopped program fall due
       poll(nullptr, 0, std::stoi(words.at(2)));
     } else if (verb == "wait") {
       Require(words.at(1) == "exit", "wait exit CODE");
@@ -133,8 +133,8 @@
 
   // ---- The program ----
 
-  // r1, r1:refused for one that takes no connections, r1:late for one to which they come up when it is told
-  // to accept: the system drops what goes to a full backlog, and sends it again a second later.
+  // "r1" accepts connections, "r1:refused" refuses them, and with "r1:late" they are only established after
+  // `send r1 accept`: its backlog is full, so the system drops the SYN and retransmits it a second later.
   void AddRunner(std::string name) {
     const std::size_t colon = name.find(':');
     const std::string kind = colon == std::string::npos ? "" : name.substr(colon);
@@ -199,14 +199,14 @@
     Require(pipe(out) == 0, "pipe");
     pid_ = fork();
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a scenario that fails leaves nothing running
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed scenario must not leave the program running
       for (const char* name : {"BALANCER_NAME", "BALANCER_LISTEN"}) unsetenv(name);
       setenv("BALANCER_DISCOVERY", config_["discovery"].get_ref<const std::string&>().c_str(), 1);
       setenv("BALANCER_CONFIG", path_, 1);
       dup2(out[1], 2), close_range(3, ~0U, 0);
       rlimit limit{};
       getrlimit(RLIMIT_NOFILE, &limit);
-      limit.rlim_cur = config_["limits"]["sockets"].get<rlim_t>();  // more than these it may not open
+      limit.rlim_cur = config_["limits"]["sockets"].get<rlim_t>();  // enforces limits.sockets
       setrlimit(RLIMIT_NOFILE, &limit);
       execl(program_.c_str(), program_.c_str(), "serve", nullptr);
       _exit(127);
@@ -218,7 +218,7 @@
     char c = 0;
     while (said.find('\n') == std::string::npos && read(log_, &c, 1) == 1) said.push_back(c);
     const std::size_t colon = said.rfind(':');
-    if (said.find(" serves at ") == std::string::npos) {  // a scenario of a bad configuration
+    if (said.find(" serves at ") == std::string::npos) {  // a scenario with an invalid configuration
       said_ = said;
       return;
     }
@@ -228,16 +228,17 @@
 
   void WriteConfig() { std::ofstream(path_) << config_; }
 
-  // The program reads a pipe: opened at this end, it is open at the other one, too, and nothing is read yet.
+  // The program reads a named pipe. Opening it here succeeds once the program has opened it, before it has
+  // read anything.
   void SignalWhileItReads(const Words& words) {
     std::ofstream pipe(path_);
     for (std::size_t i = 1; i < words.size(); ++i) kill(pid_, words[i] == "HUP" ? SIGHUP : SIGTERM);
     unlink(path_);
-    WriteConfig();  // for the next time
+    WriteConfig();  // for the reload
     pipe << config_;
   }
 
-  // Has the configuration name this actor as discovery.
+  // Sets discovery's address in the configuration to that of this actor.
   void MoveDiscovery(const std::string& name) {
     if (actors_[name].listener < 0) Listen(&actors_[name]);
     config_["discovery"] = "127.0.0.1:" + std::to_string(actors_[name].port);
@@ -256,9 +257,10 @@
             "status " + std::to_string(status) + " " + said_);
   }
 
-  // ---- What comes ----
+  // ---- Receive ----
 
-  // Serves all sockets until `done`; there is no other wait here, so that a slow machine changes no verdict.
+  // Serves all sockets until `done` returns true. Steps wait for events, never for a time, so that a slow
+  // machine doesn't change the result.
   void Until(const std::string& what, const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(9);
     while (!done()) {
@@ -274,7 +276,7 @@
       if (log_ >= 0 && fds[0].revents != 0) {
         const ssize_t size = read(log_, buffer, sizeof buffer);
         if (size > 0)
-          std::cerr.write(buffer, size), said_.append(buffer, size);  // a sanitizer's words, for one
+          std::cerr.write(buffer, size), said_.append(buffer, size);  // for example, a sanitizer's report
         if (size == 0) close(std::exchange(log_, -1));
       }
       for (auto& [name, actor] : actors_) {
@@ -305,7 +307,7 @@
       if (size == 0 || (size < 0 && errno != EAGAIN)) {
         ++actor.ended;
         if (actor.fd == fd) actor.fd = -1;
-        std::erase(actor.unanswered, fd);  // nothing can be answered on it
+        std::erase(actor.unanswered, fd);  // no response is possible on it
         close(fd);
         it = actor.in.erase(it);
       } else {
@@ -321,7 +323,7 @@
     }
     if (name[0] == 'd' && actor.deaf > 0) {
       --actor.deaf;
-    } else if (name[0] == 'd') {  // each call becomes a watch that first tells the whole list
+    } else if (name[0] == 'd') {  // each call becomes a watch that starts with the complete list
       actor.fd = message.fd, actor.spoken_on = -1;
       actor.unanswered.push_back(message.fd);
       if (name == "d") Tell(name, true, runners_, false);
@@ -364,12 +366,12 @@
   void Tell(const std::string& who, bool complete, const Words& names, bool split) {
     Actor& actor = actors_[who];
     Json news = {{"revision", ++revision_}, {"complete", complete}, {"members", Members(names)}};
-    const std::string text = "\n" + news.dump() + "\n";  // an empty line first: a heartbeat
+    const std::string text = "\n" + news.dump() + "\n";  // the empty line is a heartbeat
     const std::size_t step = split ? 7 : text.size();
     for (std::size_t at = 0; at < text.size(); at += step) Chunk(actor, text.substr(at, step));
   }
 
-  // In one write: a call that the program has closed meanwhile takes one without an error.
+  // Uses one write: on a connection that the program has closed meanwhile the first write succeeds.
   void Chunk(Actor& actor, const std::string& piece) {
     std::string bytes;
     if (std::exchange(actor.spoken_on, actor.fd) != actor.fd)
@@ -391,7 +393,7 @@
   void Send(const Words& words, const std::string& line) {
     const std::string who = words.at(1), what = words.at(2);
     Actor& actor = actors_[who];
-    if (who == "program" && what == "HUP") {  // send program HUP [D]: the file names D as discovery now
+    if (who == "program" && what == "HUP") {  // send program HUP [D]: makes D discovery in the file
       const bool missing = words.size() > 3 && words[3] == "missing",
                  text = words.size() > 3 && words[3] == "text";
       if (words.size() > 3 && !missing && !text) MoveDiscovery(words[3]);
@@ -409,20 +411,20 @@
       Require(WIFSTOPPED(status), "status " + std::to_string(status));
     } else if (who == "program" && what == "CONT") {
       kill(pid_, SIGCONT);
-    } else if (who == "program" && what == "files") {  // send program files N: it may open so many
+    } else if (who == "program" && what == "files") {  // send program files N: sets its descriptor limit
       rlimit most{};
       prlimit(pid_, RLIMIT_NOFILE, nullptr, &most);
-      most.rlim_cur = std::min<rlim_t>(std::stoul(words.at(3)), most.rlim_max);  // start set the highest
+      most.rlim_cur = std::min<rlim_t>(std::stoul(words.at(3)), most.rlim_max);  // bounded by the hard limit
       Require(prlimit(pid_, RLIMIT_NOFILE, &most, nullptr) == 0, "prlimit");
     } else if (who == "program") {
       kill(pid_, SIGTERM);
       Until("word that it drains", [&] { return said_.find(" drains\n") != std::string::npos; });
-    } else if (what == "forget") {  // what has come up to now
+    } else if (what == "forget") {  // drops what has been received so far
       Serve(who, actor);
       actor.inbox.clear();
     } else if (what == "rest") {
       actor.rests = true;
-    } else if (what == "accept") {  // send R accept: and waits until the program's connection is there
+    } else if (what == "accept") {  // send R accept: also waits until the program's connection is established
       actor.accepts = true;
       Until("a connection", [&] { return actor.in.size() > actor.fillers.size(); });
     } else if (who[0] == 'd' && what == "deaf") {
@@ -451,31 +453,32 @@
       Json body = {{"id", words.at(3)}, {"from", who}, {"state", words.at(4)}};
       if (words.size() > 5) body["result"] = words[5];
       Post(who, body.dump());
-    } else if (what == "text") {  // send C text "..." with \r \n written out
+    } else if (what == "text") {  // send C text TEXT: with escapes \r and \n
       if (actor.fd < 0) actor.fd = Connect(&actor);
       Write(actor.fd, Unescaped(line.substr(line.find(" text ") + 6)));
-    } else if (what == "each") {  // send C each COUNT TEXT: on connections of their own
+    } else if (what == "each") {  // send C each COUNT TEXT: each on its own connection
       for (int i = 0; i < std::stoi(words.at(3)); ++i) {
         actor.fd = Connect(&actor);
         if (words.size() > 4)
           Write(actor.fd, Unescaped(line.substr(line.find(words[4], line.find(" each ")))));
       }
-    } else if (what == "body") {  // send R body TEXT: a call-back with this body
+    } else if (what == "body") {  // send R body TEXT: a callback with this body
       Post(who, line.substr(line.find(" body ") + 6));
     } else if (what == "job") {  // send C job CLASS ID [HEADER:VALUE ...]
       if (actor.fd < 0) actor.fd = Connect(&actor);
       Write(actor.fd, Job(words.at(3), words.at(4), Headers(words, 5)));
-    } else if (what == "flood") {  // send C flood CLASS COUNT: on the one connection, answers not awaited
+    } else if (what == "flood") {  // send C flood CLASS COUNT: pipelined on one connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
         Write(actor.fd, Job(words.at(3), who + "-" + std::to_string(i), ""));
       Until("all of it there",
             [&, left = 0]() mutable { return ioctl(actor.fd, SIOCOUTQ, &left) == 0 && left == 0; });
-    } else if (what == "jobs") {  // send C jobs CLASS COUNT: each on a connection of its own
+    } else if (what == "jobs") {  // send C jobs CLASS COUNT: each on its own connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
         Write(Connect(&actor), Job(words.at(3), who + std::to_string(i), ""));
-    } else if (what == "again") {  // send R again STATUS [HEADER:VALUE ...]: a second answer after the last
+    } else if (what ==
+               "again") {  // send R again STATUS [HEADER:VALUE ...]: a surplus response after the last
       Write(actor.answered, Answer(words.at(3), "", Headers(words, 4)));
-    } else {  // send R STATUS [HEADER:VALUE ...]: the answer to its oldest job or DELETE; send R raw TEXT
+    } else {  // send R STATUS [HEADER:VALUE ...]: the response to its oldest job or DELETE; send R raw TEXT
       Until("a job to answer", [&] { return !actor.unanswered.empty(); });
       actor.answered = actor.unanswered.front();
       actor.unanswered.erase(actor.unanswered.begin());
@@ -494,7 +497,7 @@
     return text;
   }
 
-  // A call-back on a connection of its own; its answer goes to the inbox of "NAME's".
+  // Sends a callback on its own connection; the response goes to the inbox of "NAME's".
   void Post(const std::string& who, const std::string& body) {
     Write(Connect(&actors_[who + "'s"]), "POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                                              std::to_string(body.size()) + "\r\n\r\n" + body);
@@ -504,7 +507,7 @@
 
   void Expect(const Words& words) {
     const std::string who = words.at(1), what = words.at(2);
-    if (who == "any") {  // expect any WORDS: whichever runner it comes to is "it", another one "other"
+    if (who == "any") {  // expect any WORDS: the receiving runner becomes "it", another one "other"
       Until("word at a runner", [&] {
         for (const std::string& name : runners_)
           if (!actors_[name].inbox.empty()) return it_ = name, true;
@@ -517,22 +520,22 @@
       return Expect(known);
     }
     Actor& actor = actors_[who];
-    if (what == "nothing") {  // has come up to now: to be said after an event that it would have come before
+    if (what == "nothing") {  // no message so far; use it after an event that a message would have preceded
       Serve(who, actor);
       return Require(actor.inbox.empty(), "came: " + (actor.inbox.empty() ? "" : actor.inbox[0].first));
     }
-    if (what == "without") {  // none that has come has this word in it
+    if (what == "without") {  // no received message contains this word
       Serve(who, actor);
       for (const Message& message : actor.inbox)
         Require(message.head.find(words.at(3)) == std::string::npos, message.head);
       return;
     }
-    if (what == "shut")  // of one that rests: the program has ended its side
+    if (what == "shut")  // for an actor that rests: the program has half-closed the connection
       return Until("a shutdown", [&] {
         pollfd shut{actor.fd, POLLRDHUP, 0};
         return poll(&shut, 1, 0) == 1;
       });
-    if (what == "whole") {  // of one that rests: its connection was not reset
+    if (what == "whole") {  // for an actor that rests: its connection was not reset
       int error = 0;
       socklen_t size = sizeof error;
       getsockopt(actor.fd, SOL_SOCKET, SO_ERROR, &error, &size);
@@ -540,20 +543,20 @@
     }
     if (what == "end") return Until("the end of a connection", [&] { return actor.ended > 0; });
     if (what == "probe") return Until("a probe", [&] { return actor.probes > 0; });
-    if (what == "ends")  // expect C ends COUNT: of its connections
+    if (what == "ends")  // expect C ends COUNT: that many of its connections
       return Until("ends", [&] { return actor.ended >= std::stoi(words.at(3)); });
-    if (what == "said")  // a line may come in pieces
+    if (what == "said")  // a line may arrive in pieces
       return Until("word of it", [&] { return said_.find(words.at(3)) != std::string::npos; });
     Until("a message", [&] { return !actor.inbox.empty(); });
     const Message message = actor.inbox.front();
     actor.inbox.erase(actor.inbox.begin());
     const std::string all = message.first + "\n" + message.head + "\n" + message.body + "\n";
-    for (std::size_t i = 2; i < words.size(); ++i)  // each word stands in it; with a "!" before, it does not
+    for (std::size_t i = 2; i < words.size(); ++i)  // contains each word; "!WORD": doesn't contain it
       Require((all.find(words[i].substr(words[i][0] == '!')) != std::string::npos) == (words[i][0] != '!'),
               "'" + words[i] + "' and: " + all);
   }
 
-  // close NAME [reset|half]: all its connections; a runner's listener stays. half: it goes on reading.
+  // close NAME [reset|half]: closes all its connections but not a runner's listener. half: it keeps reading.
   void Close(const Words& words) {
     Actor& actor = actors_[words.at(1)];
     if (words.size() > 2 && words[2] == "half") {
--- a/tests/watch_backoff_test.cpp
+++ b/tests/watch_backoff_test.cpp
@@ -1,5 +1,5 @@
-// Dispatchers that lose their watches at one moment, before one discovery that serves calls in turn;
-// watches that fall silent.
+// The backoff of watches: many dispatchers that lose their watches at once, with a discovery service that
+// processes calls sequentially, and watches that fall silent.
 #include "routes/watch_backoff.h"
 
 #include <gtest/gtest.h>
@@ -13,16 +13,18 @@
 namespace {
 
 constexpr Time kPollInterval = 10 * kSecond;
-constexpr Time kTold = 6 * kSecond;  // after a watch fell silent, or discovery had news and could be reached
+// How long after a watch fell silent, or after discovery had an update and was reachable, the update must be
+// known.
+constexpr Time kTold = 6 * kSecond;
 constexpr std::size_t kNoCall = -1;
 
 struct Outage {
-  int served = 0;        // of the dispatchers, by the end
-  Time longest_gap = 0;  // between two calls of one dispatcher, or from the loss to the first
+  int served = 0;        // dispatchers that were served by the end
+  Time longest_gap = 0;  // between two calls of one dispatcher, or from the loss to its first call
 };
 
-// All watches end at 0. A call takes 60 ms of the one server, waits in turn, and fails after 2 s of waiting;
-// a call that failed has taken its turn all the same, as its connection was accepted and read.
+// All watches end at 0. The server processes calls sequentially, 60 ms each; a call fails after waiting for 2
+// s, but still takes its processing time, as its connection was accepted and read.
 Outage Play(int dispatchers, Time down_for, Time until, Time poll_interval) {
   struct One {
     WatchBackoff again;
@@ -84,8 +86,8 @@
   EXPECT_GT(LongestWait(&again), kSecond);
 }
 
-// Whatever failed before: discovery can be reached again right after a call was begun that never comes up,
-// and of those that follow one is lost, before it comes up or after.
+// For any number of earlier failures: discovery becomes reachable right after the start of a call that is
+// never established, and the following call is lost, before or after it is established.
 TEST(WatchBackoff, OneLostCallFitsBetweenDiscoverysReturnAndWhatCountsAsTold) {
   for (int dispatchers : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed < 100; ++seed)
@@ -105,7 +107,7 @@
     for (std::uint64_t seed = 1; seed < 100; ++seed) {
       WatchBackoff again(dispatchers, false, kPollInterval, seed);
       for (int i = 0; i < 12; ++i) ASSERT_LE(again.Overloaded(2 * kSecond), kTold - 2 * kSecond);
-      EXPECT_LE(again.Overloaded(0), WatchBackoff::kMaxBackoff) << "who is down turns away at once";
+      EXPECT_LE(again.Overloaded(0), WatchBackoff::kMaxBackoff) << "a service that is down rejects at once";
     }
 }
 
@@ -128,7 +130,7 @@
     WatchBackoff again(1, false, kPollInterval, seed);
     Time waits = 0;
     for (int i = 0; i < 20; ++i) waits += again.Ended(0);
-    EXPECT_GT(waits, 5 * kSecond) << "one that is ended at once each time is not asked for in a loop";
+    EXPECT_GT(waits, 5 * kSecond) << "a watch that ends at once each time must not be retried in a busy loop";
   }
 }
 
@@ -141,14 +143,15 @@
   }
 }
 
-// Discovery comes back and works through calls in turn, `per_call` each; one that waited for `times_out` is
-// answered 503. One that its caller has closed takes its turn or not.
+// Discovery after an outage: processes calls sequentially, `per_call` each, and answers a call that has
+// waited for `times_out` with 503. `works_for_nobody`: calls that their client has closed are processed as
+// well.
 struct Discovery {
   Time per_call, times_out;
   bool works_for_nobody;
 };
 
-// How many of the dispatchers have their list `within` this time after discovery's return.
+// How many dispatchers have received the list at time `within` after discovery became reachable.
 int ServedInTime(int dispatchers, const Discovery& discovery, Time down_for, Time within) {
   struct Call {
     std::size_t owner;
@@ -163,7 +166,7 @@
   std::vector<Owner> owners;
   std::vector<Call> calls;
   std::deque<std::size_t> queue;
-  std::set<std::tuple<Time, What, std::size_t>> due;  // the last is a call, or with kAsk an owner
+  std::set<std::tuple<Time, What, std::size_t>> due;  // the last element is a call; with kAsk, an owner
   std::size_t serving = kNoCall;
   int served = 0;
   for (int i = 0; i < dispatchers; ++i) {
@@ -221,7 +224,7 @@
       for (bool works_for_nobody : {false, true})
         for (Time down_for : {3, 5, 8, 20}) {
           const Discovery discovery{for_all * kMillisecond / 300, times_out * kSecond, works_for_nobody};
-          const int most = std::min<int>(300, kTold / discovery.per_call);  // that it can serve at all
+          const int most = std::min<int>(300, kTold / discovery.per_call);  // discovery's capacity
           EXPECT_GE(ServedInTime(300, discovery, down_for * kSecond, kTold), most * 82 / 100)
               << for_all << " " << times_out << " " << works_for_nobody << " " << down_for;
         }
@@ -238,8 +241,8 @@
         }
 }
 
-// A watch falls silent right after a heartbeat. When the call that follows a silence at 0 begins, and the one
-// after it, should the first come to nothing.
+// A watch falls silent right after a heartbeat at 0: when the first call starts, and the second if the first
+// fails.
 struct Calls {
   Time first = 0, second = 0;
 };
@@ -260,7 +263,7 @@
         WatchBackoff again(dispatchers, false, kPollInterval, seed);
         for (int i = 0; i < 50; ++i) again.Failed(), again.Succeeded();
         const Calls calls = AfterSilence(&again, connects);
-        EXPECT_GT(calls.first, 2 * kSecond) << "a heartbeat may still come";
+        EXPECT_GT(calls.first, 2 * kSecond) << "a heartbeat may still arrive";
         EXPECT_LE(calls.second, kTold - kSecond) << dispatchers << " " << seed;
       }
 }
@@ -270,7 +273,7 @@
   AfterSilence(&again, false);
   EXPECT_GT(LongestWait(&again), kSecond);
   again.Succeeded();
-  EXPECT_LE(AfterSilence(&again, false).second, kTold - kSecond) << "a later silence has two calls again";
+  EXPECT_LE(AfterSilence(&again, false).second, kTold - kSecond) << "a later silence again has two calls";
 }
 
 TEST(WatchBackoff, LateHeartbeatsAreWaitedForLongerAndTheTwoCallsStillFit) {
@@ -282,8 +285,7 @@
   EXPECT_EQ(again.HeartbeatBy(0), WatchBackoff::kHeartbeatTimeout);
 }
 
-// 300 watches whose heartbeats came at any time of the last 2 s fall silent at once; discovery takes 15 ms a
-// call.
+// 300 watches whose last heartbeats are spread over 2 s fall silent at once; discovery needs 15 ms per call.
 TEST(WatchBackoff, ThreeHundredThatFallSilentTogetherAreServedInTime) {
   std::multiset<Time> calls;
   for (int i = 0; i < 300; ++i) {
@@ -304,10 +306,10 @@
   for (int dispatchers : {1, 300})
     for (std::uint64_t seed = 1; seed < 200; ++seed) {
       WatchBackoff again(dispatchers, true, 0, seed);
-      for (int i = 0; i < 20; ++i)  // through an outage of any length
+      for (int i = 0; i < 20; ++i)  // during an outage of any length
         EXPECT_LT(again.FirstLineBy(0) + again.Failed(), kGrace - 50 * kMillisecond);
       EXPECT_LE(AfterSilence(&again, true).second, 4 * kSecond);
-      EXPECT_EQ(again.WholeLineBy(0, kSecond), 2 * kSecond) << "a long list that is on its way is waited for";
+      EXPECT_EQ(again.WholeLineBy(0, kSecond), 2 * kSecond) << "a long list that is arriving gets more time";
     }
 }
 
