--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -475,8 +475,7 @@
     } else if (what == "jobs") {  // send C jobs CLASS COUNT: each on its own connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
         Write(Connect(&actor), Job(words.at(3), who + std::to_string(i), ""));
-    } else if (what ==
-               "again") {  // send R again STATUS [HEADER:VALUE ...]: a surplus response after the last
+    } else if (what == "again") {  // send R again STATUS [HEADER:VALUE ...]: a surplus response
       Write(actor.answered, Answer(words.at(3), "", Headers(words, 4)));
     } else {  // send R STATUS [HEADER:VALUE ...]: the response to its oldest job or DELETE; send R raw TEXT
       Until("a job to answer", [&] { return !actor.unanswered.empty(); });
