--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -127,7 +127,7 @@
       Require(words.at(1) == "exit", "wait exit CODE");
       WaitExit(std::stoi(words.at(2)));
     } else {
-      Require(false, "no such verb");
+      Require(false, "unknown verb");
     }
   }
 
@@ -251,7 +251,7 @@
 
   void WaitExit(int code) {
     int status = 0;
-    Until("the program's end", [&] { return waitpid(pid_, &status, WNOHANG) == pid_; });
+    Until("the program's exit", [&] { return waitpid(pid_, &status, WNOHANG) == pid_; });
     pid_ = -1;
     Require(WIFEXITED(status) && WEXITSTATUS(status) == code,
             "status " + std::to_string(status) + " " + said_);
@@ -264,7 +264,7 @@
   void Until(const std::string& what, const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(9);
     while (!done()) {
-      Require(std::chrono::steady_clock::now() < end, "nothing came of: " + what);
+      Require(std::chrono::steady_clock::now() < end, "timed out waiting for: " + what);
       std::vector<pollfd> fds{{log_, POLLIN, 0}};
       for (auto& [name, actor] : actors_) {
         if (actor.listener >= 0 && actor.accepts) fds.push_back({actor.listener, POLLIN, 0});
@@ -402,12 +402,12 @@
       if (missing) unlink(path_);
       const std::size_t before = said_.size();
       kill(pid_, SIGHUP);
-      Until("word of the configuration",
+      Until("a log line about the configuration",
             [&] { return said_.find("configuration", before) != std::string::npos; });
     } else if (who == "program" && what == "STOP") {
       int status = 0;
       kill(pid_, SIGSTOP);
-      Until("the program's stop", [&] { return waitpid(pid_, &status, WUNTRACED | WNOHANG) == pid_; });
+      Until("the program to stop", [&] { return waitpid(pid_, &status, WUNTRACED | WNOHANG) == pid_; });
       Require(WIFSTOPPED(status), "status " + std::to_string(status));
     } else if (who == "program" && what == "CONT") {
       kill(pid_, SIGCONT);
@@ -418,7 +418,7 @@
       Require(prlimit(pid_, RLIMIT_NOFILE, &most, nullptr) == 0, "prlimit");
     } else if (who == "program") {
       kill(pid_, SIGTERM);
-      Until("word that it drains", [&] { return said_.find(" drains\n") != std::string::npos; });
+      Until("the log line that it drains", [&] { return said_.find(" drains\n") != std::string::npos; });
     } else if (what == "forget") {  // drops what has been received so far
       Serve(who, actor);
       actor.inbox.clear();
@@ -430,7 +430,7 @@
     } else if (who[0] == 'd' && what == "deaf") {
       actor.deaf = std::stoi(words.at(3));
     } else if (who[0] == 'd' && what == "oldest") {
-      Require(actor.unanswered.size() > 1, "there is no older call");
+      Require(actor.unanswered.size() > 1, "no older call is open");
       actor.fd = actor.unanswered.front();
     } else if (who[0] == 'd' && what == "beat") {
       Chunk(actor, "\n");
@@ -470,7 +470,7 @@
     } else if (what == "flood") {  // send C flood CLASS COUNT: pipelined on one connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
         Write(actor.fd, Job(words.at(3), who + "-" + std::to_string(i), ""));
-      Until("all of it there",
+      Until("all bytes to be acknowledged",
             [&, left = 0]() mutable { return ioctl(actor.fd, SIOCOUTQ, &left) == 0 && left == 0; });
     } else if (what == "jobs") {  // send C jobs CLASS COUNT: each on its own connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
@@ -478,7 +478,7 @@
     } else if (what == "again") {  // send R again STATUS [HEADER:VALUE ...]: a surplus response
       Write(actor.answered, Answer(words.at(3), "", Headers(words, 4)));
     } else {  // send R STATUS [HEADER:VALUE ...]: the response to its oldest job or DELETE; send R raw TEXT
-      Until("a job to answer", [&] { return !actor.unanswered.empty(); });
+      Until("a job or DELETE to answer", [&] { return !actor.unanswered.empty(); });
       actor.answered = actor.unanswered.front();
       actor.unanswered.erase(actor.unanswered.begin());
       const bool raw = what == "raw";
@@ -507,7 +507,7 @@
   void Expect(const Words& words) {
     const std::string who = words.at(1), what = words.at(2);
     if (who == "any") {  // expect any WORDS: the receiving runner becomes "it", another one "other"
-      Until("word at a runner", [&] {
+      Until("a message at a runner", [&] {
         for (const std::string& name : runners_)
           if (!actors_[name].inbox.empty()) return it_ = name, true;
         return false;
@@ -521,7 +521,8 @@
     Actor& actor = actors_[who];
     if (what == "nothing") {  // no message so far; use it after an event that a message would have preceded
       Serve(who, actor);
-      return Require(actor.inbox.empty(), "came: " + (actor.inbox.empty() ? "" : actor.inbox[0].first));
+      return Require(actor.inbox.empty(),
+                     "unexpected message: " + (actor.inbox.empty() ? "" : actor.inbox[0].first));
     }
     if (what == "without") {  // no received message contains this word
       Serve(who, actor);
@@ -543,9 +544,9 @@
     if (what == "end") return Until("the end of a connection", [&] { return actor.ended > 0; });
     if (what == "probe") return Until("a probe", [&] { return actor.probes > 0; });
     if (what == "ends")  // expect C ends COUNT: that many of its connections
-      return Until("ends", [&] { return actor.ended >= std::stoi(words.at(3)); });
+      return Until("the ends of connections", [&] { return actor.ended >= std::stoi(words.at(3)); });
     if (what == "said")  // a line may arrive in pieces
-      return Until("word of it", [&] { return said_.find(words.at(3)) != std::string::npos; });
+      return Until("the text in the log", [&] { return said_.find(words.at(3)) != std::string::npos; });
     Until("a message", [&] { return !actor.inbox.empty(); });
     const Message message = actor.inbox.front();
     actor.inbox.erase(actor.inbox.begin());
