--- a/lab/fleet/http_server.h
+++ b/lab/fleet/http_server.h
@@ -92,7 +92,7 @@
 // Writes an answer and forgets about it: who asked may be gone.
 inline void Reply(const HttpServer::Connection& to, int status, std::string_view body,
                   const std::vector<std::pair<std::string, std::string>>& headers = {}) {
-  to->Write(FormatAnswer(status, headers, body, true), [to](std::error_code) {});
+  to->Write(FormatResponse(status, headers, body, true), [to](std::error_code) {});
 }
 
 }  // namespace lichenlug::lab
--- a/src/fronts/http/callers.cpp
+++ b/src/fronts/http/callers.cpp
@@ -268,7 +268,7 @@
   leg.call_id.clear();
   // A client that doesn't read its response must not hold its connection forever.
   deadlines_->Move(&leg.alarm, deadlines_->Now() + kWriteTimeout, [this, handle] { DropLeg(handle); });
-  leg.connection->Write(FormatAnswer(status, headers, body, !close),
+  leg.connection->Write(FormatResponse(status, headers, body, !close),
                         [this, handle, close](std::error_code e) {
                           if (legs_.Find(handle) != nullptr) Replied(handle, close, e);
                         });
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -42,8 +42,8 @@
   return out.append("\r\n").append(body);
 }
 
-std::string FormatAnswer(int status, const std::vector<std::pair<std::string, std::string>>& headers,
-                         std::string_view body, bool keep_alive) {
+std::string FormatResponse(int status, const std::vector<std::pair<std::string, std::string>>& headers,
+                           std::string_view body, bool keep_alive) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
   out.append(http_status_str(static_cast<http_status>(status))).append("\r\n");
   AppendHeaders(headers, &out);
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -27,7 +27,7 @@
 std::string FormatRequest(std::string_view method, std::string_view target, std::string_view host,
                           const std::vector<std::pair<std::string, std::string>>& headers,
                           std::string_view body);
-std::string FormatAnswer(int status, const std::vector<std::pair<std::string, std::string>>& headers,
-                         std::string_view body, bool keep_alive);
+std::string FormatResponse(int status, const std::vector<std::pair<std::string, std::string>>& headers,
+                           std::string_view body, bool keep_alive);
 
 }  // namespace lichenlug
