--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -44,22 +44,22 @@
     c.in_value_ = false;
     c.field_.append(at, size);
     // Some implementations read "Content-Length : 5" as a length and others don't; http-parser accepts it.
-    const bool odd = std::find(at, at + size, ' ') != at + size;
-    return odd || !HeadFits(c, size) ? 1 : 0;
+    const bool has_space = std::find(at, at + size, ' ') != at + size;
+    return has_space || !HeadFits(c, size) ? 1 : 0;
   }
   static int Value(http_parser* p, const char* at, std::size_t size) {
     HttpConnection& c = Of(p);
     // A value is split only at the end of the parsed bytes. Any other continuation is a folded line, which
     // implementations join in different ways (RFC 9112 requires rejecting it).
-    if (c.in_value_ && !c.cut_) return 1;
+    if (c.in_value_ && !c.value_split_) return 1;
     // Trailers arrive after the head has been processed. RFC 9110 allows discarding them, which is done here.
     if (!c.in_value_ && !c.in_trailers_)
       c.message_.headers.emplace_back(c.options_.keep_name_case ? c.field_ : LowerCase(c.field_), "");
-    c.in_value_ = true, c.cut_ = at + size == c.bytes_end_;
+    c.in_value_ = true, c.value_split_ = at + size == c.bytes_end_;
     if (!c.in_trailers_) c.message_.headers.back().second.append(at, size);
     return HeadFits(c, size + 4) ? 0 : 1;
   }
-  static bool CodingKnown(const HttpMessage& message) {
+  static bool IsTransferCodingKnown(const HttpMessage& message) {
     int codings = 0;
     for (const auto& [name, value] : message.headers)
       if (SameName(name, "transfer-encoding") && (++codings > 1 || LowerCase(value) != "chunked"))
@@ -74,17 +74,18 @@
       c.message_.status = static_cast<int>(p->status_code);
     c.in_trailers_ = true;  // any further headers are trailers
     c.message_.minor_version = p->http_minor;
-    const bool counted = p->content_length != ULLONG_MAX && p->content_length > 0;
+    const bool has_positive_length = p->content_length != ULLONG_MAX && p->content_length > 0;
     c.message_.has_length = (p->flags & (F_CHUNKED | F_CONTENTLENGTH)) != 0;
-    c.message_.length = counted ? p->content_length : 0;
+    c.message_.length = has_positive_length ? p->content_length : 0;
     if (c.events_.on_head) c.events_.on_head(c.message_);
     if (c.ended_) return -1;  // 1 would mean "no body"
-    if (!c.events_.on_body_chunk && counted && p->content_length > c.options_.max_body) c.too_large_ = true;
+    if (!c.events_.on_body_chunk && has_positive_length && p->content_length > c.options_.max_body)
+      c.too_large_ = true;
     // Rejects upgrades to other protocols, other HTTP versions and transfer codings that are not decoded
     // here: a body that is forwarded without decoding would be interpreted differently by its receiver.
     if (c.options_.ignore_upgrade && p->method != HTTP_CONNECT && p->type == HTTP_REQUEST) p->upgrade = 0;
-    const bool foreign = p->upgrade || p->http_major != 1 || !CodingKnown(c.message_);
-    if (c.too_large_ || foreign) return -1;
+    const bool unsupported = p->upgrade || p->http_major != 1 || !IsTransferCodingKnown(c.message_);
+    if (c.too_large_ || unsupported) return -1;
     return c.no_body_ ? 1 : 0;
   }
   static int Body(http_parser* p, const char* at, std::size_t size) {
@@ -125,14 +126,14 @@
   socket_.async_connect(to, [self = shared_from_this(), done = std::move(done)](std::error_code e) {
     if (self->ended_) return;
     if (!e && self->options_.reading == Reading::kPaced)
-      self->WatchReadingOnly(self->socket_.local_endpoint(e));
+      self->StopWatchingWrites(self->socket_.local_endpoint(e));
     done(e);
   });
 }
 
 // Connecting leaves the descriptor registered with the reactor for writability as well, so that each wait for
 // bytes would wake up twice. Registers it anew.
-void HttpConnection::WatchReadingOnly(const asio::ip::tcp::endpoint& local) {
+void HttpConnection::StopWatchingWrites(const asio::ip::tcp::endpoint& local) {
   std::error_code ignored;
   const auto descriptor = socket_.release(ignored);
   if (!ignored) socket_.assign(local.protocol(), descriptor, ignored);
@@ -149,12 +150,12 @@
 // Only waits for readability and doesn't read: bytes that an asynchronous read had consumed, with its handler
 // still pending, would be invisible to Read().
 void HttpConnection::AwaitBytes() {
-  if (ended_ || eof_ || awaiting_ || Held()) return;
+  if (ended_ || eof_ || awaiting_ || IsReadingSuspended()) return;
   awaiting_ = true;
   socket_.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](std::error_code) {
     self->awaiting_ = false;
     if (self->ended_) return;
-    if (!self->Held()) self->Read(self->options_.reading == Reading::kDrain ? kMaxReads : 1);
+    if (!self->IsReadingSuspended()) self->Read(self->options_.reading == Reading::kDrain ? kMaxReads : 1);
     self->Parse();
     self->AwaitBytes();
   });
@@ -162,9 +163,9 @@
 
 std::size_t HttpConnection::MaxPending() const { return std::max(kMaxPending, options_.max_head); }
 
-bool HttpConnection::Held() const {
+bool HttpConnection::IsReadingSuspended() const {
   return options_.reading == Reading::kPaced && !finishing_ &&
-         (paused_ || (resting_ && pending_.size() >= MaxPending()));
+         (paused_ || (parsing_paused_ && pending_.size() >= MaxPending()));
 }
 
 void HttpConnection::PauseReading(bool pause) {
@@ -180,8 +181,8 @@
 // first.
 void HttpConnection::Read(int max_reads) {
   if (!started_ || ended_ || eof_) return;
-  for (int reads = 0; reads < max_reads && (resting_ || pending_.size() < MaxPending()); ++reads) {
-    if (Held()) return;
+  for (int reads = 0; reads < max_reads && (parsing_paused_ || pending_.size() < MaxPending()); ++reads) {
+    if (IsReadingSuspended()) return;
     std::error_code error;
     const std::size_t size = socket_.read_some(asio::buffer(ReadBuffer(), kReadSize), error);
     if (error == asio::error::would_block || error == asio::error::interrupted) return;
@@ -190,10 +191,10 @@
       return;
     }
     if (finishing_) continue;
-    const bool bounded = resting_ && options_.reading == Reading::kDrain;
-    const std::size_t room = MaxPending() - std::min(pending_.size(), MaxPending());
-    if (bounded && size > room) overflowed_ = true;
-    pending_.append(ReadBuffer(), bounded ? std::min(size, room) : size);
+    const bool bounded = parsing_paused_ && options_.reading == Reading::kDrain;
+    const std::size_t space = MaxPending() - std::min(pending_.size(), MaxPending());
+    if (bounded && size > space) overflowed_ = true;
+    pending_.append(ReadBuffer(), bounded ? std::min(size, space) : size);
   }
 }
 
@@ -218,7 +219,7 @@
     }
     return;
   }
-  if (!resting_ && !pending_.empty()) {
+  if (!parsing_paused_ && !pending_.empty()) {
     parsing_.swap(pending_);
     bytes_end_ = parsing_.data() + parsing_.size();
     const std::size_t used = http_parser_execute(&parser_, &settings, parsing_.data(), parsing_.size());
@@ -226,63 +227,64 @@
     if (used < parsing_.size()) pending_.insert(0, parsing_, used);
     parsing_.clear();
     if (parsing_.capacity() > kReadSize) parsing_.shrink_to_fit();
-    const http_errno fault = HTTP_PARSER_ERRNO(&parser_);
-    if (fault != HPE_OK && fault != HPE_PAUSED) return Tell(too_large_ ? End::kTooLarge : End::kMalformed);
+    const http_errno parse_error = HTTP_PARSER_ERRNO(&parser_);
+    if (parse_error != HPE_OK && parse_error != HPE_PAUSED)
+      return ReportEnd(too_large_ ? End::kTooLarge : End::kMalformed);
   }
-  if (!resting_ && !complete_ && eof_ && !reset_)
+  if (!parsing_paused_ && !complete_ && eof_ && !reset_)
     http_parser_execute(&parser_, &settings, nullptr, 0);  // the end of the stream may end a body
   if (ended_) return;
   if (complete_) {
-    complete_ = false, resting_ = true;
+    complete_ = false, parsing_paused_ = true;
     events_.on_message(std::move(message_));
     if (ended_) return;
   }
-  if (eof_) Tell(End::kClosed);
+  if (eof_) ReportEnd(End::kClosed);
 }
 
 void HttpConnection::Next() {
-  if (!resting_ || ended_) return;
-  resting_ = false;
+  if (!parsing_paused_ || ended_) return;
+  parsing_paused_ = false;
   http_parser_pause(&parser_, 0);
-  ParseLater();
+  PostParse();
   AwaitBytes();
 }
 
 // Parses asynchronously: a peer that sends many requests at once must not deepen the call stack.
-void HttpConnection::ParseLater() {
+void HttpConnection::PostParse() {
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     if (!self->ended_) self->Parse();
   });
 }
 
 void HttpConnection::Finish(std::function<void()> ended) {
-  finishing_ = resting_ = true, finished_ = std::move(ended);
+  finishing_ = parsing_paused_ = true, finished_ = std::move(ended);
   pending_.clear();
   std::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  ParseLater();  // the peer may already have ended its side
+  PostParse();  // the peer may already have ended its side
   AwaitBytes();
 }
 
 bool HttpConnection::PeerEnded() {
   const std::size_t known = pending_.size();
-  const bool known_end = eof_;
+  const bool eof_before = eof_;
   Read(kMaxReads);
   // The system reports no further event for what was read here.
-  if (pending_.size() != known || eof_ != known_end) ParseLater();
+  if (pending_.size() != known || eof_ != eof_before) PostParse();
   return eof_ || ended_;
 }
 
 bool HttpConnection::HasUnread() { return PeerEnded() || !pending_.empty(); }
 
-void HttpConnection::Tell(End end) {
+void HttpConnection::ReportEnd(End end) {
   if (ended_) return;
   if (end == End::kClosed) {
     auto on_end = std::move(events_.on_end);
     Close();
     if (on_end) on_end(end);
   } else if (events_.on_end) {  // still open: a server sends an error response and closes
-    resting_ = true;
+    parsing_paused_ = true;
     events_.on_end(end);
   }
 }
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -86,11 +86,11 @@
   void Read(int max_reads);
   void Parse();
   void Flush(std::function<void(std::error_code)> done);
-  void ParseLater();
-  void Tell(End end);
-  bool Held() const;  // kPaced: reading is suspended
-  void WatchReadingOnly(const asio::ip::tcp::endpoint& local);
-  void GoOnSending(std::error_code error);
+  void PostParse();
+  void ReportEnd(End end);
+  bool IsReadingSuspended() const;  // kPaced: reading is suspended
+  void StopWatchingWrites(const asio::ip::tcp::endpoint& local);
+  void ContinueSending(std::error_code error);
   std::size_t MaxPending() const;
 
   asio::ip::tcp::socket socket_;
@@ -102,7 +102,7 @@
   const char* bytes_end_ = nullptr;  // of the bytes that are being parsed
   HttpOptions options_;
   std::function<void()> finished_;
-  bool resting_ = false, started_ = false, ended_ = false, in_value_ = false, cut_ = false,
+  bool parsing_paused_ = false, started_ = false, ended_ = false, in_value_ = false, value_split_ = false,
        too_large_ = false;
   bool finishing_ = false, eof_ = false, complete_ = false, overflowed_ = false;
   bool in_trailers_ = false, no_body_ = false, head_too_large_ = false, reset_ = false, paused_ = false,
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -7,7 +7,7 @@
 namespace lichenlug {
 namespace {
 
-char LowerChar(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
+char ToLower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + ('a' - 'A')) : c; }
 
 void AppendHeaders(const std::vector<std::pair<std::string, std::string>>& headers, std::string* out) {
   for (const auto& [name, value] : headers) out->append(name).append(": ").append(value).append("\r\n");
@@ -16,13 +16,13 @@
 }  // namespace
 
 std::string LowerCase(std::string text) {
-  std::transform(text.begin(), text.end(), text.begin(), LowerChar);
+  std::transform(text.begin(), text.end(), text.begin(), ToLower);
   return text;
 }
 
 bool SameName(std::string_view one, std::string_view other) {
   return std::equal(one.begin(), one.end(), other.begin(), other.end(),
-                    [](char a, char b) { return a == b || LowerChar(a) == LowerChar(b); });
+                    [](char a, char b) { return a == b || ToLower(a) == ToLower(b); });
 }
 
 const std::string* HttpMessage::Header(std::string_view name) const {
--- a/src/net/http_send.cpp
+++ b/src/net/http_send.cpp
@@ -33,22 +33,22 @@
   while (!bytes.empty() && !error) bytes.remove_prefix(socket_.write_some(asio::buffer(bytes), error));
   if (bytes.empty()) return;
   out_.assign(bytes), out_at_ = 0;
-  GoOnSending(error);
+  ContinueSending(error);
 }
 
-void HttpConnection::GoOnSending(std::error_code error) {
+void HttpConnection::ContinueSending(std::error_code error) {
   const bool full = error == asio::error::would_block || error == asio::error::interrupted;
   if (!full) {
     Read(kMaxReads);  // what the peer sent before it closed
     eof_ = reset_ = true;
-    return ParseLater();
+    return PostParse();
   }
   socket_.async_wait(asio::ip::tcp::socket::wait_write, [self = shared_from_this()](std::error_code) {
     if (self->ended_) return;
     std::error_code failure;
     while (!self->Written() && !failure)
       self->out_at_ += self->socket_.write_some(asio::buffer(self->out_) + self->out_at_, failure);
-    if (failure) return self->GoOnSending(failure);
+    if (failure) return self->ContinueSending(failure);
     if (self->events_.on_drained) self->events_.on_drained();
   });
 }
