--- a/src/base/deadlines.cpp
+++ b/src/base/deadlines.cpp
@@ -3,7 +3,7 @@
 namespace lichenlug {
 
 Deadlines::Key Deadlines::Add(Time at, std::function<void()> due) {
-  const Key key{at, ++number_};
+  const Key key{at, ++last_id_};
   due_.emplace(key, std::move(due));
   Arm();
   return key;
@@ -20,7 +20,7 @@
 }
 
 void Deadlines::Arm() {
-  if (serving_ || due_.empty()) return;
+  if (running_ || due_.empty()) return;
   const Key first = due_.begin()->first;
   if (armed_ != Key{} && armed_ <= first) return;
   armed_ = first;
@@ -28,21 +28,21 @@
   timer_.async_wait([this](std::error_code error) {
     if (error) return;  // rearmed for an earlier deadline
     armed_ = {};
-    Serve();
+    RunDue();
   });
 }
 
-void Deadlines::Serve() {
-  serving_ = true;
+void Deadlines::RunDue() {
+  running_ = true;
   // Runs only what is due at the start: a callback that schedules itself again for now must not starve the
   // sockets.
   const Time now = Now();
-  const std::uint64_t newest = number_;
+  const std::uint64_t newest = last_id_;
   while (!due_.empty() && due_.begin()->first.first <= now && due_.begin()->first.second <= newest) {
     auto node = due_.extract(due_.begin());
     node.mapped()();
   }
-  serving_ = false;
+  running_ = false;
   Arm();
 }
 
--- a/src/base/deadlines.h
+++ b/src/base/deadlines.h
@@ -29,14 +29,14 @@
 
  private:
   void Arm();
-  void Serve();
+  void RunDue();
 
   const Clock& clock_;
   asio::steady_timer timer_;
   std::map<Key, std::function<void()>> due_;
-  std::uint64_t number_ = 0;
+  std::uint64_t last_id_ = 0;
   Key armed_;
-  bool serving_ = false;
+  bool running_ = false;
 };
 
 }  // namespace lichenlug
--- a/src/base/delay_estimate.h
+++ b/src/base/delay_estimate.h
@@ -12,7 +12,7 @@
 class DelayEstimate {
  public:
   // The bounds of the timeout, in microseconds.
-  DelayEstimate(Time min, Time max) : min_(min), max_(max) {}
+  DelayEstimate(Time min, Time max) : min_timeout_(min), max_timeout_(max) {}
 
   // Adds the delay of one reply. Don't call it if it is unclear which of several transmissions the reply
   // answers (RFC 6298, section 3), or if no reply came.
@@ -26,10 +26,10 @@
     smoothed_ += (delay - smoothed_) / 8;
   }
 
-  Time Wait() const { return std::clamp(smoothed_ + 4 * deviation_, min_, max_); }
+  Time Wait() const { return std::clamp(smoothed_ + 4 * deviation_, min_timeout_, max_timeout_); }
 
  private:
-  Time min_, max_;
+  Time min_timeout_, max_timeout_;
   Time smoothed_ = 0, deviation_ = 0;  // 0: no sample yet
 };
 
--- a/src/base/mechanisms.h
+++ b/src/base/mechanisms.h
@@ -22,7 +22,7 @@
 
 class Mechanisms {
  public:
-  bool Has(Mechanism mechanism) const { return !without_[static_cast<std::size_t>(mechanism)]; }
+  bool Has(Mechanism mechanism) const { return !disabled_[static_cast<std::size_t>(mechanism)]; }
 
   // Disables the mechanisms in a comma-separated list of names. Returns the first unknown name, if any.
   std::optional<std::string> Disable(std::string_view names) {
@@ -41,13 +41,13 @@
   bool DisableOne(std::string_view name) {
     for (std::size_t i = 0; i < kMechanismNames.size(); ++i) {
       if (kMechanismNames[i] != name) continue;
-      without_[i] = true;
+      disabled_[i] = true;
       return true;
     }
     return false;
   }
 
-  std::bitset<kMechanismNames.size()> without_;
+  std::bitset<kMechanismNames.size()> disabled_;
 };
 
 }  // namespace lichenlug
--- a/src/base/slots.h
+++ b/src/base/slots.h
@@ -23,20 +23,20 @@
 template <typename T>
 class SlotTable {
  public:
-  explicit SlotTable(std::size_t max) : max_(max) {}
+  explicit SlotTable(std::size_t capacity) : capacity_(capacity) {}
 
   std::size_t size() const { return size_; }
-  bool full() const { return size_ >= max_; }
+  bool full() const { return size_ >= capacity_; }
 
   // Returns a null handle if the table is full.
   Handle Insert(T value) {
     if (full()) return {};
-    if (spare_.empty()) {
-      spare_.push_back(static_cast<std::uint32_t>(slots_.size()));
+    if (free_.empty()) {
+      free_.push_back(static_cast<std::uint32_t>(slots_.size()));
       slots_.emplace_back();
     }
-    const std::uint32_t index = spare_.back();
-    spare_.pop_back();
+    const std::uint32_t index = free_.back();
+    free_.pop_back();
     slots_[index].value = std::make_unique<T>(std::move(value));  // keeps its address while the table grows
     ++size_;
     return {index, slots_[index].generation};
@@ -52,15 +52,15 @@
     Slot& slot = slots_[handle.slot];
     slot.value.reset();
     if (++slot.generation == 0) slot.generation = 1;
-    spare_.push_back(handle.slot);
+    free_.push_back(handle.slot);
     --size_;
   }
 
   // Calls `call` with each handle and entry; it may erase that entry.
-  template <typename Call>
-  void ForEach(Call call) {
+  template <typename Callback>
+  void ForEach(Callback callback) {
     for (std::uint32_t i = 0; i < slots_.size(); ++i)
-      if (slots_[i].value) call(Handle{i, slots_[i].generation}, *slots_[i].value);
+      if (slots_[i].value) callback(Handle{i, slots_[i].generation}, *slots_[i].value);
   }
 
  private:
@@ -68,9 +68,9 @@
     std::uint32_t generation = 1;
     std::unique_ptr<T> value;
   };
-  std::size_t max_, size_ = 0;
+  std::size_t capacity_, size_ = 0;
   std::vector<Slot> slots_;
-  std::vector<std::uint32_t> spare_;
+  std::vector<std::uint32_t> free_;
 };
 
 }  // namespace lichenlug
