--- a/src/branch/branches.h
+++ b/src/branch/branches.h
@@ -21,32 +21,32 @@
 
 namespace lichenlug {
 
-struct BranchSettings {
-  std::size_t max_open = 0, max_links = 0;   // attempts; connections to runners, including idle ones
-  Time connect_timeout = 0, idle_close = 0;  // runners close connections that are idle for idle_close
-  const rookgw::Site& site;                  // must outlive the attempts
+struct RunnerClientSettings {
+  std::size_t max_attempts = 0, max_links = 0;  // attempts; connections to runners, including idle ones
+  Time connect_timeout = 0, idle_close = 0;     // runners close connections that are idle for idle_close
+  const rookgw::Site& site;                     // must outlive the attempts
 };
 
-class Branches : public BranchPort, public CallBackPort {
+class RunnerClient : public RunnerPort, public CallbackPort {
  public:
-  Branches(asio::io_context& io, const BranchSettings& settings, const RouteSet* routes, Deadlines* deadlines,
-           TransactionTable* core);
+  RunnerClient(asio::io_context& io, const RunnerClientSettings& settings, const RunnerRegistry* registry,
+               Deadlines* deadlines, RequestTable* core);
 
-  Handle Open(BranchRef ref, std::shared_ptr<const Job> job, const std::string& runner,
-              Time deadline) override;
-  void GiveUp(Handle branch) override;
+  Handle StartAttempt(AttemptRef ref, std::shared_ptr<const Job> job, const std::string& runner,
+                      Time deadline) override;
+  void Cancel(Handle attempt) override;
   void Probe(const std::string& runner) override;
 
   // Handles a runner's callback. Returns false if it is malformed. A well-formed callback for an unknown
   // attempt (ended, cancelled, or of an earlier run of this process) is ignored.
-  bool CallBack(const std::string& body) override;
+  bool HandleCallback(const std::string& body) override;
 
-  std::size_t out() const { return branches_.size(); }
+  std::size_t out() const { return attempts_.size(); }
 
  private:
-  enum class Stage { kUnsent, kSent, kAccepted, kGivingUp };
-  struct Branch {
-    BranchRef ref;
+  enum class Stage { kUnsent, kSent, kAccepted, kCancelling };
+  struct Attempt {
+    AttemptRef ref;
     std::shared_ptr<const Job> job;
     std::string runner;
     Time deadline = 0;
@@ -57,12 +57,12 @@
 
   // One HTTP request to a runner and its response.
   struct Exchange {
-    enum class Kind { kNone, kJob, kGiveUp, kProbe };
+    enum class Kind { kNone, kJob, kCancel, kProbe };
     Kind kind = Kind::kNone;
-    Handle branch;  // kJob, kGiveUp: the attempt
-    Time began = 0, deadline = 0;
-    rookgw::Outcome outcome = rookgw::Outcome::kCancelled;  // kGiveUp: of the attempt
-    bool twice = false;                                     // kGiveUp: repeat the DELETE when it is answered
+    Handle attempt;  // kJob, kCancel: the attempt
+    Time started = 0, deadline = 0;
+    rookgw::Outcome outcome = rookgw::Outcome::kCancelled;  // kCancel: of the attempt
+    bool repeat = false;                                    // kCancel: repeat the DELETE when it is answered
     std::string call_id;
   };
 
@@ -72,37 +72,39 @@
     std::string runner, host;
     asio::ip::tcp::endpoint address;
     Exchange exchange;
-    bool up = false;
-    Time idle_since = 0, kept = KeptLinks::kNew;  // kept: how long it was idle before this exchange
+    bool established = false;
+    Time idle_since = 0,
+         idle_before = LinkReliability::kNeverUsed;  // kept: how long it was idle before this exchange
     Deadlines::Key alarm;
   };
 
-  void Begin(const std::string& runner, Exchange exchange);
-  Handle IdleLink(const Route& route, Exchange::Kind kind);
+  void StartExchange(const std::string& runner, Exchange exchange);
+  Handle IdleLink(const RunnerEntry& entry, Exchange::Kind kind);
   void Transmit(Handle handle);
-  void Answered(Handle handle, const HttpMessage& answer);
-  void Broke(Handle handle, rookgw::Outcome unwritten = rookgw::Outcome::kConnectFailed);
-  void Spoilt(Handle handle);
-  void Rest(Handle handle);
+  void OnResponse(Handle handle, const HttpMessage& answer);
+  void OnConnectionFailure(Handle handle,
+                           rookgw::Outcome outcome_if_unwritten = rookgw::Outcome::kConnectFailed);
+  void OnMalformedResponse(Handle handle);
+  void MarkIdle(Handle handle);
   void DropLink(Handle handle);
   bool EvictIdleLink();
 
   // The exchange ended without a usable response.
-  void Failed(const Exchange& exchange, const std::string& runner, rookgw::Outcome outcome);
-  void JobAnswered(Handle branch, const HttpMessage& answer);
-  void GiveUp(Handle branch, rookgw::Outcome outcome);
-  void EndBranch(Handle handle, rookgw::Outcome outcome, const rookgw::LoadReport& report = {},
-                 std::string result = {});
+  void OnExchangeFailed(const Exchange& exchange, const std::string& runner, rookgw::Outcome outcome);
+  void OnJobResponse(Handle attempt, const HttpMessage& answer);
+  void Cancel(Handle attempt, rookgw::Outcome outcome);
+  void EndAttempt(Handle handle, rookgw::Outcome outcome, const rookgw::LoadReport& report = {},
+                  std::string result = {});
 
   asio::io_context& io_;
-  const BranchSettings settings_;
-  const RouteSet* routes_;
+  const RunnerClientSettings settings_;
+  const RunnerRegistry* registry_;
   Deadlines* deadlines_;
-  TransactionTable* core_;
-  SlotTable<Branch> branches_;
+  RequestTable* core_;
+  SlotTable<Attempt> attempts_;
   SlotTable<Link> links_;
-  KeptLinks kept_links_;
-  std::unordered_map<std::string, Handle> by_name_;            // attempts by call ID and runner
+  LinkReliability reliability_;
+  std::unordered_map<std::string, Handle> by_key_;             // attempts by call ID and runner
   std::unordered_map<std::string, std::vector<Handle>> idle_;  // by runner, most recently used last
 };
 
--- a/src/branch/kept_links.h
+++ b/src/branch/kept_links.h
@@ -17,48 +17,48 @@
 
 namespace lichenlug {
 
-class KeptLinks {
+class LinkReliability {
  public:
-  static constexpr Time kNew = -1;  // the age of a connection that has not been used yet
+  static constexpr Time kNeverUsed = -1;  // the age of a connection that has not been used yet
 
   // Records the end of an exchange on a connection that had been idle for `age`, and whether the connection
   // failed.
-  void Note(Time age, bool broke, Time now) {
-    Tally& tally = At(age);
-    tally.Fade(now);
-    tally.uses += 1, tally.broke += broke ? 1 : 0;
+  void Record(Time age, bool failed, Time now) {
+    Tally& tally = Bucket(age);
+    tally.Decay(now);
+    tally.uses += 1, tally.failures += failed ? 1 : 0;
   }
 
   // Whether a job should use a new connection instead of one that has been idle for `age`.
-  bool Unfit(Time age, Time now) {
-    Tally &old = At(age), &fresh = At(kNew);
-    old.Fade(now), fresh.Fade(now);
-    return old.Share() > fresh.Share() + kMargin;
+  bool Unreliable(Time age, Time now) {
+    Tally &old = Bucket(age), &fresh = Bucket(kNeverUsed);
+    old.Decay(now), fresh.Decay(now);
+    return old.FailureRate() > fresh.FailureRate() + kExcessFailureRate;
   }
 
  private:
-  static constexpr double kMargin = 0.1;         // excess failure rate that is worth a handshake
-  static constexpr double kDoubt = 10;           // successful uses assumed in addition to the observed ones
-  static constexpr Time kMemory = 10 * kSecond;  // time constant of the decay of observations
-  static constexpr std::size_t kAges = 12;       // new; under 0.1 s, 0.2 s, 0.4 s ... 51.2 s; older
+  static constexpr double kExcessFailureRate = 0.1;  // excess failure rate that is worth a handshake
+  static constexpr double kPriorSuccesses = 10;  // successful uses assumed in addition to the observed ones
+  static constexpr Time kDecayTime = 10 * kSecond;  // time constant of the decay of observations
+  static constexpr std::size_t kBuckets = 12;       // new; under 0.1 s, 0.2 s, 0.4 s ... 51.2 s; older
 
   struct Tally {
-    double uses = 0, broke = 0;
+    double uses = 0, failures = 0;
     Time at = 0;
-    void Fade(Time now) {
-      const double keep = std::exp(static_cast<double>(at - now) / kMemory);
-      uses *= keep, broke *= keep, at = now;
+    void Decay(Time now) {
+      const double keep = std::exp(static_cast<double>(at - now) / kDecayTime);
+      uses *= keep, failures *= keep, at = now;
     }
-    double Share() const { return broke / (uses + kDoubt); }
+    double FailureRate() const { return failures / (uses + kPriorSuccesses); }
   };
 
-  Tally& At(Time age) {
+  Tally& Bucket(Time age) {
     if (age < 0) return tallies_[0];
     const auto doubled = static_cast<std::uint64_t>(age) / (100 * kMillisecond);
-    return tallies_[std::min<std::size_t>(1 + std::bit_width(doubled), kAges - 1)];
+    return tallies_[std::min<std::size_t>(1 + std::bit_width(doubled), kBuckets - 1)];
   }
 
-  std::array<Tally, kAges> tallies_;
+  std::array<Tally, kBuckets> tallies_;
 };
 
 }  // namespace lichenlug
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -16,45 +16,45 @@
   std::string call_id, target, body, idempotency_key, content_type;
 };
 
-struct BranchRef {  // identifies an attempt: a client request and the attempt's number within it
-  Handle transaction;
+struct AttemptRef {  // identifies an attempt: a client request and the attempt's number within it
+  Handle request;
   int number = 0;
 };
 
 struct FinalAnswer {
-  enum class Kind { kServed, kBusy, kFailed, kTooLate };
+  enum class Kind { kServed, kRefused, kFailed, kDeadlineExceeded };
   Kind kind = Kind::kFailed;
   std::string result;  // kServed: the runner's result
-  Time come_back = 0;  // kBusy: when the client should retry; 0: no advice
+  Time retry_at = 0;   // kRefused: when the client should retry; 0: no advice
 };
 
 // The front end that a client request arrived through.
-class CallerPort {
+class ClientPort {
  public:
-  virtual ~CallerPort() = default;
-  virtual void Answer(Handle leg, const FinalAnswer& answer) = 0;
+  virtual ~ClientPort() = default;
+  virtual void Answer(Handle client, const FinalAnswer& answer) = 0;
   // Whether the client has disconnected. Checks the socket itself, so it doesn't depend on the event having
   // been handled.
-  virtual bool Gone(Handle leg) = 0;
+  virtual bool IsDisconnected(Handle client) = 0;
 };
 
-// Sends attempts and probes to runners. Outcomes are reported through TransactionTable::BranchEnded and
+// Sends attempts and probes to runners. Outcomes are reported through RequestTable::AttemptFinished and
 // ProbeEnded.
-class BranchPort {
+class RunnerPort {
  public:
-  virtual ~BranchPort() = default;
-  virtual Handle Open(BranchRef ref, std::shared_ptr<const Job> job, const std::string& runner,
-                      Time deadline) = 0;
-  virtual void GiveUp(Handle branch) = 0;
+  virtual ~RunnerPort() = default;
+  virtual Handle StartAttempt(AttemptRef ref, std::shared_ptr<const Job> job, const std::string& runner,
+                              Time deadline) = 0;
+  virtual void Cancel(Handle attempt) = 0;
   virtual void Probe(const std::string& runner) = 0;
 };
 
 // Receives runners' callbacks, from any front end.
-class CallBackPort {
+class CallbackPort {
  public:
-  virtual ~CallBackPort() = default;
+  virtual ~CallbackPort() = default;
   // Returns false if the callback is malformed. A well-formed callback for an unknown attempt is ignored.
-  virtual bool CallBack(const std::string& body) = 0;
+  virtual bool HandleCallback(const std::string& body) = 0;
 };
 
 // Receives this dispatcher's use of runners, to share it with the other dispatchers.
@@ -68,7 +68,7 @@
 class DiscoveryPort {
  public:
   virtual ~DiscoveryPort() = default;
-  virtual void Ask() = 0;
+  virtual void RequestList() = 0;
 };
 
 }  // namespace lichenlug
--- a/src/core/transactions.h
+++ b/src/core/transactions.h
@@ -16,81 +16,81 @@
 
 namespace lichenlug {
 
-class TransactionTable {
+class RequestTable {
  public:
-  TransactionTable(const rookgw::Settings& settings, std::uint64_t seed, std::size_t most,
-                   Deadlines* deadlines);
+  RequestTable(const rookgw::Settings& settings, std::uint64_t seed, std::size_t max_requests,
+               Deadlines* deadlines);
 
-  void Start(BranchPort* branches, DiscoveryPort* discovery, PeerPort* peers = nullptr);
+  void Start(RunnerPort* runner_port, DiscoveryPort* discovery, PeerPort* peers = nullptr);
 
   // Sets `arrived.id`. Returns a null handle if the table is full; no answer follows then. The answer may be
   // delivered before this returns.
-  Handle Begin(rookgw::RequestArrived arrived, std::shared_ptr<const Job> job, CallerPort* caller,
-               Handle leg);
-  void CallerGone(Handle transaction);
+  Handle Begin(rookgw::RequestArrived arrived, std::shared_ptr<const Job> job, ClientPort* client_port,
+               Handle client);
+  void ClientDisconnected(Handle request);
 
   // Whether the request still needs an answer. Must be called immediately before an attempt is sent, because
   // the request may have been answered, or its client may have disconnected, since the attempt was decided
   // on. In the latter case it ends the request, so the attempt may have ended when this returns.
-  bool Wanted(Handle transaction);
+  bool IsWanted(Handle request);
 
   // The process is shutting down: requests that arrive from now on get their final answer by `at` at the
   // latest.
-  void EndNewBy(Time at) { end_new_by_ = at; }
+  void SetNewRequestDeadline(Time at) { new_request_deadline_ = at; }
 
-  void BranchNote(BranchRef ref, rookgw::AttemptUpdate::Kind kind, double share);
-  void BranchEnded(BranchRef ref, rookgw::Outcome outcome, const rookgw::LoadReport& report = {},
-                   std::string result = {});
+  void AttemptProgress(AttemptRef ref, rookgw::AttemptUpdate::Kind kind, double share);
+  void AttemptFinished(AttemptRef ref, rookgw::Outcome outcome, const rookgw::LoadReport& report = {},
+                       std::string result = {});
   void ProbeEnded(const std::string& runner, bool ok, Time took, const rookgw::LoadReport& report);
-  void RoutesChanged(rookgw::ListChanged::Form form, std::int64_t version,
-                     const std::vector<rookgw::ListedWorker>& runners);
+  void RunnersChanged(rookgw::ListChanged::Form form, std::int64_t version,
+                      const std::vector<rookgw::ListedWorker>& runners);
   void HeldElsewhere(const std::string& runner, double slots);
   void FailingElsewhere(const std::string& runner, int cls);
 
-  std::size_t owed() const { return owed_; }  // requests without a final answer yet
+  std::size_t unanswered() const { return unanswered_; }  // requests without a final answer yet
 
  private:
-  struct Branch {
+  struct Attempt {
     std::string runner;
     Time sent = 0;
     Handle handle;
-    bool over = false;
+    bool done = false;
   };
-  struct Transaction {
+  struct Request {
     std::shared_ptr<const Job> job;
-    CallerPort* caller = nullptr;
-    Handle leg;
+    ClientPort* client_port = nullptr;
+    Handle client;
     Time deadline = 0;
     double slots = 1;
     int cls = 0;
-    Deadlines::Key last_moment;
-    std::vector<Branch> branches;
+    Deadlines::Key deadline_timer;
+    std::vector<Attempt> attempts;
     bool answered = false;
   };
 
-  void Feed(rookgw::Event event);
-  void Do(const rookgw::Dispatch& action);
-  void Do(const rookgw::Decline& action);
-  void Do(const rookgw::Fail& action);
-  void Do(const rookgw::CancelAttempt& action);
-  void Do(const rookgw::Probe& action);
-  void Do(const rookgw::SetTimer& action);
-  void Do(const rookgw::Subscribe& action);
-  void Do(const rookgw::Log& action);
+  void HandleEvent(rookgw::Event event);
+  void Execute(const rookgw::Dispatch& action);
+  void Execute(const rookgw::Decline& action);
+  void Execute(const rookgw::Fail& action);
+  void Execute(const rookgw::CancelAttempt& action);
+  void Execute(const rookgw::Probe& action);
+  void Execute(const rookgw::SetTimer& action);
+  void Execute(const rookgw::Subscribe& action);
+  void Execute(const rookgw::Log& action);
   void Answer(Handle handle, const FinalAnswer& answer);
   void DropIfDone(Handle handle);
 
   const rookgw::Settings settings_;
   Deadlines* deadlines_;
   rookgw::Scheduler scheduler_;
-  BranchPort* branches_ = nullptr;
+  RunnerPort* runner_port_ = nullptr;
   DiscoveryPort* discovery_ = nullptr;
   PeerPort* peers_ = nullptr;
-  SlotTable<Transaction> table_;
+  SlotTable<Request> requests_;
   std::deque<rookgw::Event> events_;  // events raised by actions wait until the current event is handled
-  bool feeding_ = false;
-  std::size_t owed_ = 0;
-  Time end_new_by_ = std::numeric_limits<Time>::max();
+  bool handling_event_ = false;
+  std::size_t unanswered_ = 0;
+  Time new_request_deadline_ = std::numeric_limits<Time>::max();
 };
 
 }  // namespace lichenlug
--- a/src/fronts/http/callers.h
+++ b/src/fronts/http/callers.h
@@ -16,19 +16,19 @@
 
 namespace lichenlug {
 
-struct CallerSettings {
+struct HttpFrontEndSettings {
   asio::ip::tcp::endpoint listen;
-  std::size_t max_legs = 0;     // connections of clients and of runners that send callbacks
-  std::size_t max_serving = 0;  // with this many unanswered requests, only callbacks are accepted
-  const rookgw::Site& site;     // must outlive the front end
+  std::size_t max_connections = 0;  // connections of clients and of runners that send callbacks
+  std::size_t max_unanswered = 0;   // with this many unanswered requests, only callbacks are accepted
+  const rookgw::Site& site;         // must outlive the front end
 };
 
-class Callers : public CallerPort {
+class HttpFrontEnd : public ClientPort {
  public:
   // `has_list` returns whether a list of runners is known; without one the program is not ready.
   // Listens immediately; throws std::system_error if it can't bind the address.
-  Callers(asio::io_context& io, const CallerSettings& settings, std::function<bool()> has_list,
-          Deadlines* deadlines, TransactionTable* core, CallBackPort* branches);
+  HttpFrontEnd(asio::io_context& io, const HttpFrontEndSettings& settings, std::function<bool()> has_list,
+               Deadlines* deadlines, RequestTable* core, CallbackPort* callbacks);
 
   asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   void Start();
@@ -38,55 +38,55 @@
   // no connection is left.
   void Drain(std::function<void()> done);
 
-  void Answer(Handle leg, const FinalAnswer& answer) override;
-  bool Gone(Handle leg) override;
+  void Answer(Handle client, const FinalAnswer& answer) override;
+  bool IsDisconnected(Handle client) override;
 
  private:
   enum class Stage { kIdle, kReading, kWaiting, kAnswering, kFinishing };
-  struct Leg {
+  struct Client {
     std::shared_ptr<HttpConnection> connection;
     Stage stage = Stage::kIdle;
     bool close_after = false;  // the client asked for it
-    Handle transaction;
+    Handle request;
     std::string call_id;
     Time connected = 0, since = 0;  // since: when it entered its stage
-    bool asked = false;             // a complete request has arrived on it
-    bool carried = false;           // a job or a callback has arrived on it
-    bool of_client = false;         // a job has arrived on it
+    bool had_request = false;       // a complete request has arrived on it
+    bool useful = false;            // a job or a callback has arrived on it
+    bool submitted_job = false;     // a job has arrived on it
     Deadlines::Key alarm;
   };
 
   void Accept();
-  void TakeWaiting();
+  void AcceptBacklog();
   void Accepted(asio::ip::tcp::socket socket);
-  int EvictionRank(const Leg& leg) const;
-  bool MakeRoom(std::size_t most);
-  void Began(Handle handle);
-  void Arrived(Handle handle, HttpMessage message);
+  int EvictionRank(const Client& client) const;
+  bool EvictToFit(std::size_t limit);
+  void OnRequestStart(Handle handle);
+  void OnRequest(Handle handle, HttpMessage message);
   void Submit(Handle handle, HttpMessage message, int cls);
-  void Ended(Handle handle, HttpConnection::End end);
+  void OnConnectionEnd(Handle handle, HttpConnection::End end);
   void Reply(Handle handle, int status, std::string_view body = {},
              std::vector<std::pair<std::string, std::string>> headers = {}, bool close = false);
-  void Replied(Handle handle, bool close, std::error_code error);
-  void Idle(Handle handle);
-  bool Retire(Handle handle);
-  void FinishLeg(Handle handle);
-  void DropLeg(Handle handle);
-  bool HasSpareLegs();
-  void LookForEnd();
+  void OnReplySent(Handle handle, bool close, std::error_code error);
+  void MarkIdle(Handle handle);
+  bool CloseUnlessUnread(Handle handle);
+  void FinishClient(Handle handle);
+  void DropClient(Handle handle);
+  bool HasIdleReserve();
+  void CheckDrained();
 
   asio::io_context& io_;
-  const CallerSettings settings_;
+  const HttpFrontEndSettings settings_;
   std::function<bool()> has_list_;
   Deadlines* deadlines_;
-  TransactionTable* core_;
-  CallBackPort* branches_;
+  RequestTable* core_;
+  CallbackPort* callbacks_;
   asio::ip::tcp::acceptor acceptor_;
-  SlotTable<Leg> legs_;
-  std::unordered_set<std::string> open_ids_;
+  SlotTable<Client> clients_;
+  std::unordered_set<std::string> active_ids_;
   bool draining_ = false, backlog_empty_ = true;
-  Time drain_began_ = 0, taking_until_ = 0, last_request_ = 0;
-  std::function<void()> drained_;
+  Time drain_started_ = 0, accepting_until_ = 0, last_request_ = 0;
+  std::function<void()> on_drained_;
 };
 
 }  // namespace lichenlug
--- a/src/fronts/http/request_parser.h
+++ b/src/fronts/http/request_parser.h
@@ -9,8 +9,9 @@
 
 namespace lichenlug {
 
-std::string_view PathOf(std::string_view target);     // without the query
-std::string_view FirstPart(std::string_view target);  // the first segment of the path, which names the class
+std::string_view PathOf(std::string_view target);  // without the query
+std::string_view FirstSegment(
+    std::string_view target);  // the first segment of the path, which names the class
 
 // Parses a request that arrived at `now`. Returns null, or a one-line description of the error. Every header
 // except X-Call-Id is optional.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,31 +21,31 @@
 namespace lichenlug {
 namespace {
 
-std::vector<rookgw::ListedWorker> RunnersOf(const RouteNews& news) {
+std::vector<rookgw::ListedWorker> ListedRunners(const RunnerListUpdate& update) {
   std::vector<rookgw::ListedWorker> runners;
-  for (const Route& route : news.members) runners.push_back(route.runner);
+  for (const RunnerEntry& entry : update.members) runners.push_back(entry.runner);
   return runners;
 }
 
 // Adapts the watch to the core's interface, so that `routes/` doesn't depend on the core.
-class WatchPort : public DiscoveryPort {
+class WatchAdapter : public DiscoveryPort {
  public:
-  explicit WatchPort(Watch* watch) : watch_(watch) {}
-  void Ask() override { watch_->Ask(); }
+  explicit WatchAdapter(Watch* watch) : watch_(watch) {}
+  void RequestList() override { watch_->RequestList(); }
 
  private:
   Watch* watch_;
 };
 
 // Shares the use of runners with the other dispatchers and passes their reports to the core.
-class Peers : public PeerPort, public HoldingsHeard {
+class PeerExchange : public PeerPort, public HoldingsHeard {
  public:
-  Peers(asio::io_context& io, const Config& config, Deadlines* deadlines, TransactionTable* core)
+  PeerExchange(asio::io_context& io, const Config& config, Deadlines* deadlines, RequestTable* core)
       : deadlines_(deadlines),
         core_(core),
         holdings_(config.seed,
                   {config.peers.own_number, static_cast<int>(config.peers.peers.size()),
-                   ZoneToHear(config.site.settings)},
+                   ReportedZone(config.site.settings)},
                   static_cast<int>(config.site.settings.classes.size()), this),
         transport_(io, config.peers, &holdings_, deadlines) {}
 
@@ -60,24 +60,24 @@
   }
   void Held(const std::string& runner, int slots) override { core_->HeldElsewhere(runner, slots); }
   void Failing(const std::string& runner, int cls) override { core_->FailingElsewhere(runner, cls); }
-  void Name(const RouteNews& news) {
-    if (news.complete) holdings_.ForgetAll();
-    for (const Route& route : news.members)
-      if (route.runner.state == rookgw::ListedWorker::State::kGone)
-        holdings_.Forget(route.runner.id);
+  void Name(const RunnerListUpdate& update) {
+    if (update.complete) holdings_.ForgetAll();
+    for (const RunnerEntry& entry : update.members)
+      if (entry.runner.state == rookgw::ListedWorker::State::kGone)
+        holdings_.Forget(entry.runner.id);
       else
-        holdings_.Name(route.runner.id, route.runner.zone);
+        holdings_.Name(entry.runner.id, entry.runner.zone);
   }
 
  private:
   // If cross-zone traffic has a cost, a dispatcher seldom uses the runners of other zones and doesn't need
   // reports on them.
-  static int ZoneToHear(const rookgw::Settings& settings) {
+  static int ReportedZone(const rookgw::Settings& settings) {
     return settings.fee_cross_zone > 0 && settings.my_zone != rookgw::kNone ? settings.my_zone : kNoZone;
   }
 
   Deadlines* deadlines_;
-  TransactionTable* core_;
+  RequestTable* core_;
   Holdings holdings_;
   PeerTransport transport_;
 };
@@ -99,7 +99,7 @@
 }
 
 // Returns the port for peer reports, or null if there are no peers or their socket can't be opened.
-PeerPort* StartPeers(const Config& config, Peers* peers) {
+PeerPort* StartPeers(const Config& config, PeerExchange* peers) {
   if (!config.peers.on()) return nullptr;
   try {
     peers->Start();
@@ -116,41 +116,41 @@
   asio::io_context io(1);
   // Installed before the configuration is read: an unhandled signal would end the program at once, even with
   // unanswered requests, and a SIGHUP during the first read has to cause a reload.
-  asio::signal_set reload(io, SIGHUP), signals(io, SIGTERM, SIGINT);
+  asio::signal_set reload(io, SIGHUP), terminate(io, SIGTERM, SIGINT);
   const Config config = ReadConfig(Environment);
   const Clock clock;
   Deadlines deadlines(io, clock);
-  RouteSet routes;
-  const CallerSettings caller_settings{config.listen, config.max_caller_legs(), config.max_serving_legs(),
-                                       config.site};
-  const BranchSettings branch_settings{config.site.max_open, config.max_runner_links(),
-                                       config.site.settings.connect_timeout, config.site.idle_close,
-                                       config.site};
-  TransactionTable core(config.site.settings, config.seed, config.site.max_open, &deadlines);
-  Peers peers(io, config, &deadlines, &core);
-  Watch watch(io, config.discovery, config.site, config.seed, &routes, &deadlines,
-              [&core, &peers](const RouteNews* news) {
-                if (news == nullptr) return core.RoutesChanged(Form::kFailed, 0, {});
-                core.RoutesChanged(news->complete ? Form::kWhole : Form::kPatch, news->revision,
-                                   RunnersOf(*news));
-                peers.Name(*news);
+  RunnerRegistry registry;
+  const HttpFrontEndSettings front_end_settings{config.listen, config.max_client_connections(),
+                                                config.max_serving_connections(), config.site};
+  const RunnerClientSettings runner_client_settings{config.site.max_open, config.max_runner_connections(),
+                                                    config.site.settings.connect_timeout,
+                                                    config.site.idle_close, config.site};
+  RequestTable core(config.site.settings, config.seed, config.site.max_open, &deadlines);
+  PeerExchange peers(io, config, &deadlines, &core);
+  Watch watch(io, config.discovery, config.site, config.seed, &registry, &deadlines,
+              [&core, &peers](const RunnerListUpdate* update) {
+                if (update == nullptr) return core.RunnersChanged(Form::kFailed, 0, {});
+                core.RunnersChanged(update->complete ? Form::kWhole : Form::kPatch, update->revision,
+                                    ListedRunners(*update));
+                peers.Name(*update);
               });
-  WatchPort discovery(&watch);
-  Branches branches(io, branch_settings, &routes, &deadlines, &core);
-  Callers callers(
-      io, caller_settings, [&routes] { return !routes.empty(); }, &deadlines, &core, &branches);
-
-  routes.Apply(config.known);
-  core.Start(&branches, &discovery, StartPeers(config, &peers));
-  core.RoutesChanged(Form::kStaleCopy, config.known.revision, RunnersOf(config.known));
+  WatchAdapter discovery(&watch);
+  RunnerClient runner_client(io, runner_client_settings, &registry, &deadlines, &core);
+  HttpFrontEnd front_end(
+      io, front_end_settings, [&registry] { return !registry.empty(); }, &deadlines, &core, &runner_client);
+
+  registry.Apply(config.known);
+  core.Start(&runner_client, &discovery, StartPeers(config, &peers));
+  core.RunnersChanged(Form::kStaleCopy, config.known.revision, ListedRunners(config.known));
   peers.Name(config.known);
-  watch.Ask();  // also with pushed lists: over sockets, updates only arrive on a watch
-  callers.Start();
-  std::cerr << config.name << " serves at " << callers.address() << std::endl;
+  watch.RequestList();  // also with pushed lists: over sockets, updates only arrive on a watch
+  front_end.Start();
+  std::cerr << config.name << " serves at " << front_end.address() << std::endl;
 
-  signals.async_wait([&](std::error_code error, int) {
+  terminate.async_wait([&](std::error_code error, int) {
     if (error) return;
-    callers.Drain([&io] { io.stop(); });
+    front_end.Drain([&io] { io.stop(); });
     std::cerr << config.name << " drains" << std::endl;
   });
   const std::function<void()> await_reload = [&] {
--- a/src/operate/config.cpp
+++ b/src/operate/config.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kMinSockets = 64;
 constexpr double kMaxSockets = 1e9;
 
-[[noreturn]] void Bad(const std::string& key, const std::string& what) {
+[[noreturn]] void ThrowError(const std::string& key, const std::string& what) {
   std::string line = key + ": " + what;  // may cite the file
   for (char& c : line)
     if (c >= 0 && c < ' ') c = ' ';
@@ -28,7 +28,7 @@
 std::string Text(const Json& object, const char* key) {
   const auto it = object.find(key);
   if (it == object.end() || it->is_null()) return "";
-  if (!it->is_string()) Bad(key, "text expected");
+  if (!it->is_string()) ThrowError(key, "text expected");
   return it->get<std::string>();
 }
 
@@ -36,7 +36,7 @@
   static const Json none = Json::object();
   const auto it = object.find(key);
   if (it == object.end() || it->is_null()) return none;
-  if (!it->is_object()) Bad(key, "an object expected");
+  if (!it->is_object()) ThrowError(key, "an object expected");
   return *it;
 }
 
@@ -54,18 +54,18 @@
   std::size_t sockets = config.max_sockets;
   const Json& limits = Object(root, "limits");
   if (const auto it = limits.find("sockets"); it != limits.end() && !it->is_null()) {
-    const double told = it->is_number() ? it->get<double>() : 0;
-    if (!(told >= 1 && told <= kMaxSockets)) Bad("limits.sockets", "a number above 0 expected");
-    sockets = static_cast<std::size_t>(told);
+    const double given = it->is_number() ? it->get<double>() : 0;
+    if (!(given >= 1 && given <= kMaxSockets)) ThrowError("limits.sockets", "a number above 0 expected");
+    sockets = static_cast<std::size_t>(given);
   }
   rlimit allowed{};
   if (getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur != RLIM_INFINITY)
     sockets = std::min<std::size_t>(sockets, allowed.rlim_cur);
-  const std::size_t least =
+  const std::size_t minimum =
       std::max(kMinSockets, config.open_at_start + Config::kOwnDescriptors + Config::kMinShared);
-  if (sockets < least)
-    Bad("limits.sockets",
-        std::to_string(least) + " or more expected, here and as the process's descriptor limit");
+  if (sockets < minimum)
+    ThrowError("limits.sockets",
+               std::to_string(minimum) + " or more expected, here and as the process's descriptor limit");
   return sockets;
 }
 
@@ -77,7 +77,7 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size())
-    Bad("seed", "hex digits expected");
+    ThrowError("seed", "hex digits expected");
   return seed;
 }
 
@@ -85,7 +85,7 @@
   try {
     return ParseEndpoint(text, key);
   } catch (const std::runtime_error&) {
-    Bad(key, "an IP address and port, as in 10.0.0.4:8080, expected");
+    ThrowError(key, "an IP address and port, as in 10.0.0.4:8080, expected");
   }
 }
 
@@ -103,7 +103,7 @@
   peers.own_number = own_number;
   const auto listed = root.find("peers");
   if (listed == root.end() || listed->is_null()) return peers;
-  if (!listed->is_array()) Bad("peers", "a list of ADDRESS:PORT expected");
+  if (!listed->is_array()) ThrowError("peers", "a list of ADDRESS:PORT expected");
   for (const Json& peer : *listed) {
     const std::string path = "peers[" + std::to_string(peers.peers.size()) + "]";
     peers.peers.push_back(PeerAddress(peer.is_string() ? peer.get<std::string>() : "", path));
@@ -120,37 +120,40 @@
   Config config;
   config.open_at_start = running != nullptr ? running->open_at_start : OpenDescriptors();
   const char* path = environment("BALANCER_CONFIG");
-  if (path == nullptr || *path == '\0') Bad("BALANCER_CONFIG", "the path of the configuration expected");
+  if (path == nullptr || *path == '\0')
+    ThrowError("BALANCER_CONFIG", "the path of the configuration expected");
   std::ifstream file(path);
-  if (!file) Bad("BALANCER_CONFIG", std::string("cannot read ") + path);
+  if (!file) ThrowError("BALANCER_CONFIG", std::string("cannot read ") + path);
   const Json root = Json::parse(file, nullptr, false);
-  if (!root.is_object()) Bad("BALANCER_CONFIG", std::string(path) + " holds no JSON object");
+  if (!root.is_object()) ThrowError("BALANCER_CONFIG", std::string(path) + " holds no JSON object");
 
   const auto text = [&](const char* variable, const char* key, bool file_wins = false) {
     const char* value = environment(variable);
-    const std::string told = value != nullptr ? value : "", filed = Text(root, key);
-    const std::string found = told.empty() || (file_wins && !filed.empty()) ? filed : told;
-    if (found.empty()) Bad(key, std::string("missing (or set ") + variable + ")");
+    const std::string given = value != nullptr ? value : "", from_file = Text(root, key);
+    const std::string found = given.empty() || (file_wins && !from_file.empty()) ? from_file : given;
+    if (found.empty()) ThrowError(key, std::string("missing (or set ") + variable + ")");
     return found;
   };
   config.name = text("BALANCER_NAME", "name");
   config.listen = Address(text("BALANCER_LISTEN", "listen"), "listen");
   config.discovery = Address(text("BALANCER_DISCOVERY", "discovery", running != nullptr), "discovery");
-  if (config.discovery == config.listen) Bad("discovery", "another address than that of listen expected");
+  if (config.discovery == config.listen)
+    ThrowError("discovery", "another address than that of listen expected");
   config.seed = ParseSeed(root);
   config.max_sockets = ReadSockets(root, config);
 
-  if (!root.contains("settings")) Bad("settings", "missing");
+  if (!root.contains("settings")) ThrowError("settings", "missing");
   config.site = rookgw::ReadSettings(Object(root, "settings"));  // its messages start with "settings: KEY"
   config.site.settings.reports_accepts = true;                   // runners acknowledge jobs with a 202
-  if (config.site.settings.connect_timeout == 0) Bad("settings.Limits.ConnectTimeout", "above 0 expected");
-  if (config.site.max_open == 0) Bad("settings.Limits.MaxOpen", "1 or more expected");
+  if (config.site.settings.connect_timeout == 0)
+    ThrowError("settings.Limits.ConnectTimeout", "above 0 expected");
+  if (config.site.max_open == 0) ThrowError("settings.Limits.MaxOpen", "1 or more expected");
 
   if (const auto known = root.find("known"); known != root.end() && !known->is_null()) {
     try {
-      config.known = ParseRouteNews(*known, config.site);
+      config.known = ParseRunnerListUpdate(*known, config.site);
     } catch (const std::exception& e) {
-      Bad("known", e.what());
+      ThrowError("known", e.what());
     }
   }
   if (config.site.allow_peer_messages) config.peers = ReadPeers(root, config.site.settings.ordinal);
--- a/src/operate/config.h
+++ b/src/operate/config.h
@@ -21,15 +21,15 @@
   std::size_t max_sockets = 1024;  // limits.sockets, bounded by the process's descriptor limit
   std::size_t open_at_start = 3;   // descriptors: inherited, the event loop's and the signal handlers'
   rookgw::Site site;
-  RouteNews known;
+  RunnerListUpdate known;
   PeerSettings peers;  // off unless settings.Limits.MayTell is true
 
   // The descriptor budget: those open at startup, the program's own, and two shares of the rest. A connection
   // is closed as soon as it is removed from its table, so that none exists outside the budget.
-  std::size_t max_runner_links() const { return shared() / 4; }
-  std::size_t max_caller_legs() const { return shared() - max_runner_links(); }
+  std::size_t max_runner_connections() const { return shared() / 4; }
+  std::size_t max_client_connections() const { return shared() - max_runner_connections(); }
   // Beyond these only callbacks are accepted: they complete work, and a runner retries each only ten times.
-  std::size_t max_serving_legs() const { return shared() / 2; }
+  std::size_t max_serving_connections() const { return shared() / 2; }
 
   // The program's own descriptors that are opened later: the listener and a connection that is accepted but
   // not counted yet (2), the UDP socket (1), watches (3: established, pending and hedged), the file that is
--- a/src/routes/news_lines.h
+++ b/src/routes/news_lines.h
@@ -15,39 +15,39 @@
 
 class JsonStreamSplitter {
  public:
-  static constexpr std::size_t kMax = 1024 * 1024;  // bytes of an object
+  static constexpr std::size_t kMaxObjectSize = 1024 * 1024;  // bytes of an object
 
   // Calls `take` with each complete object, and with an empty view for each heartbeat, for as long as it
   // returns true. Returns false if the stream is malformed or `take` returned false.
-  template <typename Take>
-  bool Add(std::string_view bytes, Take take) {
+  template <typename Callback>
+  bool Add(std::string_view bytes, Callback callback) {
     for (const char c : bytes) {
       if (c != '\n') {
-        Read(c);
-        if (held_.size() >= kMax) return false;
-        held_ += c;
+        Scan(c);
+        if (buffer_.size() >= kMaxObjectSize) return false;
+        buffer_ += c;
         continue;
       }
-      const bool said = std::exchange(said_on_line_, false);
-      if (depth_ > 0 && !in_text_ && said) {
-        held_ += c;  // the object continues on the next line
-      } else if (depth_ > 0 || in_text_) {
+      const bool has_content = std::exchange(line_has_content_, false);
+      if (depth_ > 0 && !in_string_ && has_content) {
+        buffer_ += c;  // the object continues on the next line
+      } else if (depth_ > 0 || in_string_) {
         return false;
       } else {
-        const std::string object = std::exchange(held_, {});
+        const std::string object = std::exchange(buffer_, {});
         depth_ = 0;
-        if (!take(said ? std::string_view(object) : std::string_view())) return false;
+        if (!callback(has_content ? std::string_view(object) : std::string_view())) return false;
       }
     }
     return true;
   }
 
  private:
-  void Read(char c) {
-    said_on_line_ = said_on_line_ || (c != ' ' && c != '\t' && c != '\r');
+  void Scan(char c) {
+    line_has_content_ = line_has_content_ || (c != ' ' && c != '\t' && c != '\r');
     if (std::exchange(escaped_, false)) return;
-    if (c == '"') in_text_ = !in_text_;
-    if (in_text_) {
+    if (c == '"') in_string_ = !in_string_;
+    if (in_string_) {
       escaped_ = c == '\\';
       return;
     }
@@ -55,9 +55,9 @@
     if (c == '}' || c == ']') --depth_;
   }
 
-  std::string held_;
+  std::string buffer_;
   int depth_ = 0;
-  bool in_text_ = false, escaped_ = false, said_on_line_ = false;
+  bool in_string_ = false, escaped_ = false, line_has_content_ = false;
 };
 
 }  // namespace lichenlug
--- a/src/routes/route_set.cpp
+++ b/src/routes/route_set.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Removed runners are kept up to this number of entries: their last jobs may still need them.
-constexpr std::size_t kMaxRoutes = 4096;
+constexpr std::size_t kMaxRunners = 4096;
 
 using State = rookgw::ListedWorker::State;
 
@@ -28,27 +28,27 @@
   return it == names.end() ? rookgw::kNone : it->second;
 }
 
-Route ParseMember(const nlohmann::json& member, const rookgw::Site& site) {
+RunnerEntry ParseMember(const nlohmann::json& member, const rookgw::Site& site) {
   if (!member.is_object()) throw std::runtime_error("members[]: objects expected");
-  Route route;
-  route.runner.id = Get<std::string>(member, "id", "");
-  if (route.runner.id.empty()) throw std::runtime_error("members[].id: missing");
+  RunnerEntry entry;
+  entry.runner.id = Get<std::string>(member, "id", "");
+  if (entry.runner.id.empty()) throw std::runtime_error("members[].id: missing");
   const auto phase = Get<std::string>(member, "phase", "active");
   if (phase == "leaving")
-    route.runner.state = State::kDraining;
+    entry.runner.state = State::kDraining;
   else if (phase == "left")
-    route.runner.state = State::kGone;
+    entry.runner.state = State::kGone;
   else if (phase != "active")
     throw std::runtime_error("members[].phase: active, leaving or left expected");
-  route.runner.since = Get<Time>(member, "up_since_ms", 0) * kMillisecond;  // 0: unknown, up for long
-  route.runner.cell = Get<int>(member, "cell", rookgw::kNone);
-  route.runner.kind = Index(site.kinds, Get<std::string>(member, "flavor", ""));
-  route.runner.zone = Index(site.zones, Get<std::string>(member, "locality", ""));
-  route.runner.weight = Get<double>(member, "size", 1);
-  route.host = Get<std::string>(member, "host_port", "");
-  if (route.runner.state != State::kGone || !route.host.empty())
-    route.address = ParseEndpoint(route.host, "members[].host_port");
-  return route;
+  entry.runner.since = Get<Time>(member, "up_since_ms", 0) * kMillisecond;  // 0: unknown, up for long
+  entry.runner.cell = Get<int>(member, "cell", rookgw::kNone);
+  entry.runner.kind = Index(site.kinds, Get<std::string>(member, "flavor", ""));
+  entry.runner.zone = Index(site.zones, Get<std::string>(member, "locality", ""));
+  entry.runner.weight = Get<double>(member, "size", 1);
+  entry.host = Get<std::string>(member, "host_port", "");
+  if (entry.runner.state != State::kGone || !entry.host.empty())
+    entry.address = ParseEndpoint(entry.host, "members[].host_port");
+  return entry;
 }
 
 }  // namespace
@@ -67,40 +67,40 @@
   throw std::runtime_error(key + ": '" + text + "' is not an address:port");
 }
 
-RouteNews ParseRouteNews(const nlohmann::json& object, const rookgw::Site& site) {
+RunnerListUpdate ParseRunnerListUpdate(const nlohmann::json& object, const rookgw::Site& site) {
   if (!object.is_object()) throw std::runtime_error("list: a JSON object expected");
-  RouteNews news;
-  news.revision = Get<std::int64_t>(object, "revision", 0);
-  news.complete = Get<bool>(object, "complete", false);
+  RunnerListUpdate update;
+  update.revision = Get<std::int64_t>(object, "revision", 0);
+  update.complete = Get<bool>(object, "complete", false);
   const auto members = object.find("members");
   if (members == object.end() || !members->is_array()) throw std::runtime_error("members: an array expected");
-  for (const auto& member : *members) news.members.push_back(ParseMember(member, site));
-  return news;
+  for (const auto& member : *members) update.members.push_back(ParseMember(member, site));
+  return update;
 }
 
-void RouteSet::Apply(const RouteNews& news) {
-  if (news.complete)  // a complete list removes the runners that it omits; a patch leaves them unchanged
-    for (auto& [id, route] : routes_) route.runner.state = State::kGone;
-  for (const Route& route : news.members) {
-    Route& held = routes_[route.runner.id];
-    const auto address = held.address;
-    const std::string host = held.host;
-    held = route;
-    if (route.host.empty()) held.address = address, held.host = host;
+void RunnerRegistry::Apply(const RunnerListUpdate& update) {
+  if (update.complete)  // a complete list removes the runners that it omits; a patch leaves them unchanged
+    for (auto& [id, entry] : runners_) entry.runner.state = State::kGone;
+  for (const RunnerEntry& entry : update.members) {
+    RunnerEntry& stored = runners_[entry.runner.id];
+    const auto address = stored.address;
+    const std::string host = stored.host;
+    stored = entry;
+    if (entry.host.empty()) stored.address = address, stored.host = host;
   }
-  revision_ = news.revision;
-  if (routes_.size() > kMaxRoutes)
-    std::erase_if(routes_, [](const auto& entry) { return entry.second.runner.state == State::kGone; });
+  revision_ = update.revision;
+  if (runners_.size() > kMaxRunners)
+    std::erase_if(runners_, [](const auto& entry) { return entry.second.runner.state == State::kGone; });
 }
 
-const Route* RouteSet::Find(const std::string& id) const {
-  const auto it = routes_.find(id);
-  return it == routes_.end() ? nullptr : &it->second;
+const RunnerEntry* RunnerRegistry::Find(const std::string& id) const {
+  const auto it = runners_.find(id);
+  return it == runners_.end() ? nullptr : &it->second;
 }
 
-bool RouteSet::Serving(const std::string& id) const {
-  const Route* route = Find(id);
-  return route != nullptr && route->runner.state == State::kServing;
+bool RunnerRegistry::IsServing(const std::string& id) const {
+  const RunnerEntry* entry = Find(id);
+  return entry != nullptr && entry->runner.state == State::kServing;
 }
 
 }  // namespace lichenlug
--- a/src/routes/route_set.h
+++ b/src/routes/route_set.h
@@ -12,35 +12,35 @@
 
 namespace lichenlug {
 
-struct Route {
+struct RunnerEntry {
   rookgw::ListedWorker runner;
   asio::ip::tcp::endpoint address;
   std::string host;
 };
 
 // An update from discovery: the complete list, or the entries that changed.
-struct RouteNews {
+struct RunnerListUpdate {
   std::int64_t revision = 0;
   bool complete = false;
-  std::vector<Route> members;
+  std::vector<RunnerEntry> members;
 };
 
 // Throws std::runtime_error naming the key. Zones and kinds that are not in the settings become kNone.
-RouteNews ParseRouteNews(const nlohmann::json& object, const rookgw::Site& site);
+RunnerListUpdate ParseRunnerListUpdate(const nlohmann::json& object, const rookgw::Site& site);
 
 // Parses "address:port"; throws std::runtime_error naming `key`.
 asio::ip::tcp::endpoint ParseEndpoint(const std::string& text, const std::string& key);
 
-class RouteSet {
+class RunnerRegistry {
  public:
-  void Apply(const RouteNews& news);
-  const Route* Find(const std::string& id) const;
-  bool Serving(const std::string& id) const;
-  bool empty() const { return routes_.empty(); }
+  void Apply(const RunnerListUpdate& update);
+  const RunnerEntry* Find(const std::string& id) const;
+  bool IsServing(const std::string& id) const;
+  bool empty() const { return runners_.empty(); }
   std::int64_t revision() const { return revision_; }
 
  private:
-  std::unordered_map<std::string, Route> routes_;
+  std::unordered_map<std::string, RunnerEntry> runners_;
   std::int64_t revision_ = 0;
 };
 
--- a/src/routes/watch.h
+++ b/src/routes/watch.h
@@ -22,12 +22,12 @@
 
 class Watch {
  public:
-  // `news` is called with each update, or with null when a call failed or the watch was lost.
+  // `on_update` is called with each update, or with null when a call failed or the watch was lost.
   Watch(asio::io_context& io, const asio::ip::tcp::endpoint& discovery, const rookgw::Site& site,
-        std::uint64_t seed, RouteSet* routes, Deadlines* deadlines,
-        std::function<void(const RouteNews*)> news);
+        std::uint64_t seed, RunnerRegistry* registry, Deadlines* deadlines,
+        std::function<void(const RunnerListUpdate*)> on_update);
 
-  void Ask();  // does nothing while a watch is established, being established or scheduled
+  void RequestList();  // does nothing while a watch is established, being established or scheduled
 
   // Discovery has a new address: connects to it at once.
   void MoveTo(const asio::ip::tcp::endpoint& address);
@@ -35,38 +35,39 @@
  private:
   struct Call {  // one watch request, pending or established
     std::shared_ptr<HttpConnection> connection;
-    JsonStreamSplitter lines;
+    JsonStreamSplitter parser;
     Deadlines::Key alarm;
-    bool good = false;   // the status is 200
-    bool begun = false;  // bytes of the body have arrived, maybe not a whole line
-    Time since = 0;      // when it was requested, later when it was established
-    Time heard = 0;      // when its last line was completed
+    bool accepted = false;   // the status is 200
+    bool receiving = false;  // bytes of the body have arrived, maybe not a whole line
+    Time started = 0;        // when it was requested, later when it was established
+    Time last_line = 0;      // when its last line was completed
   };
 
-  enum class Loss { kNoAnswer, kOverloaded, kNoDescriptor };
+  enum class Loss { kNoResponse, kOverloaded, kNoDescriptor };
 
-  void Begin();
-  void Connected(Handle handle);
-  void Piece(Handle handle, std::string_view bytes);
-  bool Line(Handle handle, std::string_view object);
-  bool News(std::string_view object);
-  void Unheard(Handle handle);
-  void Silent(Handle handle);
-  void Lost(Handle handle, Loss how = Loss::kNoAnswer);
-  void AskAt(Time at);
-  void End(Handle handle);
+  void StartCall();
+  void OnConnected(Handle handle);
+  void OnBytes(Handle handle, std::string_view bytes);
+  bool OnLine(Handle handle, std::string_view object);
+  bool ApplyUpdate(std::string_view object);
+  void OnLineTimeout(Handle handle);
+  void OnSilence(Handle handle);
+  void OnLost(Handle handle, Loss loss = Loss::kNoResponse);
+  void RetryAt(Time at);
+  void DropCall(Handle handle);
 
   asio::io_context& io_;
   const rookgw::Site& site_;  // must outlive the watch
   asio::ip::tcp::endpoint address_;
-  RouteSet* routes_;
+  RunnerRegistry* registry_;
   Deadlines* deadlines_;
-  std::function<void(const RouteNews*)> news_;
+  std::function<void(const RunnerListUpdate*)> on_update_;
   SlotTable<Call> calls_{3};
-  Handle asked_, older_;  // no line yet; `older_` has waited for so long that `asked_` was started as a hedge
-  Handle standing_;       // the established watch
-  Deadlines::Key again_;  // when to connect again
-  bool silent_ = false;   // the established watch has missed its heartbeat
+  Handle pending_,
+      hedged_;  // no line yet; `hedged_` has waited for so long that `pending_` was started as a hedge
+  Handle established_;          // the established watch
+  Deadlines::Key retry_timer_;  // when to connect again
+  bool silent_ = false;         // the established watch has missed its heartbeat
   WatchBackoff backoff_;
 };
 
--- a/src/routes/watch_backoff.h
+++ b/src/routes/watch_backoff.h
@@ -51,104 +51,108 @@
   // backoff and the response.
   static constexpr Time kAgentTimeout = 250 * kMillisecond;
   static constexpr Time kHeartbeatTimeout = 2400 * kMillisecond, kMaxHeartbeatTimeout = 3200 * kMillisecond;
-  // kSecondCallAt counts from the beginning of a silence.
-  static constexpr Time kSecondCallAt = 4700 * kMillisecond, kMinHedgeDelay = kSecond;
-  static constexpr Time kStood = kSecond;  // a watch that lasted at least this long counts as established
+  // kSecondCallAfter counts from the beginning of a silence.
+  static constexpr Time kSecondCallAfter = 4700 * kMillisecond, kMinHedgeDelay = kSecond;
+  static constexpr Time kMinEstablishedTime =
+      kSecond;  // a watch that lasted at least this long counts as established
 
   // `poll_interval`: a dispatcher that has had no watch or call for this long is required to know all updates
   // that it missed; 0: no such limit.
   WatchBackoff(int dispatchers, bool pushed, Time poll_interval, std::uint64_t seed)
       : pushed_(pushed),
-        tier_(std::max(kFirstBackoff, std::max(dispatchers, 1) * kCall)),
-        longest_(poll_interval > 0 ? std::max(kFirstBackoff, poll_interval * 9 / 10 - kCallTimeout)
-                                   : kMaxOverloadBackoff),
+        tier_backoff_(std::max(kFirstBackoff, std::max(dispatchers, 1) * kCallShare)),
+        max_backoff_(poll_interval > 0 ? std::max(kFirstBackoff, poll_interval * 9 / 10 - kCallTimeout)
+                                       : kMaxOverloadBackoff),
         random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
   // Discovery has moved: its state must be known soon, so the backoff is short until it has delivered an
   // update.
-  void Hurry() { hurried_ = true, failures_ = 0; }
+  void DiscoveryMoved() { moved_ = true, failures_ = 0; }
 
-  void Succeeded() { hurried_ = second_chance_ = false, failures_ = 0, silent_since_ = 0; }
+  void Succeeded() { moved_ = second_call_left_ = false, failures_ = 0, silent_since_ = 0; }
 
-  Time ConnectBy(Time now) const { return now + (pushed_ ? kAgentTimeout : kConnectTimeout); }
+  Time ConnectDeadline(Time now) const { return now + (pushed_ ? kAgentTimeout : kConnectTimeout); }
 
   // The deadline for the first complete line of an established call.
-  Time FirstLineBy(Time now) const {
+  Time FirstLineDeadline(Time now) const {
     if (pushed_) return now + kAgentTimeout;
-    if (!second_chance_) return now + kHedgeDelay;
-    return std::clamp(silent_since_ + kSecondCallAt, now + kMinHedgeDelay, now + kHedgeDelay);
+    if (!second_call_left_) return now + kHedgeDelay;
+    return std::clamp(silent_since_ + kSecondCallAfter, now + kMinHedgeDelay, now + kHedgeDelay);
   }
 
   // The deadline for the first complete line after its first bytes have arrived; `by` is the previous
   // deadline. An agent that sends anything is alive, however long its list is.
-  Time WholeLineBy(Time by, Time now) const { return pushed_ ? now + kMinHedgeDelay : by; }
+  Time WholeLineDeadline(Time by, Time now) const { return pushed_ ? now + kMinHedgeDelay : by; }
 
   // A call has delivered nothing by its deadline: returns whether to start a second one as a hedge; otherwise
   // the call has failed.
-  bool Hedge() { return second_chance_ = false, !pushed_; }
+  bool StartHedge() { return second_call_left_ = false, !pushed_; }
 
   // The established watch has delivered a line: returns the deadline for the next one.
-  Time HeartbeatBy(Time now) {
-    heartbeat_timeout_ = std::max(kHeartbeatTimeout, heartbeat_timeout_ - kForgive);
+  Time HeartbeatDeadline(Time now) {
+    heartbeat_timeout_ = std::max(kHeartbeatTimeout, heartbeat_timeout_ - kTimeoutStep);
     return now + heartbeat_timeout_;
   }
 
   // The established watch has been silent since `since`: returns when to request a new one beside it.
   Time HeartbeatMissed(Time since, Time now) {
-    silent_since_ = since, second_chance_ = true;
+    silent_since_ = since, second_call_left_ = true;
     return now + (pushed_ ? AgentBackoff() : Jitter());
   }
 
   // The silent watch delivered a line after all: heartbeats arrive late here, so their timeout is extended.
   // 40 heartbeats in time undo the extension.
   void HeartbeatLate() {
-    second_chance_ = false, silent_since_ = 0;
-    heartbeat_timeout_ = std::min(kMaxHeartbeatTimeout, heartbeat_timeout_ + 40 * kForgive);
+    second_call_left_ = false, silent_since_ = 0;
+    heartbeat_timeout_ = std::min(kMaxHeartbeatTimeout, heartbeat_timeout_ + 40 * kTimeoutStep);
   }
 
   // The delay after a watch that was established for `stood` has ended: by itself this is not an outage.
-  Time Ended(Time stood) { return pushed_ || stood < kStood ? Failed() : Jitter(); }
+  Time Ended(Time stood) { return pushed_ || stood < kMinEstablishedTime ? Failed() : Jitter(); }
 
   // The delay after discovery accepted a call, kept it waiting for `kept` and rejected it.
   Time Overloaded(Time kept) {
-    if (pushed_ || second_chance_ || kept < kOverloadedAfter || std::exchange(hurried_, false))
+    if (pushed_ || second_call_left_ || kept < kMinOverloadedWait || std::exchange(moved_, false))
       return Failed();
-    const Time latest = std::min({tier_ << std::min(failures_++, 4), kMaxOverloadBackoff, longest_});
-    return Drawn(latest / 2, latest);
+    const Time latest =
+        std::min({tier_backoff_ << std::min(failures_++, 4), kMaxOverloadBackoff, max_backoff_});
+    return RandomBetween(latest / 2, latest);
   }
 
   // The delay after this process had no descriptor for a call, which says nothing about discovery.
-  Time NoDescriptor() { return pushed_ ? AgentBackoff() : Drawn(kMinBackoff, kFirstBackoff); }
+  Time NoDescriptor() { return pushed_ ? AgentBackoff() : RandomBetween(kMinBackoff, kFirstBackoff); }
 
   // The delay after another failure.
   Time Failed() {
     if (pushed_) return AgentBackoff();
-    if (std::exchange(second_chance_, false)) return Drawn(kMinBackoff, kFirstBackoff);
-    const Time first = hurried_ ? kFirstBackoff : tier_;
-    return Drawn(kMinBackoff, std::min({first << std::min(failures_++, 4), kMaxBackoff, longest_}));
+    if (std::exchange(second_call_left_, false)) return RandomBetween(kMinBackoff, kFirstBackoff);
+    const Time first = moved_ ? kFirstBackoff : tier_backoff_;
+    return RandomBetween(kMinBackoff,
+                         std::min({first << std::min(failures_++, 4), kMaxBackoff, max_backoff_}));
   }
 
  private:
   static constexpr Time kMinBackoff = 100 * kMillisecond, kFirstBackoff = 300 * kMillisecond;
-  static constexpr Time kCall = 80 * kMillisecond;  // share of discovery's time for each dispatcher's call
+  static constexpr Time kCallShare =
+      80 * kMillisecond;  // share of discovery's time for each dispatcher's call
   static constexpr Time kMinJitter = 50 * kMillisecond;  // to read first what arrived during a pause
   static constexpr Time kMaxJitter = 800 * kMillisecond;
-  static constexpr Time kForgive = 10 * kMillisecond;
+  static constexpr Time kTimeoutStep = 10 * kMillisecond;
   // A service that is down rejects calls sooner than one that has a queue.
-  static constexpr Time kOverloadedAfter = kSecond / 2;
+  static constexpr Time kMinOverloadedWait = kSecond / 2;
 
-  Time Drawn(Time soonest, Time latest) {
+  Time RandomBetween(Time soonest, Time latest) {
     return soonest + static_cast<Time>(random_() % static_cast<std::uint64_t>(latest - soonest));
   }
-  Time Jitter() { return Drawn(kMinJitter, std::min(tier_, kMaxJitter)); }
-  Time AgentBackoff() { return Drawn(50 * kMillisecond, 150 * kMillisecond); }
+  Time Jitter() { return RandomBetween(kMinJitter, std::min(tier_backoff_, kMaxJitter)); }
+  Time AgentBackoff() { return RandomBetween(50 * kMillisecond, 150 * kMillisecond); }
 
   const bool pushed_;
-  Time tier_, longest_, heartbeat_timeout_ = kHeartbeatTimeout;
+  Time tier_backoff_, max_backoff_, heartbeat_timeout_ = kHeartbeatTimeout;
   std::minstd_rand random_;
   int failures_ = 0;
-  bool hurried_ = false;
-  bool second_chance_ = false;  // a silence has begun and no call has failed since
+  bool moved_ = false;
+  bool second_call_left_ = false;  // a silence has begun and no call has failed since
   Time silent_since_ = 0;
 };
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-const Json kGood = Json::parse(R"({
+const Json kValid = Json::parse(R"({
   "name": "n0", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500", "seed": "1f",
   "limits": {"sockets": 256}, "peer_listen": "127.0.0.1:7946", "peers": ["127.0.0.1:7946", "127.0.0.2:7946"],
   "settings": {
@@ -58,7 +58,7 @@
 Config Read(const std::string& text) { return ConfigFile(text).Read(); }
 
 // The error message for this file; empty if it is accepted.
-std::string Fault(const std::string& text) {
+std::string ErrorOf(const std::string& text) {
   try {
     Read(text);
   } catch (const ConfigError& e) {
@@ -69,10 +69,10 @@
   return "";
 }
 
-std::string FaultWith(const char* pointer, const char* value) {
-  Json config = kGood;
+std::string ErrorWith(const char* pointer, const char* value) {
+  Json config = kValid;
   config[Json::json_pointer(pointer)] = Json::parse(value);
-  return Fault(config.dump());
+  return ErrorOf(config.dump());
 }
 
 // The decisions must be able to run with any accepted settings.
@@ -98,8 +98,8 @@
   }
 }
 
-TEST(ReadConfig, TakesWhatThePlatformGives) {
-  const Config config = Read(kGood.dump());
+TEST(ReadConfig, AcceptsThePlatformsConfiguration) {
+  const Config config = Read(kValid.dump());
   EXPECT_EQ(config.site.max_open, 20000u);
   EXPECT_EQ(config.site.idle_close, 5 * kSecond);
   EXPECT_EQ(config.site.settings.connect_timeout, kSecond / 5);
@@ -107,9 +107,9 @@
   PlayOneRequest(config.site.settings);
 }
 
-TEST(ReadConfig, RefusesInOneLineWithKeyPlaceAndForm) {
+TEST(ReadConfig, RejectsWithKeyIndexAndExpectedFormInOneLine) {
   struct {
-    const char *pointer, *value, *said;
+    const char *pointer, *value, *message;
   } const cases[] = {
       {"/name", "\"\"", "name: missing (or set BALANCER_NAME)"},
       {"/listen", "\"here\"", "listen: an IP address and port, as in 10.0.0.4:8080, expected"},
@@ -190,14 +190,14 @@
       {"/settings/Guarantees/RampTime", "-1", "settings: Guarantees.RampTime: a whole number from 0"},
       {"/settings/Guarantees/OverloadFactor", "-1", "settings: Guarantees.OverloadFactor: a number from 0"},
   };
-  for (const auto& [pointer, value, said] : cases) {
-    const std::string fault = FaultWith(pointer, value);
-    EXPECT_EQ(fault.substr(0, std::strlen(said)), said) << pointer << " " << value;
-    EXPECT_EQ(fault.find('\n'), std::string::npos) << fault;
+  for (const auto& [pointer, value, message] : cases) {
+    const std::string error = ErrorWith(pointer, value);
+    EXPECT_EQ(error.substr(0, std::strlen(message)), message) << pointer << " " << value;
+    EXPECT_EQ(error.find('\n'), std::string::npos) << error;
   }
 }
 
-TEST(ReadConfig, TakesWhatCanBeServed) {
+TEST(ReadConfig, AcceptsUnusualValidValues) {
   struct {
     const char *pointer, *value;
   } const cases[] = {
@@ -230,102 +230,103 @@
       {"/peers", "null"},
   };
   for (const auto& [pointer, value] : cases) {
-    Json json = kGood;
+    Json json = kValid;
     json[Json::json_pointer(pointer)] = Json::parse(value);
-    EXPECT_EQ(Fault(json.dump()), "") << pointer << " " << value;
-    if (Fault(json.dump()).empty()) PlayOneRequest(Read(json.dump()).site.settings);
+    EXPECT_EQ(ErrorOf(json.dump()), "") << pointer << " " << value;
+    if (ErrorOf(json.dump()).empty()) PlayOneRequest(Read(json.dump()).site.settings);
   }
 }
 
 // Replaces each value by each of a set of odd values: it is rejected with a one-line message, or the
 // decisions can run with it.
-TEST(ReadConfig, NoValueInAnyPlaceGetsFurtherThanItMay) {
+TEST(ReadConfig, AnyValueIsRejectedOrUsable) {
   const Json values = Json::parse(R"([null, true, "", "x", -1, 0, 0.5, 1e-9, 2147483647, 2147483648, 1e15,
     9223372036854775807, 9223372036854775808, 18446744073709551615, 1e300, {}, [], [null], [1e300]])");
-  int refused = 0;
-  const Json places = kGood.flatten();
+  int rejected = 0;
+  const Json places = kValid.flatten();
   for (const auto& [pointer, old] : places.items())
     for (const Json& value : values) {
-      Json json = kGood;
+      Json json = kValid;
       json[Json::json_pointer(pointer)] = value;
-      const std::string fault = Fault(json.dump());
+      const std::string error = ErrorOf(json.dump());
       SCOPED_TRACE(pointer + " " + value.dump());
-      if (fault.empty()) {
+      if (error.empty()) {
         const Config config = Read(json.dump());
         EXPECT_NO_THROW(PlayOneRequest(config.site.settings));
         EXPECT_GT(config.site.settings.connect_timeout, 0);
         EXPECT_GT(config.site.max_open, 0u);
         EXPECT_TRUE(!config.peers.on() || config.peers.own_number < std::ssize(config.peers.peers));
       }
-      EXPECT_EQ(std::count(fault.begin(), fault.end(), '\n'), 0) << fault;
-      refused += !fault.empty();
+      EXPECT_EQ(std::count(error.begin(), error.end(), '\n'), 0) << error;
+      rejected += !error.empty();
     }
-  EXPECT_GT(refused, 300);
+  EXPECT_GT(rejected, 300);
 }
 
-TEST(ReadConfig, RefusesWhatIsNoObject) {
-  const std::string good = kGood.dump();
+TEST(ReadConfig, RejectsWhatIsNoObject) {
+  const std::string good = kValid.dump();
   for (const std::string& text :
        {std::string(), std::string("null"), std::string("[]"), good + "}", good.substr(0, good.size() / 2),
         std::string("{\"name\": \"\xff\"}"), std::string("{\"limits\": {\"sockets\": 1e999}}")})
-    EXPECT_NE(Fault(text).find(" holds no JSON object"), std::string::npos) << text;
-  EXPECT_EQ(Fault("{}"), "name: missing (or set BALANCER_NAME)");
+    EXPECT_NE(ErrorOf(text).find(" holds no JSON object"), std::string::npos) << text;
+  EXPECT_EQ(ErrorOf("{}"), "name: missing (or set BALANCER_NAME)");
   const auto at_missing_file = [](const char*) { return "/tmp/lichenlug-no-such-file"; };
   EXPECT_THROW(ReadConfig(at_missing_file), ConfigError);
 }
 
 // An unknown value may be nested to any depth.
-TEST(ReadConfig, PassesOverWhatIsDeeplyNested) {
-  std::string text = kGood.dump();
+TEST(ReadConfig, IgnoresDeeplyNestedUnknownValues) {
+  std::string text = kValid.dump();
   const std::string deep = "\"Deep\":" + std::string(200'000, '[') + std::string(200'000, ']') + ",";
   text.insert(text.find("\"Dcs\""), deep);
-  EXPECT_EQ(Fault(text), "");
+  EXPECT_EQ(ErrorOf(text), "");
 }
 
-TEST(ReadConfig, OneThatIsNotAmongItsPeersServesAlone) {
-  Json json = kGood;
+TEST(ReadConfig, RunsWithoutPeersIfNotListed) {
+  Json json = kValid;
   json["settings"]["Instances"] = 3, json["settings"]["Ordinal"] = 2;
   EXPECT_FALSE(Read(json.dump()).peers.on());
 }
 
 // ---- Descriptors ----
 
-TEST(Descriptors, TheSharesLeaveTheProgramItsOwn) {
+TEST(Descriptors, SharesLeaveRoomForTheProgramsOwn) {
   for (const int sockets : {64, 65, 66, 67, 100, 256}) {
-    Json json = kGood;
+    Json json = kValid;
     json["limits"]["sockets"] = sockets;
     const Config config = Read(json.dump());
-    const std::size_t kept = config.max_sockets - config.max_caller_legs() - config.max_runner_links();
+    const std::size_t kept =
+        config.max_sockets - config.max_client_connections() - config.max_runner_connections();
     EXPECT_GE(kept, config.open_at_start + 8) << sockets;  // tests/scenarios/descriptors_full.scenario uses 8
-    EXPECT_GE(config.max_runner_links(), 8u) << sockets;
-    EXPECT_GE(config.max_caller_legs(), config.max_serving_legs() + 8) << sockets;
+    EXPECT_GE(config.max_runner_connections(), 8u) << sockets;
+    EXPECT_GE(config.max_client_connections(), config.max_serving_connections() + 8) << sockets;
   }
 }
 
-TEST(Descriptors, WhatIsOpenAtTheStartCounts) {
-  const ConfigFile file(kGood.dump());
+TEST(Descriptors, DescriptorsOpenAtStartupCount) {
+  const ConfigFile file(kValid.dump());
   const Config before = file.Read();
   int held[10];
   for (int& fd : held) fd = open("/dev/null", O_RDONLY | O_CLOEXEC);
   const Config after = file.Read(), again = file.Reread(before);
   EXPECT_EQ(after.open_at_start, before.open_at_start + 10);
-  EXPECT_EQ(after.max_caller_legs() + after.max_runner_links() + 10,
-            before.max_caller_legs() + before.max_runner_links());
+  EXPECT_EQ(after.max_client_connections() + after.max_runner_connections() + 10,
+            before.max_client_connections() + before.max_runner_connections());
   // At a reload the running program's own descriptors are open as well, and must not be counted twice.
   EXPECT_EQ(again.open_at_start, before.open_at_start);
   for (const int fd : held) close(fd);
 }
 
-TEST(Descriptors, TheProcessLimitCounts) {
+TEST(Descriptors, ProcessLimitCounts) {
   rlimit before{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
-  const auto with_limit = [&](rlim_t most) {
-    const rlimit lower{most, before.rlim_max};
+  const auto with_limit = [&](rlim_t limit) {
+    const rlimit lower{limit, before.rlim_max};
     setrlimit(RLIMIT_NOFILE, &lower);
-    const std::string fault = Fault(kGood.dump());
-    const std::size_t sockets = fault.empty() ? Read(kGood.dump()).max_sockets : 0;
+    const std::string error = ErrorOf(kValid.dump());
+    const std::size_t sockets = error.empty() ? Read(kValid.dump()).max_sockets : 0;
     setrlimit(RLIMIT_NOFILE, &before);
-    return std::pair{fault, sockets};
+    return std::pair{error, sockets};
   };
   EXPECT_EQ(with_limit(100), (std::pair{std::string(), std::size_t{100}}));
   EXPECT_NE(with_limit(48).first.find("limits.sockets: 64 or more expected"), std::string::npos);
--- a/tests/kept_links_test.cpp
+++ b/tests/kept_links_test.cpp
@@ -8,55 +8,55 @@
 
 constexpr Time kYoung = 10 * kMillisecond, kOld = 300 * kMillisecond;
 
-void Note(KeptLinks* links, Time age, int uses, int broke, Time now) {
-  for (int i = 0; i < uses; ++i) links->Note(age, i < broke, now);
+void Record(LinkReliability* links, Time age, int uses, int failures, Time now) {
+  for (int i = 0; i < uses; ++i) links->Record(age, i < failures, now);
 }
 
-TEST(KeptLinks, AllAreFitUntilSomeBreak) {
-  KeptLinks links;
-  EXPECT_FALSE(links.Unfit(kOld, kSecond));
-  Note(&links, kOld, 100, 3, kSecond);  // a few failures
-  EXPECT_FALSE(links.Unfit(kOld, kSecond));
+TEST(LinkReliability, ReliableUntilFailuresAreFrequent) {
+  LinkReliability links;
+  EXPECT_FALSE(links.Unreliable(kOld, kSecond));
+  Record(&links, kOld, 100, 3, kSecond);  // a few failures
+  EXPECT_FALSE(links.Unreliable(kOld, kSecond));
 }
 
-TEST(KeptLinks, OnlyTheAgesThatBreakArePassedOver) {
-  KeptLinks links;
-  Note(&links, kOld, 6, 3, kSecond);
-  Note(&links, kYoung, 50, 2, kSecond);
-  EXPECT_TRUE(links.Unfit(kOld, kSecond));
-  EXPECT_FALSE(links.Unfit(kYoung, kSecond));
+TEST(LinkReliability, OnlyAgesThatFailAreUnreliable) {
+  LinkReliability links;
+  Record(&links, kOld, 6, 3, kSecond);
+  Record(&links, kYoung, 50, 2, kSecond);
+  EXPECT_TRUE(links.Unreliable(kOld, kSecond));
+  EXPECT_FALSE(links.Unreliable(kYoung, kSecond));
 }
 
-TEST(KeptLinks, OneThatBreaksAloneProvesNothing) {
-  KeptLinks links;
-  Note(&links, kOld, 1, 1, kSecond);
-  EXPECT_FALSE(links.Unfit(kOld, kSecond));
+TEST(LinkReliability, SingleFailureIsTolerated) {
+  LinkReliability links;
+  Record(&links, kOld, 1, 1, kSecond);
+  EXPECT_FALSE(links.Unreliable(kOld, kSecond));
 }
 
-TEST(KeptLinks, WhereNewOnesBreakAsOftenNothingIsGainedByThem) {
-  KeptLinks links;
-  Note(&links, kOld, 40, 16, kSecond);
-  ASSERT_TRUE(links.Unfit(kOld, kSecond));
-  Note(&links, KeptLinks::kNew, 40, 16, kSecond);
-  EXPECT_FALSE(links.Unfit(kOld, kSecond));
+TEST(LinkReliability, ReliableIfNewConnectionsFailAsOften) {
+  LinkReliability links;
+  Record(&links, kOld, 40, 16, kSecond);
+  ASSERT_TRUE(links.Unreliable(kOld, kSecond));
+  Record(&links, LinkReliability::kNeverUsed, 40, 16, kSecond);
+  EXPECT_FALSE(links.Unreliable(kOld, kSecond));
 }
 
-TEST(KeptLinks, ProbesThatGetThroughAndTimeEndIt) {
-  KeptLinks probed, waited;
-  for (KeptLinks* links : {&probed, &waited}) Note(links, kOld, 10, 6, kSecond);
-  ASSERT_TRUE(probed.Unfit(kOld, kSecond));
-  Note(&probed, kOld, 60, 0, kSecond);
-  EXPECT_FALSE(probed.Unfit(kOld, kSecond));
-  EXPECT_FALSE(waited.Unfit(kOld, 30 * kSecond));
+TEST(LinkReliability, RecoversBySuccessfulProbesAndByTime) {
+  LinkReliability probed, waited;
+  for (LinkReliability* links : {&probed, &waited}) Record(links, kOld, 10, 6, kSecond);
+  ASSERT_TRUE(probed.Unreliable(kOld, kSecond));
+  Record(&probed, kOld, 60, 0, kSecond);
+  EXPECT_FALSE(probed.Unreliable(kOld, kSecond));
+  EXPECT_FALSE(waited.Unreliable(kOld, 30 * kSecond));
 }
 
-TEST(KeptLinks, AnyAgeHasItsPlace) {
-  KeptLinks links;
+TEST(LinkReliability, EveryAgeHasABucket) {
+  LinkReliability links;
   for (const Time age : {Time{0}, kMillisecond, kSecond, 20 * kSecond, 100000 * kSecond}) {
-    Note(&links, age, 10, 9, kSecond);
-    EXPECT_TRUE(links.Unfit(age, kSecond)) << age;
+    Record(&links, age, 10, 9, kSecond);
+    EXPECT_TRUE(links.Unreliable(age, kSecond)) << age;
   }
-  EXPECT_FALSE(links.Unfit(KeptLinks::kNew, kSecond));
+  EXPECT_FALSE(links.Unreliable(LinkReliability::kNeverUsed, kSecond));
 }
 
 }  // namespace
--- a/tests/news_lines_test.cpp
+++ b/tests/news_lines_test.cpp
@@ -11,11 +11,11 @@
 struct Reader {
   JsonStreamSplitter lines;
   std::vector<std::string> objects;
-  int beats = 0;
+  int heartbeats = 0;
   bool Add(std::string_view bytes) {
     return lines.Add(bytes, [this](std::string_view object) {
       if (object.empty())
-        ++beats;
+        ++heartbeats;
       else
         objects.emplace_back(object);
       return true;
@@ -23,26 +23,26 @@
   }
 };
 
-TEST(JsonStreamSplitter, ObjectsAndHeartbeatsInPiecesOfAnySize) {
-  const std::string said = "\n{\"a\":\"x{\\\"\"}\r\n\n{\n  \"b\": [\n    1\n  ]\n}\n \n{}\n";
-  for (std::size_t step = 1; step <= said.size(); ++step) {
+TEST(JsonStreamSplitter, ObjectsAndHeartbeatsInChunksOfAnySize) {
+  const std::string stream = "\n{\"a\":\"x{\\\"\"}\r\n\n{\n  \"b\": [\n    1\n  ]\n}\n \n{}\n";
+  for (std::size_t step = 1; step <= stream.size(); ++step) {
     Reader reader;
-    for (std::size_t at = 0; at < said.size(); at += step)
-      ASSERT_TRUE(reader.Add(std::string_view(said).substr(at, step)));
+    for (std::size_t at = 0; at < stream.size(); at += step)
+      ASSERT_TRUE(reader.Add(std::string_view(stream).substr(at, step)));
     EXPECT_EQ(reader.objects,
               (std::vector<std::string>{"{\"a\":\"x{\\\"\"}\r", "{\n  \"b\": [\n    1\n  ]\n}", "{}"}));
-    EXPECT_EQ(reader.beats, 3);
+    EXPECT_EQ(reader.heartbeats, 3);
   }
 }
 
-TEST(JsonStreamSplitter, WhatBrokeOffInsideAnObjectIsNotWaitedForForEver) {
+TEST(JsonStreamSplitter, RejectsUnfinishedAndOversizedObjects) {
   EXPECT_FALSE(Reader().Add("{\"a\": [1,\n\n"));
   EXPECT_FALSE(Reader().Add("{\"a\": \"tex\n{}\n"));
-  Reader endless;
-  EXPECT_FALSE(endless.Add("{\"a\": \"" + std::string(JsonStreamSplitter::kMax, 'x')));
+  Reader oversized;
+  EXPECT_FALSE(oversized.Add("{\"a\": \"" + std::string(JsonStreamSplitter::kMaxObjectSize, 'x')));
 }
 
-TEST(JsonStreamSplitter, WhatMakesNoObjectIsHandedOverAsItCame) {
+TEST(JsonStreamSplitter, PassesMalformedLinesThrough) {
   Reader reader;
   EXPECT_TRUE(reader.Add("}}\nsurely not\n{}\n"));
   EXPECT_EQ(reader.objects, (std::vector<std::string>{"}}", "surely not", "{}"}));
--- a/tests/watch_backoff_test.cpp
+++ b/tests/watch_backoff_test.cpp
@@ -15,7 +15,7 @@
 constexpr Time kPollInterval = 10 * kSecond;
 // How long after a watch fell silent, or after discovery had an update and was reachable, the update must be
 // known.
-constexpr Time kTold = 6 * kSecond;
+constexpr Time kKnownWithin = 6 * kSecond;
 constexpr std::size_t kNoCall = -1;
 
 struct Outage {
@@ -25,17 +25,17 @@
 
 // All watches end at 0. The server processes calls sequentially, 60 ms each; a call fails after waiting for 2
 // s, but still takes its processing time, as its connection was accepted and read.
-Outage Play(int dispatchers, Time down_for, Time until, Time poll_interval) {
-  struct One {
-    WatchBackoff again;
+Outage SimulateOutage(int dispatchers, Time down_for, Time until, Time poll_interval) {
+  struct Dispatcher {
+    WatchBackoff backoff;
     Time last = 0;
   };
-  std::vector<One> all;
+  std::vector<Dispatcher> all;
   std::set<std::pair<Time, int>> calls;
   Outage outage;
   for (int i = 0; i < dispatchers; ++i) {
     all.push_back({WatchBackoff(dispatchers, false, poll_interval, 1000 + i)});
-    calls.insert({all.back().again.Failed(), i});
+    calls.insert({all.back().backoff.Failed(), i});
   }
   Time free_at = 0;
   while (!calls.empty() && calls.begin()->first < until) {
@@ -45,172 +45,172 @@
     const bool down = at < down_for;
     if (!down) free_at = std::max(free_at, at) + 60 * kMillisecond;
     if (down)
-      calls.insert({at + all[i].again.Failed(), i});
+      calls.insert({at + all[i].backoff.Failed(), i});
     else if (free_at - at <= 2 * kSecond)
       ++outage.served;
     else
-      calls.insert({at + 2 * kSecond + all[i].again.Overloaded(2 * kSecond), i});
+      calls.insert({at + 2 * kSecond + all[i].backoff.Overloaded(2 * kSecond), i});
   }
   return outage;
 }
 
-TEST(WatchBackoff, HundredDispatchersAllGetTheListSoonAfterAnOutage) {
-  EXPECT_EQ(Play(100, kSecond, 16 * kSecond, kPollInterval).served, 100);
-  EXPECT_EQ(Play(100, 5 * kSecond, 20 * kSecond, kPollInterval).served, 100);
+TEST(WatchBackoff, HundredDispatchersGetTheListSoonAfterAnOutage) {
+  EXPECT_EQ(SimulateOutage(100, kSecond, 16 * kSecond, kPollInterval).served, 100);
+  EXPECT_EQ(SimulateOutage(100, 5 * kSecond, 20 * kSecond, kPollInterval).served, 100);
 }
 
-TEST(WatchBackoff, NeverWaitsSoLongThatUnknownNewsCountsAsTold) {
+TEST(WatchBackoff, DelaysStayBelowTheTimeUntilUpdatesMustBeKnown) {
   for (int dispatchers : {1, 3, 30, 100, 1000})
-    EXPECT_LT(
-        Play(dispatchers, 60 * kSecond, 60 * kSecond, kPollInterval).longest_gap + WatchBackoff::kCallTimeout,
-        kPollInterval)
+    EXPECT_LT(SimulateOutage(dispatchers, 60 * kSecond, 60 * kSecond, kPollInterval).longest_gap +
+                  WatchBackoff::kCallTimeout,
+              kPollInterval)
         << dispatchers;
 }
 
-TEST(WatchBackoff, SmallTiersAskAgainWithinHalfASecond) {
+TEST(WatchBackoff, SmallTiersRetryWithinHalfASecond) {
   for (std::uint64_t seed = 1; seed < 50; ++seed)
     EXPECT_LE(WatchBackoff(3, false, kPollInterval, seed).Failed(), kSecond / 2);
 }
 
-Time LongestWait(WatchBackoff* again) {
-  Time most = 0;
-  for (int i = 0; i < 20; ++i) most = std::max(most, again->Failed());
-  return most;
+Time LongestDelay(WatchBackoff* backoff) {
+  Time longest = 0;
+  for (int i = 0; i < 20; ++i) longest = std::max(longest, backoff->Failed());
+  return longest;
 }
 
-TEST(WatchBackoff, HurriesAfterDiscoveryMovedUntilItHasSpoken) {
-  WatchBackoff again(100, false, kPollInterval, 7);
-  again.Hurry();
-  EXPECT_LE(again.Failed(), 300 * kMillisecond);
-  again.Succeeded();
-  EXPECT_GT(LongestWait(&again), kSecond);
+TEST(WatchBackoff, ShortDelaysAfterDiscoveryMovedUntilAnUpdate) {
+  WatchBackoff backoff(100, false, kPollInterval, 7);
+  backoff.DiscoveryMoved();
+  EXPECT_LE(backoff.Failed(), 300 * kMillisecond);
+  backoff.Succeeded();
+  EXPECT_GT(LongestDelay(&backoff), kSecond);
 }
 
 // For any number of earlier failures: discovery becomes reachable right after the start of a call that is
 // never established, and the following call is lost, before or after it is established.
-TEST(WatchBackoff, OneLostCallFitsBetweenDiscoverysReturnAndWhatCountsAsTold) {
+TEST(WatchBackoff, OneCallMayBeLostAfterDiscoveryReturns) {
   for (int dispatchers : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed < 100; ++seed)
       for (int failures = 0; failures < 12; ++failures)
         for (bool connects : {true, false}) {
-          WatchBackoff again(dispatchers, false, kPollInterval, seed);
-          for (int i = 0; i < failures; ++i) again.Failed();
-          const Time call = again.ConnectBy(0) + again.Failed();
-          const Time lost = connects ? again.FirstLineBy(call) : again.ConnectBy(call);
-          const Time second = connects && again.Hedge() ? lost : lost + again.Failed();
-          ASSERT_LE(second, kTold - kSecond) << dispatchers << " after " << failures;
+          WatchBackoff backoff(dispatchers, false, kPollInterval, seed);
+          for (int i = 0; i < failures; ++i) backoff.Failed();
+          const Time call = backoff.ConnectDeadline(0) + backoff.Failed();
+          const Time lost = connects ? backoff.FirstLineDeadline(call) : backoff.ConnectDeadline(call);
+          const Time second = connects && backoff.StartHedge() ? lost : lost + backoff.Failed();
+          ASSERT_LE(second, kKnownWithin - kSecond) << dispatchers << " after " << failures;
         }
 }
 
-TEST(WatchBackoff, ACallThatAnOverloadedDiscoveryTurnedAwayIsFollowedByOneInTime) {
+TEST(WatchBackoff, RetriesInTimeAfterOverloadedDiscoveryRejectsACall) {
   for (int dispatchers : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed < 100; ++seed) {
-      WatchBackoff again(dispatchers, false, kPollInterval, seed);
-      for (int i = 0; i < 12; ++i) ASSERT_LE(again.Overloaded(2 * kSecond), kTold - 2 * kSecond);
-      EXPECT_LE(again.Overloaded(0), WatchBackoff::kMaxBackoff) << "a service that is down rejects at once";
+      WatchBackoff backoff(dispatchers, false, kPollInterval, seed);
+      for (int i = 0; i < 12; ++i) ASSERT_LE(backoff.Overloaded(2 * kSecond), kKnownWithin - 2 * kSecond);
+      EXPECT_LE(backoff.Overloaded(0), WatchBackoff::kMaxBackoff) << "a service that is down rejects at once";
     }
 }
 
-TEST(WatchBackoff, AfterDiscoveryMovedTwoCallsFitIn4Seconds) {
+TEST(WatchBackoff, TwoCallsFitIn4SecondsAfterDiscoveryMoved) {
   for (int dispatchers : {1, 3, 30, 300})
     for (std::uint64_t seed = 1; seed < 100; ++seed) {
-      WatchBackoff again(dispatchers, false, kPollInterval, seed);
-      for (int i = 0; i < 12; ++i) again.Failed();
-      again.Hurry();
-      ASSERT_TRUE(again.Hedge());
-      EXPECT_LE(again.FirstLineBy(0), 3 * kSecond);
-      EXPECT_LE(again.ConnectBy(0) + again.Failed(), 3 * kSecond);
+      WatchBackoff backoff(dispatchers, false, kPollInterval, seed);
+      for (int i = 0; i < 12; ++i) backoff.Failed();
+      backoff.DiscoveryMoved();
+      ASSERT_TRUE(backoff.StartHedge());
+      EXPECT_LE(backoff.FirstLineDeadline(0), 3 * kSecond);
+      EXPECT_LE(backoff.ConnectDeadline(0) + backoff.Failed(), 3 * kSecond);
     }
 }
 
-TEST(WatchBackoff, AWatchThatEndsIsNoOutageUnlessItHardlyStood) {
+TEST(WatchBackoff, EndOfAnEstablishedWatchIsNoOutage) {
   for (std::uint64_t seed = 1; seed < 100; ++seed) {
     EXPECT_LE(WatchBackoff(300, false, kPollInterval, seed).Ended(10 * kSecond), kSecond * 8 / 10);
     EXPECT_LE(WatchBackoff(1, false, kPollInterval, seed).Ended(10 * kSecond), kSecond * 3 / 10);
-    WatchBackoff again(1, false, kPollInterval, seed);
+    WatchBackoff backoff(1, false, kPollInterval, seed);
     Time waits = 0;
-    for (int i = 0; i < 20; ++i) waits += again.Ended(0);
+    for (int i = 0; i < 20; ++i) waits += backoff.Ended(0);
     EXPECT_GT(waits, 5 * kSecond) << "a watch that ends at once each time must not be retried in a busy loop";
   }
 }
 
-TEST(WatchBackoff, ALackOfDescriptorsIsNoFailureOfDiscoverys) {
+TEST(WatchBackoff, LackOfDescriptorsIsNoFailureOfDiscovery) {
   for (std::uint64_t seed = 1; seed < 100; ++seed) {
-    WatchBackoff again(1, false, kPollInterval, seed);
-    for (int i = 0; i < 12; ++i) EXPECT_LE(again.NoDescriptor(), kSecond * 3 / 10);
-    EXPECT_LE(again.Failed(), kSecond * 3 / 10) << "the first failure";
+    WatchBackoff backoff(1, false, kPollInterval, seed);
+    for (int i = 0; i < 12; ++i) EXPECT_LE(backoff.NoDescriptor(), kSecond * 3 / 10);
+    EXPECT_LE(backoff.Failed(), kSecond * 3 / 10) << "the first failure";
     EXPECT_LE(WatchBackoff(300, false, kPollInterval, seed).NoDescriptor(), kSecond * 3 / 10);
   }
 }
 
 // Discovery after an outage: processes calls sequentially, `per_call` each, and answers a call that has
-// waited for `times_out` with 503. `works_for_nobody`: calls that their client has closed are processed as
-// well.
+// waited for `queue_timeout` with 503. `serves_closed_calls`: calls that their client has closed are
+// processed as well.
 struct Discovery {
-  Time per_call, times_out;
-  bool works_for_nobody;
+  Time per_call, queue_timeout;
+  bool serves_closed_calls;
 };
 
 // How many dispatchers have received the list at time `within` after discovery became reachable.
 int ServedInTime(int dispatchers, const Discovery& discovery, Time down_for, Time within) {
   struct Call {
     std::size_t owner;
-    bool closed = false, turned_away = false;
+    bool closed = false, rejected = false;
   };
   struct Owner {
-    WatchBackoff again;
+    WatchBackoff backoff;
     std::size_t asked = kNoCall, older = kNoCall;
     bool served = false;
   };
-  enum What { kAsk, kUnheard, kTimesOut, kServed };
+  enum EventKind { kAsk, kLineTimeout, kQueueTimeout, kServed };
   std::vector<Owner> owners;
   std::vector<Call> calls;
   std::deque<std::size_t> queue;
-  std::set<std::tuple<Time, What, std::size_t>> due;  // the last element is a call; with kAsk, an owner
+  std::set<std::tuple<Time, EventKind, std::size_t>> due;  // the last element is a call; with kAsk, an owner
   std::size_t serving = kNoCall;
   int served = 0;
   for (int i = 0; i < dispatchers; ++i) {
     owners.push_back({WatchBackoff(dispatchers, false, kPollInterval, 1000 + i)});
-    due.insert({owners.back().again.Ended(10 * kSecond), kAsk, i});
+    due.insert({owners.back().backoff.Ended(10 * kSecond), kAsk, i});
   }
   const auto close = [&](std::size_t call) {
     if (call != kNoCall) calls[call].closed = true;
   };
   for (Time now = 0; !due.empty() && now <= down_for + within;) {
-    const auto [at, what, n] = *due.begin();
+    const auto [at, kind, index] = *due.begin();
     due.erase(due.begin());
     now = at;
-    Owner& owner = owners[what == kAsk ? n : calls[n].owner];
-    if (what == kAsk && now < down_for) {
-      due.insert({now + owner.again.Failed(), kAsk, n});
-    } else if (what == kAsk && !owner.served) {
+    Owner& owner = owners[kind == kAsk ? index : calls[index].owner];
+    if (kind == kAsk && now < down_for) {
+      due.insert({now + owner.backoff.Failed(), kAsk, index});
+    } else if (kind == kAsk && !owner.served) {
       owner.asked = calls.size();
       queue.push_back(calls.size());
-      due.insert({owner.again.FirstLineBy(now), kUnheard, calls.size()});
-      due.insert({now + discovery.times_out, kTimesOut, calls.size()});
-      calls.push_back({n});
-    } else if (what == kUnheard && !calls[n].closed && !calls[n].turned_away) {
-      if (owner.asked == n && owner.again.Hedge()) {
-        close(std::exchange(owner.older, n));
-        due.insert({now + WatchBackoff::kHedgeDelay, kUnheard, n});
-        due.insert({now, kAsk, calls[n].owner});
+      due.insert({owner.backoff.FirstLineDeadline(now), kLineTimeout, calls.size()});
+      due.insert({now + discovery.queue_timeout, kQueueTimeout, calls.size()});
+      calls.push_back({index});
+    } else if (kind == kLineTimeout && !calls[index].closed && !calls[index].rejected) {
+      if (owner.asked == index && owner.backoff.StartHedge()) {
+        close(std::exchange(owner.older, index));
+        due.insert({now + WatchBackoff::kHedgeDelay, kLineTimeout, index});
+        due.insert({now, kAsk, calls[index].owner});
       } else {
-        close(n);
-        if (owner.asked == n) due.insert({now + owner.again.Failed(), kAsk, calls[n].owner});
+        close(index);
+        if (owner.asked == index) due.insert({now + owner.backoff.Failed(), kAsk, calls[index].owner});
       }
-    } else if (what == kTimesOut && !calls[n].closed && serving != n) {
-      calls[n].turned_away = true;
-      if (owner.asked == n)
-        due.insert({now + owner.again.Overloaded(discovery.times_out), kAsk, calls[n].owner});
-    } else if (what == kServed) {
+    } else if (kind == kQueueTimeout && !calls[index].closed && serving != index) {
+      calls[index].rejected = true;
+      if (owner.asked == index)
+        due.insert({now + owner.backoff.Overloaded(discovery.queue_timeout), kAsk, calls[index].owner});
+    } else if (kind == kServed) {
       serving = kNoCall;
-      if (!calls[n].closed && !std::exchange(owner.served, true)) ++served;
+      if (!calls[index].closed && !std::exchange(owner.served, true)) ++served;
       close(owner.asked), close(owner.older);
     }
     while (serving == kNoCall && !queue.empty()) {
       const std::size_t next = queue.front();
       queue.pop_front();
-      if (calls[next].turned_away || (calls[next].closed && !discovery.works_for_nobody)) continue;
+      if (calls[next].rejected || (calls[next].closed && !discovery.serves_closed_calls)) continue;
       serving = next;
       due.insert({now + discovery.per_call, kServed, next});
     }
@@ -218,26 +218,28 @@
   return served;
 }
 
-TEST(WatchBackoff, MostOfThreeHundredAreServedIn6SecondsAfterAnOutage) {
+TEST(WatchBackoff, MostOf300AreServedIn6SecondsAfterAnOutage) {
   for (Time for_all : {4600, 6000, 7400})
-    for (Time times_out : {1, 2, 3})
-      for (bool works_for_nobody : {false, true})
+    for (Time queue_timeout : {1, 2, 3})
+      for (bool serves_closed_calls : {false, true})
         for (Time down_for : {3, 5, 8, 20}) {
-          const Discovery discovery{for_all * kMillisecond / 300, times_out * kSecond, works_for_nobody};
-          const int most = std::min<int>(300, kTold / discovery.per_call);  // discovery's capacity
-          EXPECT_GE(ServedInTime(300, discovery, down_for * kSecond, kTold), most * 82 / 100)
-              << for_all << " " << times_out << " " << works_for_nobody << " " << down_for;
+          const Discovery discovery{for_all * kMillisecond / 300, queue_timeout * kSecond,
+                                    serves_closed_calls};
+          const int capacity = std::min<int>(300, kKnownWithin / discovery.per_call);  // discovery's capacity
+          EXPECT_GE(ServedInTime(300, discovery, down_for * kSecond, kKnownWithin), capacity * 82 / 100)
+              << for_all << " " << queue_timeout << " " << serves_closed_calls << " " << down_for;
         }
 }
 
-TEST(WatchBackoff, NineInTenThatStartAtOnceAreReadyIn10Seconds) {
+TEST(WatchBackoff, NineInTenThatStartTogetherAreReadyIn10Seconds) {
   for (Time for_all : {4600, 6000, 7400})
-    for (Time times_out : {1, 2, 3})
-      for (bool works_for_nobody : {false, true})
+    for (Time queue_timeout : {1, 2, 3})
+      for (bool serves_closed_calls : {false, true})
         for (Time down_for : {0, 3, 8}) {
-          const Discovery discovery{for_all * kMillisecond / 300, times_out * kSecond, works_for_nobody};
+          const Discovery discovery{for_all * kMillisecond / 300, queue_timeout * kSecond,
+                                    serves_closed_calls};
           EXPECT_GE(ServedInTime(300, discovery, down_for * kSecond, 10 * kSecond), 270)
-              << for_all << " " << times_out << " " << works_for_nobody << " " << down_for;
+              << for_all << " " << queue_timeout << " " << serves_closed_calls << " " << down_for;
         }
 }
 
@@ -247,69 +249,73 @@
   Time first = 0, second = 0;
 };
 
-Calls AfterSilence(WatchBackoff* again, bool connects) {
-  const Time noticed = again->HeartbeatBy(0);
+Calls AfterSilence(WatchBackoff* backoff, bool connects) {
+  const Time detected = backoff->HeartbeatDeadline(0);
   Calls calls;
-  calls.first = again->HeartbeatMissed(0, noticed);
-  const Time lost = connects ? again->FirstLineBy(calls.first) : again->ConnectBy(calls.first);
-  calls.second = connects && again->Hedge() ? lost : lost + again->Failed();
+  calls.first = backoff->HeartbeatMissed(0, detected);
+  const Time lost =
+      connects ? backoff->FirstLineDeadline(calls.first) : backoff->ConnectDeadline(calls.first);
+  calls.second = connects && backoff->StartHedge() ? lost : lost + backoff->Failed();
   return calls;
 }
 
-TEST(WatchBackoff, ASilenceLeavesTimeForTwoCallsWhateverTheTier) {
+TEST(WatchBackoff, SilenceLeavesTimeForTwoCallsForAnyTierSize) {
   for (int dispatchers : {1, 3, 30, 300, 1000})
     for (std::uint64_t seed = 1; seed < 200; ++seed)
       for (bool connects : {true, false}) {
-        WatchBackoff again(dispatchers, false, kPollInterval, seed);
-        for (int i = 0; i < 50; ++i) again.Failed(), again.Succeeded();
-        const Calls calls = AfterSilence(&again, connects);
+        WatchBackoff backoff(dispatchers, false, kPollInterval, seed);
+        for (int i = 0; i < 50; ++i) backoff.Failed(), backoff.Succeeded();
+        const Calls calls = AfterSilence(&backoff, connects);
         EXPECT_GT(calls.first, 2 * kSecond) << "a heartbeat may still arrive";
-        EXPECT_LE(calls.second, kTold - kSecond) << dispatchers << " " << seed;
+        EXPECT_LE(calls.second, kKnownWithin - kSecond) << dispatchers << " " << seed;
       }
 }
 
-TEST(WatchBackoff, SilenceThatGoesOnAfterTwoCallsIsAnOutage) {
-  WatchBackoff again(300, false, kPollInterval, 7);
-  AfterSilence(&again, false);
-  EXPECT_GT(LongestWait(&again), kSecond);
-  again.Succeeded();
-  EXPECT_LE(AfterSilence(&again, false).second, kTold - kSecond) << "a later silence again has two calls";
+TEST(WatchBackoff, SilenceAfterTwoFailedCallsIsAnOutage) {
+  WatchBackoff backoff(300, false, kPollInterval, 7);
+  AfterSilence(&backoff, false);
+  EXPECT_GT(LongestDelay(&backoff), kSecond);
+  backoff.Succeeded();
+  EXPECT_LE(AfterSilence(&backoff, false).second, kKnownWithin - kSecond)
+      << "a later silence again has two calls";
 }
 
-TEST(WatchBackoff, LateHeartbeatsAreWaitedForLongerAndTheTwoCallsStillFit) {
-  WatchBackoff again(300, false, kPollInterval, 7);
-  for (int i = 0; i < 10; ++i) again.HeartbeatMissed(0, again.HeartbeatBy(0)), again.HeartbeatLate();
-  EXPECT_GT(again.HeartbeatBy(0), 3 * kSecond);
-  EXPECT_LE(AfterSilence(&again, false).second, kTold - kSecond / 2);
-  for (int i = 0; i < 200; ++i) again.HeartbeatBy(0);
-  EXPECT_EQ(again.HeartbeatBy(0), WatchBackoff::kHeartbeatTimeout);
+TEST(WatchBackoff, LateHeartbeatsExtendTheTimeoutAndTwoCallsStillFit) {
+  WatchBackoff backoff(300, false, kPollInterval, 7);
+  for (int i = 0; i < 10; ++i)
+    backoff.HeartbeatMissed(0, backoff.HeartbeatDeadline(0)), backoff.HeartbeatLate();
+  EXPECT_GT(backoff.HeartbeatDeadline(0), 3 * kSecond);
+  EXPECT_LE(AfterSilence(&backoff, false).second, kKnownWithin - kSecond / 2);
+  for (int i = 0; i < 200; ++i) backoff.HeartbeatDeadline(0);
+  EXPECT_EQ(backoff.HeartbeatDeadline(0), WatchBackoff::kHeartbeatTimeout);
 }
 
 // 300 watches whose last heartbeats are spread over 2 s fall silent at once; discovery needs 15 ms per call.
-TEST(WatchBackoff, ThreeHundredThatFallSilentTogetherAreServedInTime) {
+TEST(WatchBackoff, ThreeHundredSilentWatchesAreServedInTime) {
   std::multiset<Time> calls;
   for (int i = 0; i < 300; ++i) {
-    WatchBackoff again(300, false, kPollInterval, 1000 + i);
+    WatchBackoff backoff(300, false, kPollInterval, 1000 + i);
     const Time last = -(i * 7919 % 2000) * kMillisecond;
-    calls.insert(again.HeartbeatMissed(last, last + WatchBackoff::kHeartbeatTimeout));
+    calls.insert(backoff.HeartbeatMissed(last, last + WatchBackoff::kHeartbeatTimeout));
   }
   Time free_at = 0;
   for (const Time at : calls) {
     free_at = std::max(free_at, at) + 15 * kMillisecond;
     EXPECT_LT(free_at - at, WatchBackoff::kHedgeDelay);
   }
-  EXPECT_LT(free_at, kTold);
+  EXPECT_LT(free_at, kKnownWithin);
 }
 
-TEST(WatchBackoff, AnAgentIsAskedAgainBeforeADrainItHasIsDue) {
+TEST(WatchBackoff, AgentIsRetriedBeforeADrainMustTakeEffect) {
   constexpr Time kGrace = kSecond / 2;
   for (int dispatchers : {1, 300})
     for (std::uint64_t seed = 1; seed < 200; ++seed) {
-      WatchBackoff again(dispatchers, true, 0, seed);
+      WatchBackoff backoff(dispatchers, true, 0, seed);
       for (int i = 0; i < 20; ++i)  // during an outage of any length
-        EXPECT_LT(again.FirstLineBy(0) + again.Failed(), kGrace - 50 * kMillisecond);
-      EXPECT_LE(AfterSilence(&again, true).second, 4 * kSecond);
-      EXPECT_EQ(again.WholeLineBy(0, kSecond), 2 * kSecond) << "a long list that is arriving gets more time";
+        EXPECT_LT(backoff.FirstLineDeadline(0) + backoff.Failed(), kGrace - 50 * kMillisecond);
+      EXPECT_LE(AfterSilence(&backoff, true).second, 4 * kSecond);
+      EXPECT_EQ(backoff.WholeLineDeadline(0, kSecond), 2 * kSecond)
+          << "a long list that is arriving gets more time";
     }
 }
 
