--- a/tests/http_connection_test.cpp
+++ b/tests/http_connection_test.cpp
@@ -10,14 +10,14 @@
 
 // The peer half-closes the connection while a job with the largest body is being written, and goes on
 // reading: the handler of the end must know whether the last byte had been written before.
-TEST(HttpConnection, AnEndDoesNotHideThatTheLastByteIsWritten) {
+TEST(HttpConnection, WrittenIsAccurateWhenThePeerHalfCloses) {
   asio::io_context io(1);
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
-  tcp::socket here(io), there(io);
-  here.connect(acceptor.local_endpoint());
-  acceptor.accept(there);
+  tcp::socket local(io), remote(io);
+  local.connect(acceptor.local_endpoint());
+  acceptor.accept(remote);
 
-  const auto connection = std::make_shared<HttpConnection>(std::move(here), HttpConnection::Side::kClient);
+  const auto connection = std::make_shared<HttpConnection>(std::move(local), HttpConnection::Side::kClient);
   bool ended = false, written_at_end = false;
   HttpConnection::Events events;
   events.on_end = [&](HttpConnection::End) { ended = true, written_at_end = connection->Written(); };
@@ -25,12 +25,12 @@
   connection->Start();
   const std::string bytes(kMaxBody + 500, 'x');
   connection->Write(bytes, nullptr);
-  there.shutdown(tcp::socket::shutdown_send);
+  remote.shutdown(tcp::socket::shutdown_send);
   while (!ended) io.run_one();
 
-  std::string got(bytes.size() + 1, ' ');
+  std::string received(bytes.size() + 1, ' ');
   std::error_code error;
-  EXPECT_EQ(written_at_end, asio::read(there, asio::buffer(got), error) == bytes.size());
+  EXPECT_EQ(written_at_end, asio::read(remote, asio::buffer(received), error) == bytes.size());
 }
 
 }  // namespace
--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -36,10 +36,10 @@
 using Json = nlohmann::json;
 using Words = std::vector<std::string>;
 
-std::string g_line;  // the current step, for failure messages
+std::string g_step;  // the current step, for failure messages
 
 void Require(bool good, const std::string& what) {
-  if (!good) std::cerr << "at '" << g_line << "': " << what << std::endl;
+  if (!good) std::cerr << "at '" << g_step << "': " << what << std::endl;
   assert(good);
 }
 
@@ -49,7 +49,7 @@
 };
 
 // Removes one complete message from the front of `bytes`; bodies always have a Content-Length here.
-bool Take(std::string* bytes, Message* message) {
+bool TakeMessage(std::string* bytes, Message* message) {
   const std::size_t end = bytes->find("\r\n\r\n");
   if (end == std::string::npos) return false;
   message->head = bytes->substr(0, end + 2);
@@ -64,21 +64,21 @@
 
 struct Actor {  // a client, a runner or discovery
   int listener = -1;
-  bool accepts = true, rests = false;  // rests: reads nothing
-  std::vector<int> fillers;            // connections that fill the backlog while it doesn't accept
+  bool accepts = true, stops_reading = false;  // rests: reads nothing
+  std::vector<int> fillers;                    // connections that fill the backlog while it doesn't accept
   int port = 0;
   std::string phase = "active";
-  std::map<int, std::string> in;  // received bytes, by connection
-  std::vector<Message> inbox;     // received messages that no step has expected yet
-  std::vector<int> unanswered;    // a runner's jobs and DELETEs or discovery's calls, oldest first
-  int fd = -1;                    // a client's connection, or discovery's watch
-  int spoken_on = -1;             // the watch that discovery has sent the response head on
-  int answered = -1;              // the connection of a runner's last response
-  int ended = 0;                  // connections that the program ended
+  std::map<int, std::string> received;  // received bytes, by connection
+  std::vector<Message> inbox;           // received messages that no step has expected yet
+  std::vector<int> unanswered;          // a runner's jobs and DELETEs or discovery's calls, oldest first
+  int fd = -1;                          // a client's connection, or discovery's watch
+  int head_sent_on = -1;                // the watch that discovery has sent the response head on
+  int answered = -1;                    // the connection of a runner's last response
+  int ended = 0;                        // connections that the program ended
   int probes = 0;
-  int deaf = 0;             // the number of calls to discovery that get no response
-  std::string beat = "\n";  // what discovery sends as heartbeat
-  std::chrono::steady_clock::time_point beat_at = std::chrono::steady_clock::time_point::max();
+  int ignored_calls = 0;         // the number of calls to discovery that get no response
+  std::string heartbeat = "\n";  // what discovery sends as heartbeat
+  std::chrono::steady_clock::time_point heartbeat_at = std::chrono::steady_clock::time_point::max();
 };
 
 class Player {
@@ -88,13 +88,14 @@
     Require(file.good(), "cannot read " + path);
     for (std::string line; std::getline(file, line);) {
       if (line.empty() || line[0] == '#') continue;
-      g_line = line;
+      g_step = line;
       std::istringstream in(line);
       Words words;
       for (std::string word; in >> word;) {
-        const bool goes_on = !words.empty() && words.back().back() == '\\';  // "\ " is a space within a word
-        if (goes_on) words.back().back() = ' ';
-        goes_on ? void(words.back() += word) : words.push_back(word);
+        const bool continues =
+            !words.empty() && words.back().back() == '\\';  // "\ " is a space within a word
+        if (continues) words.back().back() = ' ';
+        continues ? void(words.back() += word) : words.push_back(word);
       }
       Step(words, line);
     }
@@ -125,7 +126,7 @@
       poll(nullptr, 0, std::stoi(words.at(2)));
     } else if (verb == "wait") {
       Require(words.at(1) == "exit", "wait exit CODE");
-      WaitExit(std::stoi(words.at(2)));
+      WaitForExit(std::stoi(words.at(2)));
     } else {
       Require(false, "unknown verb");
     }
@@ -214,15 +215,15 @@
     close(out[1]);
     log_ = out[0];
     if (words.size() > 1) SignalWhileItReads(words);
-    std::string said;
+    std::string output;
     char c = 0;
-    while (said.find('\n') == std::string::npos && read(log_, &c, 1) == 1) said.push_back(c);
-    const std::size_t colon = said.rfind(':');
-    if (said.find(" serves at ") == std::string::npos) {  // a scenario with an invalid configuration
-      said_ = said;
+    while (output.find('\n') == std::string::npos && read(log_, &c, 1) == 1) output.push_back(c);
+    const std::size_t colon = output.rfind(':');
+    if (output.find(" serves at ") == std::string::npos) {  // a scenario with an invalid configuration
+      output_ = output;
       return;
     }
-    port_ = std::stoi(said.substr(colon + 1));
+    port_ = std::stoi(output.substr(colon + 1));
     fcntl(log_, F_SETFL, O_NONBLOCK);
   }
 
@@ -246,87 +247,87 @@
 
   void Stop() {
     kill(pid_, SIGTERM);
-    WaitExit(0);
+    WaitForExit(0);
   }
 
-  void WaitExit(int code) {
+  void WaitForExit(int code) {
     int status = 0;
-    Until("the program's exit", [&] { return waitpid(pid_, &status, WNOHANG) == pid_; });
+    WaitUntil("the program's exit", [&] { return waitpid(pid_, &status, WNOHANG) == pid_; });
     pid_ = -1;
     Require(WIFEXITED(status) && WEXITSTATUS(status) == code,
-            "status " + std::to_string(status) + " " + said_);
+            "status " + std::to_string(status) + " " + output_);
   }
 
   // ---- Receive ----
 
   // Serves all sockets until `done` returns true. Steps wait for events, never for a time, so that a slow
   // machine doesn't change the result.
-  void Until(const std::string& what, const std::function<bool()>& done) {
+  void WaitUntil(const std::string& what, const std::function<bool()>& done) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(9);
     while (!done()) {
       Require(std::chrono::steady_clock::now() < end, "timed out waiting for: " + what);
       std::vector<pollfd> fds{{log_, POLLIN, 0}};
       for (auto& [name, actor] : actors_) {
         if (actor.listener >= 0 && actor.accepts) fds.push_back({actor.listener, POLLIN, 0});
-        for (auto& [fd, bytes] : actor.in)
-          if (!actor.rests) fds.push_back({fd, POLLIN, 0});
+        for (auto& [fd, bytes] : actor.received)
+          if (!actor.stops_reading) fds.push_back({fd, POLLIN, 0});
       }
       poll(fds.data(), fds.size(), 10);
       char buffer[65536];
       if (log_ >= 0 && fds[0].revents != 0) {
         const ssize_t size = read(log_, buffer, sizeof buffer);
         if (size > 0)
-          std::cerr.write(buffer, size), said_.append(buffer, size);  // for example, a sanitizer's report
+          std::cerr.write(buffer, size), output_.append(buffer, size);  // for example, a sanitizer's report
         if (size == 0) close(std::exchange(log_, -1));
       }
       for (auto& [name, actor] : actors_) {
         Serve(name, actor);
         const auto now = std::chrono::steady_clock::now();
-        if (now < actor.beat_at) continue;
-        actor.beat_at = now + std::chrono::milliseconds(500);
-        if (actor.fd >= 0) Chunk(actor, actor.beat);
+        if (now < actor.heartbeat_at) continue;
+        actor.heartbeat_at = now + std::chrono::milliseconds(500);
+        if (actor.fd >= 0) SendChunk(actor, actor.heartbeat);
       }
     }
   }
 
   void Serve(const std::string& name, Actor& actor) {
-    if (actor.rests) return;
+    if (actor.stops_reading) return;
     for (int fd; actor.listener >= 0 && actor.accepts &&
                  (fd = accept4(actor.listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
-      actor.in[fd];
+      actor.received[fd];
     char buffer[65536];
-    for (auto it = actor.in.begin(); it != actor.in.end();) {
+    for (auto it = actor.received.begin(); it != actor.received.end();) {
       auto& [fd, bytes] = *it;
       const ssize_t size = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
       if (size > 0) bytes.append(buffer, size);
       Message message;
-      while (Take(&bytes, &message)) {
+      while (TakeMessage(&bytes, &message)) {
         message.fd = fd;
-        Got(name, actor, message);
+        OnMessage(name, actor, message);
       }
       if (size == 0 || (size < 0 && errno != EAGAIN)) {
         ++actor.ended;
         if (actor.fd == fd) actor.fd = -1;
         std::erase(actor.unanswered, fd);  // no response is possible on it
         close(fd);
-        it = actor.in.erase(it);
+        it = actor.received.erase(it);
       } else {
         ++it;
       }
     }
   }
 
-  void Got(const std::string& name, Actor& actor, const Message& message) {
+  void OnMessage(const std::string& name, Actor& actor, const Message& message) {
     if (message.first.starts_with("GET /-/load")) {
       ++actor.probes;
       return Write(message.fd, Answer("200", R"({"inflight":0,"util":0.1,"x0":5})"));
     }
-    if (name[0] == 'd' && actor.deaf > 0) {
-      --actor.deaf;
+    if (name[0] == 'd' && actor.ignored_calls > 0) {
+      --actor.ignored_calls;
     } else if (name[0] == 'd') {  // each call becomes a watch that starts with the complete list
-      actor.fd = message.fd, actor.spoken_on = -1;
+      actor.fd = message.fd, actor.head_sent_on = -1;
       actor.unanswered.push_back(message.fd);
-      if (name == "d") Tell(name, true, runners_, false);
+      if (name == "d") SendList(name, true, runners_, false);
     }
     if (message.first.starts_with("POST") || message.first.starts_with("DELETE"))
       actor.unanswered.push_back(message.fd);
@@ -347,7 +348,7 @@
 
   int Connect(Actor* actor) {
     const int fd = ConnectTo(port_);
-    actor->in[fd];
+    actor->received[fd];
     return fd;
   }
 
@@ -363,18 +364,18 @@
            more + "Content-Length: 4\r\n\r\nwork";
   }
 
-  void Tell(const std::string& who, bool complete, const Words& names, bool split) {
+  void SendList(const std::string& who, bool complete, const Words& names, bool split) {
     Actor& actor = actors_[who];
     Json news = {{"revision", ++revision_}, {"complete", complete}, {"members", Members(names)}};
     const std::string text = "\n" + news.dump() + "\n";  // the empty line is a heartbeat
     const std::size_t step = split ? 7 : text.size();
-    for (std::size_t at = 0; at < text.size(); at += step) Chunk(actor, text.substr(at, step));
+    for (std::size_t at = 0; at < text.size(); at += step) SendChunk(actor, text.substr(at, step));
   }
 
   // Uses one write: on a connection that the program has closed meanwhile the first write succeeds.
-  void Chunk(Actor& actor, const std::string& piece) {
+  void SendChunk(Actor& actor, const std::string& piece) {
     std::string bytes;
-    if (std::exchange(actor.spoken_on, actor.fd) != actor.fd)
+    if (std::exchange(actor.head_sent_on, actor.fd) != actor.fd)
       bytes = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
@@ -400,14 +401,14 @@
       WriteConfig();
       if (text) std::ofstream(path_) << line.substr(line.find(" text") + 5);
       if (missing) unlink(path_);
-      const std::size_t before = said_.size();
+      const std::size_t before = output_.size();
       kill(pid_, SIGHUP);
-      Until("a log line about the configuration",
-            [&] { return said_.find("configuration", before) != std::string::npos; });
+      WaitUntil("a log line about the configuration",
+                [&] { return output_.find("configuration", before) != std::string::npos; });
     } else if (who == "program" && what == "STOP") {
       int status = 0;
       kill(pid_, SIGSTOP);
-      Until("the program to stop", [&] { return waitpid(pid_, &status, WUNTRACED | WNOHANG) == pid_; });
+      WaitUntil("the program to stop", [&] { return waitpid(pid_, &status, WUNTRACED | WNOHANG) == pid_; });
       Require(WIFSTOPPED(status), "status " + std::to_string(status));
     } else if (who == "program" && what == "CONT") {
       kill(pid_, SIGCONT);
@@ -418,29 +419,30 @@
       Require(prlimit(pid_, RLIMIT_NOFILE, &most, nullptr) == 0, "prlimit");
     } else if (who == "program") {
       kill(pid_, SIGTERM);
-      Until("the log line that it drains", [&] { return said_.find(" drains\n") != std::string::npos; });
+      WaitUntil("the log line that it drains",
+                [&] { return output_.find(" drains\n") != std::string::npos; });
     } else if (what == "forget") {  // drops what has been received so far
       Serve(who, actor);
       actor.inbox.clear();
     } else if (what == "rest") {
-      actor.rests = true;
+      actor.stops_reading = true;
     } else if (what == "accept") {  // send R accept: also waits until the program's connection is established
       actor.accepts = true;
-      Until("a connection", [&] { return actor.in.size() > actor.fillers.size(); });
+      WaitUntil("a connection", [&] { return actor.received.size() > actor.fillers.size(); });
     } else if (who[0] == 'd' && what == "deaf") {
-      actor.deaf = std::stoi(words.at(3));
+      actor.ignored_calls = std::stoi(words.at(3));
     } else if (who[0] == 'd' && what == "oldest") {
       Require(actor.unanswered.size() > 1, "no older call is open");
       actor.fd = actor.unanswered.front();
     } else if (who[0] == 'd' && what == "beat") {
-      Chunk(actor, "\n");
+      SendChunk(actor, "\n");
     } else if (who[0] == 'd' && what == "503") {
       Write(actor.fd, Answer(what, ""));
     } else if (who[0] == 'd' && what == "beats") {
-      actor.beat_at = {};
-      if (words.size() > 3) actor.beat = words[3];
+      actor.heartbeat_at = {};
+      if (words.size() > 3) actor.heartbeat = words[3];
     } else if (who[0] == 'd' && what == "text") {
-      Chunk(actor, Unescaped(line.substr(line.find(" text ") + 6)));
+      SendChunk(actor, Unescaped(line.substr(line.find(" text ") + 6)));
     } else if (who[0] == 'd') {  // send d patch|whole [split] NAME=PHASE ...
       Words names;
       for (std::size_t i = 3; i < words.size(); ++i)
@@ -448,7 +450,7 @@
           names.push_back(words[i].substr(0, equals));
           actors_[names.back()].phase = words[i].substr(equals + 1);
         }
-      if (what != "gap") Tell(who, what == "whole", names, words.size() > 3 && words[3] == "split");
+      if (what != "gap") SendList(who, what == "whole", names, words.size() > 3 && words[3] == "split");
     } else if (what == "callback") {  // send R callback ID STATE [RESULT]
       Json body = {{"id", words.at(3)}, {"from", who}, {"state", words.at(4)}};
       if (words.size() > 5) body["result"] = words[5];
@@ -470,15 +472,15 @@
     } else if (what == "flood") {  // send C flood CLASS COUNT: pipelined on one connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
         Write(actor.fd, Job(words.at(3), who + "-" + std::to_string(i), ""));
-      Until("all bytes to be acknowledged",
-            [&, left = 0]() mutable { return ioctl(actor.fd, SIOCOUTQ, &left) == 0 && left == 0; });
+      WaitUntil("all bytes to be acknowledged",
+                [&, left = 0]() mutable { return ioctl(actor.fd, SIOCOUTQ, &left) == 0 && left == 0; });
     } else if (what == "jobs") {  // send C jobs CLASS COUNT: each on its own connection
       for (int i = 0; i < std::stoi(words.at(4)); ++i)
         Write(Connect(&actor), Job(words.at(3), who + std::to_string(i), ""));
     } else if (what == "again") {  // send R again STATUS [HEADER:VALUE ...]: a surplus response
       Write(actor.answered, Answer(words.at(3), "", Headers(words, 4)));
     } else {  // send R STATUS [HEADER:VALUE ...]: the response to its oldest job or DELETE; send R raw TEXT
-      Until("a job or DELETE to answer", [&] { return !actor.unanswered.empty(); });
+      WaitUntil("a job or DELETE to answer", [&] { return !actor.unanswered.empty(); });
       actor.answered = actor.unanswered.front();
       actor.unanswered.erase(actor.unanswered.begin());
       const bool raw = what == "raw";
@@ -507,7 +509,7 @@
   void Expect(const Words& words) {
     const std::string who = words.at(1), what = words.at(2);
     if (who == "any") {  // expect any WORDS: the receiving runner becomes "it", another one "other"
-      Until("a message at a runner", [&] {
+      WaitUntil("a message at a runner", [&] {
         for (const std::string& name : runners_)
           if (!actors_[name].inbox.empty()) return it_ = name, true;
         return false;
@@ -531,7 +533,7 @@
       return;
     }
     if (what == "shut")  // for an actor that rests: the program has half-closed the connection
-      return Until("a shutdown", [&] {
+      return WaitUntil("a shutdown", [&] {
         pollfd shut{actor.fd, POLLRDHUP, 0};
         return poll(&shut, 1, 0) == 1;
       });
@@ -541,13 +543,13 @@
       getsockopt(actor.fd, SOL_SOCKET, SO_ERROR, &error, &size);
       return Require(error == 0, std::strerror(error));
     }
-    if (what == "end") return Until("the end of a connection", [&] { return actor.ended > 0; });
-    if (what == "probe") return Until("a probe", [&] { return actor.probes > 0; });
+    if (what == "end") return WaitUntil("the end of a connection", [&] { return actor.ended > 0; });
+    if (what == "probe") return WaitUntil("a probe", [&] { return actor.probes > 0; });
     if (what == "ends")  // expect C ends COUNT: that many of its connections
-      return Until("the ends of connections", [&] { return actor.ended >= std::stoi(words.at(3)); });
+      return WaitUntil("the ends of connections", [&] { return actor.ended >= std::stoi(words.at(3)); });
     if (what == "said")  // a line may arrive in pieces
-      return Until("the text in the log", [&] { return said_.find(words.at(3)) != std::string::npos; });
-    Until("a message", [&] { return !actor.inbox.empty(); });
+      return WaitUntil("the text in the log", [&] { return output_.find(words.at(3)) != std::string::npos; });
+    WaitUntil("a message", [&] { return !actor.inbox.empty(); });
     const Message message = actor.inbox.front();
     actor.inbox.erase(actor.inbox.begin());
     const std::string all = message.first + "\n" + message.head + "\n" + message.body + "\n";
@@ -560,19 +562,19 @@
   void Close(const Words& words) {
     Actor& actor = actors_[words.at(1)];
     if (words.size() > 2 && words[2] == "half") {
-      for (auto& [fd, bytes] : actor.in) shutdown(fd, SHUT_WR);
+      for (auto& [fd, bytes] : actor.received) shutdown(fd, SHUT_WR);
       return;
     }
-    for (auto& [fd, bytes] : actor.in) {
+    for (auto& [fd, bytes] : actor.received) {
       const linger hard{1, 0};
       if (words.size() > 2) setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
       close(fd);
     }
-    actor.in.clear(), actor.unanswered.clear();
+    actor.received.clear(), actor.unanswered.clear();
     actor.fd = -1;
   }
 
-  std::string program_, it_, other_, said_;
+  std::string program_, it_, other_, output_;
   char path_[40] = "/tmp/lichenlug-test-XXXXXX";  // of the configuration
   std::map<std::string, Actor> actors_;
   Words runners_;
