--- a/src/branch/branches.h
+++ b/src/branch/branches.h
@@ -73,8 +73,8 @@
     asio::ip::tcp::endpoint address;
     Exchange exchange;
     bool established = false;
-    Time idle_since = 0,
-         idle_before = LinkReliability::kNeverUsed;  // kept: how long it was idle before this exchange
+    // idle_before: how long it was idle before this exchange.
+    Time idle_since = 0, idle_before = LinkReliability::kNeverUsed;
     Deadlines::Key alarm;
   };
 
--- a/src/branch/kept_links.h
+++ b/src/branch/kept_links.h
@@ -38,9 +38,9 @@
 
  private:
   static constexpr double kExcessFailureRate = 0.1;  // excess failure rate that is worth a handshake
-  static constexpr double kPriorSuccesses = 10;  // successful uses assumed in addition to the observed ones
-  static constexpr Time kDecayTime = 10 * kSecond;  // time constant of the decay of observations
-  static constexpr std::size_t kBuckets = 12;       // new; under 0.1 s, 0.2 s, 0.4 s ... 51.2 s; older
+  static constexpr double kPriorSuccesses = 10;      // assumed in addition to the observed uses
+  static constexpr Time kDecayTime = 10 * kSecond;   // time constant of the decay of observations
+  static constexpr std::size_t kBuckets = 12;        // new; under 0.1 s, 0.2 s, 0.4 s ... 51.2 s; older
 
   struct Tally {
     double uses = 0, failures = 0;
--- a/src/routes/news_lines.h
+++ b/src/routes/news_lines.h
@@ -17,8 +17,8 @@
  public:
   static constexpr std::size_t kMaxObjectSize = 1024 * 1024;  // bytes of an object
 
-  // Calls `take` with each complete object, and with an empty view for each heartbeat, for as long as it
-  // returns true. Returns false if the stream is malformed or `take` returned false.
+  // Calls `callback` with each complete object, and with an empty view for each heartbeat, for as long as it
+  // returns true. Returns false if the stream is malformed or `callback` returned false.
   template <typename Callback>
   bool Add(std::string_view bytes, Callback callback) {
     for (const char c : bytes) {
--- a/src/routes/watch.cpp
+++ b/src/routes/watch.cpp
@@ -49,7 +49,7 @@
   events.on_end = [lost](HttpConnection::End) { lost(); };
   connection->SetEvents(std::move(events));
   connection->Connect(address_, [this, handle](std::error_code error) {
-    const bool no_descriptor = error.value() == EMFILE || error.value() == ENFILE;  // no descriptor left
+    const bool no_descriptor = error.value() == EMFILE || error.value() == ENFILE;
     if (error) return OnLost(handle, no_descriptor ? Loss::kNoDescriptor : Loss::kNoResponse);
     OnConnected(handle);
   });
--- a/src/routes/watch_backoff.h
+++ b/src/routes/watch_backoff.h
@@ -53,8 +53,7 @@
   static constexpr Time kHeartbeatTimeout = 2400 * kMillisecond, kMaxHeartbeatTimeout = 3200 * kMillisecond;
   // kSecondCallAfter counts from the beginning of a silence.
   static constexpr Time kSecondCallAfter = 4700 * kMillisecond, kMinHedgeDelay = kSecond;
-  static constexpr Time kMinEstablishedTime =
-      kSecond;  // a watch that lasted at least this long counts as established
+  static constexpr Time kMinEstablishedTime = kSecond;  // a shorter watch counts as a failed call
 
   // `poll_interval`: a dispatcher that has had no watch or call for this long is required to know all updates
   // that it missed; 0: no such limit.
@@ -133,8 +132,7 @@
 
  private:
   static constexpr Time kMinBackoff = 100 * kMillisecond, kFirstBackoff = 300 * kMillisecond;
-  static constexpr Time kCallShare =
-      80 * kMillisecond;  // share of discovery's time for each dispatcher's call
+  static constexpr Time kCallShare = 80 * kMillisecond;  // discovery's time per dispatcher's call
   static constexpr Time kMinJitter = 50 * kMillisecond;  // to read first what arrived during a pause
   static constexpr Time kMaxJitter = 800 * kMillisecond;
   static constexpr Time kTimeoutStep = 10 * kMillisecond;
--- a/tests/node.h
+++ b/tests/node.h
@@ -68,7 +68,7 @@
     fresh_from_ = 0;
   }
 
-  // Passes an event to the brain; Fresh() and the queries below then cover the actions that it caused.
+  // Passes an event to the scheduler; Fresh() and the queries below then cover the actions that it caused.
   void Tell(const Event& event) {
     fresh_from_ = actions.size();
     scheduler.Handle(now, event, &actions);
--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -64,8 +64,8 @@
 
 struct Actor {  // a client, a runner or discovery
   int listener = -1;
-  bool accepts = true, stops_reading = false;  // rests: reads nothing
-  std::vector<int> fillers;                    // connections that fill the backlog while it doesn't accept
+  bool accepts = true, stops_reading = false;
+  std::vector<int> fillers;  // connections that fill the backlog while it doesn't accept
   int port = 0;
   std::string phase = "active";
   std::map<int, std::string> received;  // received bytes, by connection
