--- a/src/branch/branches.cpp
+++ b/src/branch/branches.cpp
@@ -52,10 +52,10 @@
                                   Time deadline) {
   // A runner gets at most one attempt of a request at a time.
   std::string attempt_key = AttemptKey(job->call_id, runner);
-  Attempt fresh;
-  fresh.ref = ref, fresh.runner = runner, fresh.deadline = deadline;
-  fresh.job = std::move(job);
-  const Handle handle = by_key_.contains(attempt_key) ? Handle{} : attempts_.Insert(std::move(fresh));
+  Attempt new_attempt;
+  new_attempt.ref = ref, new_attempt.runner = runner, new_attempt.deadline = deadline;
+  new_attempt.job = std::move(job);
+  const Handle handle = by_key_.contains(attempt_key) ? Handle{} : attempts_.Insert(std::move(new_attempt));
   if (!handle) {
     core_->AttemptFinished(ref, Outcome::kVoid);
     return {};
@@ -122,12 +122,12 @@
     return Transmit(handle);
   }
   if (links_.full() && !EvictIdleLink()) return OnExchangeFailed(exchange, runner, Outcome::kVoid);
-  Link fresh;
-  fresh.connection =
+  Link new_link;
+  new_link.connection =
       std::make_shared<HttpConnection>(asio::ip::tcp::socket(io_), HttpConnection::Side::kClient);
-  fresh.runner = runner, fresh.host = entry->host, fresh.address = entry->address;
-  fresh.exchange = std::move(exchange);
-  handle = links_.Insert(std::move(fresh));
+  new_link.runner = runner, new_link.host = entry->host, new_link.address = entry->address;
+  new_link.exchange = std::move(exchange);
+  handle = links_.Insert(std::move(new_link));
   Link& link = *links_.Find(handle);
   const Time due = deadlines_->Now() + settings_.connect_timeout;
   link.alarm = deadlines_->Add(due, [this, handle] { OnConnectionFailure(handle); });
--- a/src/branch/kept_links.h
+++ b/src/branch/kept_links.h
@@ -31,9 +31,9 @@
 
   // Whether a job should use a new connection instead of one that has been idle for `age`.
   bool Unreliable(Time age, Time now) {
-    Tally &old = Bucket(age), &fresh = Bucket(kNeverUsed);
-    old.Decay(now), fresh.Decay(now);
-    return old.FailureRate() > fresh.FailureRate() + kExcessFailureRate;
+    Tally &idle = Bucket(age), &unused = Bucket(kNeverUsed);
+    idle.Decay(now), unused.Decay(now);
+    return idle.FailureRate() > unused.FailureRate() + kExcessFailureRate;
   }
 
  private:
@@ -54,8 +54,8 @@
 
   Tally& Bucket(Time age) {
     if (age < 0) return tallies_[0];
-    const auto doubled = static_cast<std::uint64_t>(age) / (100 * kMillisecond);
-    return tallies_[std::min<std::size_t>(1 + std::bit_width(doubled), kBuckets - 1)];
+    const auto tenths = static_cast<std::uint64_t>(age) / (100 * kMillisecond);
+    return tallies_[std::min<std::size_t>(1 + std::bit_width(tenths), kBuckets - 1)];
   }
 
   std::array<Tally, kBuckets> tallies_;
--- a/src/core/transactions.cpp
+++ b/src/core/transactions.cpp
@@ -23,10 +23,11 @@
 
 Handle RequestTable::Begin(rookgw::RequestArrived arrived, std::shared_ptr<const Job> job,
                            ClientPort* client_port, Handle client) {
-  Request fresh;
-  fresh.job = std::move(job), fresh.client_port = client_port, fresh.client = client;
-  fresh.deadline = arrived.valid_until, fresh.slots = arrived.slots, fresh.cls = arrived.cls;
-  const Handle handle = requests_.Insert(std::move(fresh));
+  Request new_request;
+  new_request.job = std::move(job), new_request.client_port = client_port, new_request.client = client;
+  new_request.deadline = arrived.valid_until, new_request.slots = arrived.slots,
+  new_request.cls = arrived.cls;
+  const Handle handle = requests_.Insert(std::move(new_request));
   if (!handle) return {};
   ++unanswered_;
   // The decisions end a request shortly before its deadline. This timer is the fallback if they don't, or if
@@ -95,11 +96,11 @@
   HandleEvent(rookgw::ListChanged{form, version, runners});
 }
 
-void RequestTable::HeldElsewhere(const std::string& runner, double slots) {
+void RequestTable::OnPeerHolding(const std::string& runner, double slots) {
   HandleEvent(rookgw::PeerReport{runner, slots});
 }
 
-void RequestTable::FailingElsewhere(const std::string& runner, int cls) {
+void RequestTable::OnPeerFailing(const std::string& runner, int cls) {
   HandleEvent(rookgw::PeerReport{runner, 0, cls});
 }
 
--- a/src/core/transactions.h
+++ b/src/core/transactions.h
@@ -44,8 +44,8 @@
   void ProbeEnded(const std::string& runner, bool ok, Time took, const rookgw::LoadReport& report);
   void RunnersChanged(rookgw::ListChanged::Form form, std::int64_t version,
                       const std::vector<rookgw::ListedWorker>& runners);
-  void HeldElsewhere(const std::string& runner, double slots);
-  void FailingElsewhere(const std::string& runner, int cls);
+  void OnPeerHolding(const std::string& runner, double slots);
+  void OnPeerFailing(const std::string& runner, int cls);
 
   std::size_t unanswered() const { return unanswered_; }  // requests without a final answer yet
 
--- a/src/fronts/http/callers.cpp
+++ b/src/fronts/http/callers.cpp
@@ -79,9 +79,9 @@
 }
 
 void HttpFrontEnd::Accepted(asio::ip::tcp::socket socket) {
-  Client fresh;
-  fresh.connection = std::make_shared<HttpConnection>(std::move(socket), HttpConnection::Side::kServer);
-  const Handle handle = clients_.Insert(std::move(fresh));
+  Client new_client;
+  new_client.connection = std::make_shared<HttpConnection>(std::move(socket), HttpConnection::Side::kServer);
+  const Handle handle = clients_.Insert(std::move(new_client));
   HttpConnection::Events events;
   events.on_begin = [this, handle] { OnRequestStart(handle); };
   events.on_message = [this, handle](HttpMessage message) { OnRequest(handle, std::move(message)); };
@@ -191,9 +191,9 @@
   }
   if (path == "/callback") {
     if (message.method != "POST") return Reply(handle, 405, "POST expected\n", {{"Allow", "POST"}});
-    const bool good = callbacks_->HandleCallback(message.body);
-    client.useful = client.useful || good;
-    return good ? Reply(handle, 200) : Reply(handle, 400, "not a call-back\n");
+    const bool valid = callbacks_->HandleCallback(message.body);
+    client.useful = client.useful || valid;
+    return valid ? Reply(handle, 200) : Reply(handle, 400, "not a call-back\n");
   }
   const auto cls = settings_.site.classes.find(std::string(FirstSegment(message.target)));
   if (cls == settings_.site.classes.end()) return Reply(handle, 404, "no such class\n");
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -58,8 +58,8 @@
     holdings_.Failed(runner, cls, deadlines_->Now());
     transport_.Changed();
   }
-  void Held(const std::string& runner, int slots) override { core_->HeldElsewhere(runner, slots); }
-  void Failing(const std::string& runner, int cls) override { core_->FailingElsewhere(runner, cls); }
+  void Held(const std::string& runner, int slots) override { core_->OnPeerHolding(runner, slots); }
+  void Failing(const std::string& runner, int cls) override { core_->OnPeerFailing(runner, cls); }
   void Name(const RunnerListUpdate& update) {
     if (update.complete) holdings_.ForgetAll();
     for (const RunnerEntry& entry : update.members)
@@ -88,10 +88,10 @@
 // start. An invalid file changes nothing.
 void Reload(const Config& config, Watch* watch) {
   try {
-    const Config fresh = RereadConfig(Environment, config);
-    if (fresh.listen != config.listen || fresh.name != config.name)
+    const Config reloaded = RereadConfig(Environment, config);
+    if (reloaded.listen != config.listen || reloaded.name != config.name)
       std::cerr << config.name << " applies changes of name and listen only at the next start" << std::endl;
-    watch->MoveTo(fresh.discovery);
+    watch->MoveTo(reloaded.discovery);
     std::cerr << config.name << " has read its configuration again" << std::endl;
   } catch (const std::exception& e) {
     std::cerr << config.name << " could not reload its configuration: " << e.what() << std::endl;
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -267,11 +267,11 @@
 }
 
 bool HttpConnection::PeerEnded() {
-  const std::size_t known = pending_.size();
+  const std::size_t pending_before = pending_.size();
   const bool eof_before = eof_;
   Read(kMaxReads);
   // The system reports no further event for what was read here.
-  if (pending_.size() != known || eof_ != eof_before) PostParse();
+  if (pending_.size() != pending_before || eof_ != eof_before) PostParse();
   return eof_ || ended_;
 }
 
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -26,8 +26,8 @@
 }
 
 const std::string* HttpMessage::Header(std::string_view name) const {
-  for (const auto& [known, value] : headers)
-    if (SameName(known, name)) return &value;
+  for (const auto& [header_name, value] : headers)
+    if (SameName(header_name, name)) return &value;
   return nullptr;
 }
 
--- a/src/routes/route_set.cpp
+++ b/src/routes/route_set.cpp
@@ -60,8 +60,8 @@
   if (colon != std::string::npos) {
     const auto address = asio::ip::make_address(text.substr(0, colon), error);
     const char *first = text.data() + colon + 1, *last = text.data() + text.size();
-    const auto [end, bad] = std::from_chars(first, last, port);
-    if (!error && bad == std::errc() && end == last && first != last && port <= 65535)
+    const auto [end, parse_error] = std::from_chars(first, last, port);
+    if (!error && parse_error == std::errc() && end == last && first != last && port <= 65535)
       return {address, static_cast<std::uint16_t>(port)};
   }
   throw std::runtime_error(key + ": '" + text + "' is not an address:port");
--- a/src/routes/watch.cpp
+++ b/src/routes/watch.cpp
@@ -31,11 +31,11 @@
 
 void Watch::StartCall() {
   deadlines_->Remove(&retry_timer_);
-  Call fresh;
-  fresh.connection =
+  Call new_call;
+  new_call.connection =
       std::make_shared<HttpConnection>(asio::ip::tcp::socket(io_), HttpConnection::Side::kClient);
-  const auto connection = fresh.connection;
-  const Handle handle = pending_ = calls_.Insert(std::move(fresh));
+  const auto connection = new_call.connection;
+  const Handle handle = pending_ = calls_.Insert(std::move(new_call));
   const auto lost = [this, handle] { OnLost(handle); };
   deadlines_->Move(&calls_.Find(handle)->alarm, backoff_.ConnectDeadline(deadlines_->Now()), lost);
   HttpConnection::Events events;
--- a/src/routes/watch_backoff.h
+++ b/src/routes/watch_backoff.h
@@ -106,12 +106,12 @@
     heartbeat_timeout_ = std::min(kMaxHeartbeatTimeout, heartbeat_timeout_ + 40 * kTimeoutStep);
   }
 
-  // The delay after a watch that was established for `stood` has ended: by itself this is not an outage.
-  Time Ended(Time stood) { return pushed_ || stood < kMinEstablishedTime ? Failed() : Jitter(); }
+  // The delay after a watch that was established for `lasted` has ended: by itself this is not an outage.
+  Time Ended(Time lasted) { return pushed_ || lasted < kMinEstablishedTime ? Failed() : Jitter(); }
 
-  // The delay after discovery accepted a call, kept it waiting for `kept` and rejected it.
-  Time Overloaded(Time kept) {
-    if (pushed_ || second_call_left_ || kept < kMinOverloadedWait || std::exchange(moved_, false))
+  // The delay after discovery accepted a call, made it wait for `waited` and rejected it.
+  Time Overloaded(Time waited) {
+    if (pushed_ || second_call_left_ || waited < kMinOverloadedWait || std::exchange(moved_, false))
       return Failed();
     const Time latest =
         std::min({tier_backoff_ << std::min(failures_++, 4), kMaxOverloadBackoff, max_backoff_});
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -264,9 +264,9 @@
 }
 
 TEST(ReadConfig, RejectsWhatIsNoObject) {
-  const std::string good = kValid.dump();
+  const std::string valid = kValid.dump();
   for (const std::string& text :
-       {std::string(), std::string("null"), std::string("[]"), good + "}", good.substr(0, good.size() / 2),
+       {std::string(), std::string("null"), std::string("[]"), valid + "}", valid.substr(0, valid.size() / 2),
         std::string("{\"name\": \"\xff\"}"), std::string("{\"limits\": {\"sockets\": 1e999}}")})
     EXPECT_NE(ErrorOf(text).find(" holds no JSON object"), std::string::npos) << text;
   EXPECT_EQ(ErrorOf("{}"), "name: missing (or set BALANCER_NAME)");
@@ -295,9 +295,10 @@
     Json json = kValid;
     json["limits"]["sockets"] = sockets;
     const Config config = Read(json.dump());
-    const std::size_t kept =
+    const std::size_t reserved =
         config.max_sockets - config.max_client_connections() - config.max_runner_connections();
-    EXPECT_GE(kept, config.open_at_start + 8) << sockets;  // tests/scenarios/descriptors_full.scenario uses 8
+    EXPECT_GE(reserved, config.open_at_start + 8)
+        << sockets;  // tests/scenarios/descriptors_full.scenario uses 8
     EXPECT_GE(config.max_runner_connections(), 8u) << sockets;
     EXPECT_GE(config.max_client_connections(), config.max_serving_connections() + 8) << sockets;
   }
@@ -306,15 +307,15 @@
 TEST(Descriptors, DescriptorsOpenAtStartupCount) {
   const ConfigFile file(kValid.dump());
   const Config before = file.Read();
-  int held[10];
-  for (int& fd : held) fd = open("/dev/null", O_RDONLY | O_CLOEXEC);
-  const Config after = file.Read(), again = file.Reread(before);
+  int descriptors[10];
+  for (int& fd : descriptors) fd = open("/dev/null", O_RDONLY | O_CLOEXEC);
+  const Config after = file.Read(), reread = file.Reread(before);
   EXPECT_EQ(after.open_at_start, before.open_at_start + 10);
   EXPECT_EQ(after.max_client_connections() + after.max_runner_connections() + 10,
             before.max_client_connections() + before.max_runner_connections());
   // At a reload the running program's own descriptors are open as well, and must not be counted twice.
-  EXPECT_EQ(again.open_at_start, before.open_at_start);
-  for (const int fd : held) close(fd);
+  EXPECT_EQ(reread.open_at_start, before.open_at_start);
+  for (const int fd : descriptors) close(fd);
 }
 
 TEST(Descriptors, ProcessLimitCounts) {
--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -413,9 +413,10 @@
     } else if (who == "program" && what == "CONT") {
       kill(pid_, SIGCONT);
     } else if (who == "program" && what == "files") {  // send program files N: sets its descriptor limit
-      rlimit most{};
-      prlimit(pid_, RLIMIT_NOFILE, nullptr, &most);
-      most.rlim_cur = std::min<rlim_t>(std::stoul(words.at(3)), most.rlim_max);  // bounded by the hard limit
+      rlimit limits{};
+      prlimit(pid_, RLIMIT_NOFILE, nullptr, &limits);
+      limits.rlim_cur =
+          std::min<rlim_t>(std::stoul(words.at(3)), limits.rlim_max);  // bounded by the hard limit
       Require(prlimit(pid_, RLIMIT_NOFILE, &most, nullptr) == 0, "prlimit");
     } else if (who == "program") {
       kill(pid_, SIGTERM);
