--- a/src/fronts/http/callers.h
+++ b/src/fronts/http/callers.h
@@ -1,5 +1,5 @@
 // The HTTP front end: the listener, the clients' connections, their requests and the responses. Runners'
-// callbacks arrive here too and are passed to the attempts.
+// callbacks arrive here too and are passed to the runner client.
 #pragma once
 
 #include <functional>
@@ -49,7 +49,7 @@
     bool close_after = false;  // the client asked for it
     Handle request;
     std::string call_id;
-    Time connected = 0, since = 0;  // since: when it entered its stage
+    Time connected = 0, since = 0;  // since: when it became idle, reading or finishing
     bool had_request = false;       // a complete request has arrived on it
     bool useful = false;            // a job or a callback has arrived on it
     bool submitted_job = false;     // a job has arrived on it
--- a/src/routes/watch.h
+++ b/src/routes/watch.h
@@ -63,8 +63,8 @@
   Deadlines* deadlines_;
   std::function<void(const RunnerListUpdate*)> on_update_;
   SlotTable<Call> calls_{3};
-  Handle pending_,
-      hedged_;  // no line yet; `hedged_` has waited for so long that `pending_` was started as a hedge
+  // No line has arrived yet; `hedged_` has waited for so long that `pending_` was started as a hedge.
+  Handle pending_, hedged_;
   Handle established_;          // the established watch
   Deadlines::Key retry_timer_;  // when to connect again
   bool silent_ = false;         // the established watch has missed its heartbeat
