--- a/tests/scenario_player.cpp
+++ b/tests/scenario_player.cpp
@@ -417,7 +417,7 @@
       prlimit(pid_, RLIMIT_NOFILE, nullptr, &limits);
       limits.rlim_cur =
           std::min<rlim_t>(std::stoul(words.at(3)), limits.rlim_max);  // bounded by the hard limit
-      Require(prlimit(pid_, RLIMIT_NOFILE, &most, nullptr) == 0, "prlimit");
+      Require(prlimit(pid_, RLIMIT_NOFILE, &limits, nullptr) == 0, "prlimit");
     } else if (who == "program") {
       kill(pid_, SIGTERM);
       WaitUntil("the log line that it drains",
