--- a/src/routing/decisions.h
+++ b/src/routing/decisions.h
@@ -1,6 +1,7 @@
-// The decision module (rookgw::Scheduler) at work in the system: one a service, fed with arrivals, what the
-// data plane sees of its exchanges with runners, and the table of runners; only runners that hold a request's
-// model and adapter are eligible. Also the retry budget. Events in, decisions out; no I/O, no clock.
+// Connects the data plane to the decision modules (rookgw::Scheduler), one per service. Each module receives
+// request arrivals, the outcomes of exchanges with runners that the data plane observes, and changes of the
+// runner table. Only runners that hold a request's model and adapter are eligible. Retries are limited by
+// the service's retry budget. Purely event-driven: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 namespace lichenlug::routing {
 
-using RequestNumber = std::uint64_t;  // unique within a life of the process
+using RequestNumber = std::uint64_t;  // unique within the lifetime of the process
 
 struct Arrival {
   RequestNumber request = 0;
@@ -26,17 +27,17 @@
   std::string tenant;
   std::string model;                      // empty: the service has no engine
   std::string adapter;                    // empty: none
-  std::vector<std::string> prompt_parts;  // ids of the shared parts, in order
+  std::vector<std::string> prompt_parts;  // ids of the prompt's parts, in order
   double prompt_tokens = 0;
-  double output_tokens = 0;  // at most
+  double output_tokens = 0;  // upper bound
   RouteKind kind = RouteKind::kUnsafe;
   bool repeatable = false;
-  bool came_back = false;  // its client was refused before, as far as can be told
-  bool late = false;       // so long ago that the objective has passed since its first try
+  bool came_back = false;  // probably a retry by a client that was refused before
+  bool late = false;       // a retry whose objective, counted from the client's first try, has passed
   int precedence = 0;
   int tries = 1;
-  Time objective = 0;  // span until the answer, or a stream's first event, loses worth
-  Time deadline = 0;   // point on the caller's clock
+  Time objective = 0;  // time to the answer, or to a stream's first event, after which it loses value
+  Time deadline = 0;   // absolute, on the caller's clock
 };
 
 struct StartAttempt {
@@ -44,13 +45,13 @@
   int attempt = 0;
   std::string runner_id;
   std::string address;
-  int priority = 5;  // the runner's Priority header, 0 first
+  int priority = 5;  // value of the Priority header sent to the runner; 0 is the most urgent
 };
-struct Refuse {  // final: it has not run; 503 with Retry-After
+struct Refuse {  // final: the request has not run; 503 with Retry-After
   RequestNumber request = 0;
   Time retry_after = 0;
 };
-struct Fail {  // final: promises nothing; 502, or 504 past the deadline
+struct Fail {  // final: the request may have run; 502, or 504 past the deadline
   RequestNumber request = 0;
 };
 struct CancelAttempt {
@@ -60,13 +61,13 @@
 using Decision = std::variant<StartAttempt, Refuse, Fail, CancelAttempt>;
 
 enum class AttemptOutcome {
-  kServed,         // a whole answer, not with an error of the runner
-  kServerError,    // a whole answer with status 5xx of the runner: it has run
-  kNotRun,         // the runner says so: full, leaving, another runner, model not there
-  kModelMissing,   // 421 for its model: what was known of the runner was old
-  kWrongRunner,    // 421 as another runner lives at the address
+  kServed,         // a complete answer without a runner error
+  kServerError,    // a complete answer with a 5xx status from the runner: the request has run
+  kNotRun,         // the runner reports that it did not run: full, leaving, wrong runner, model not held
+  kModelMissing,   // 421 for the model: the record of the runner was out of date
+  kWrongRunner,    // 421 because another runner now has the address
   kConnectFailed,  // nothing was sent
-  kBroken,         // cut, reset or nonsense after the request was written: it may have run
+  kBroken,         // cut, reset or malformed answer after the request was written: it may have run
   kTimeout,
   kCancelled,
 };
@@ -81,13 +82,14 @@
   void Install(Time now, std::shared_ptr<const Snapshot> snapshot, std::vector<Decision>* decisions);
   void Arrived(Time now, const Arrival& arrival, std::vector<Decision>* decisions);
   void FirstEvent(Time now, RequestNumber request, int attempt);  // the runner has begun to answer
-  // Tells how an attempt ended. `final`: the data plane needs no further attempt (answered, or the client got
-  // bytes that can't be gone on with); else the module decides on another one, within tries and the retry
-  // budget.
+  // Reports how an attempt ended. `final`: the data plane needs no further attempt (the request was answered,
+  // or the client has received bytes that no other attempt can continue). Otherwise the module decides
+  // whether to make another one, within the request's tries and the retry budget.
   void AttemptEnded(Time now, RequestNumber request, int attempt, AttemptOutcome outcome, bool final,
                     std::vector<Decision>* decisions);
-  void Gone(Time now, RequestNumber request, std::vector<Decision>* decisions);  // the client has left
-  // Whether another runner may take the place of one that breaks off now.
+  void Gone(Time now, RequestNumber request,
+            std::vector<Decision>* decisions);  // the client has disconnected
+  // Whether another runner may be tried if the current attempt broke off now.
   bool MayReplace(Time now, RequestNumber request) const;
   void Tick(Time now, std::vector<Decision>* decisions);
   std::optional<Time> NextTimer() const;
@@ -96,9 +98,9 @@
     std::string service, model, adapter;
     double arrivals_per_s = 0, running = 0, unserved = 0;
   };
-  std::vector<Demand> DemandNow(Time now) const;  // of models asked for of late
-  // Whether a model or adapter was found not to be there since this was asked last: placement should hear of
-  // it at once.
+  std::vector<Demand> DemandNow(Time now) const;  // for recently requested models and adapters
+  // Whether a requested model or adapter was newly found to have no ready runner since the last call.
+  // Placement should be notified immediately.
   bool TakeNewlyUnserved();
 
  private:
--- a/src/routing/demand_table.cpp
+++ b/src/routing/demand_table.cpp
@@ -5,9 +5,9 @@
 namespace lichenlug::routing {
 namespace {
 
-constexpr Time kMemory = 3 * kSecond;   // rates are averages over about this long
-constexpr Time kRecent = 10 * kSecond;  // what was not asked for in as long is not told
-constexpr std::size_t kForgetPart = 8;  // one in so many is forgotten when the table is full
+constexpr Time kMemory = 3 * kSecond;   // time constant of the average rates
+constexpr Time kRecent = 10 * kSecond;  // keys idle for longer are not reported
+constexpr std::size_t kForgetPart = 8;  // a full table evicts one in so many entries
 
 }  // namespace
 
--- a/src/routing/demand_table.h
+++ b/src/routing/demand_table.h
@@ -1,4 +1,4 @@
-// What is asked of each model and adapter of late: the demand that placement goes by. Bounded.
+// The recent demand for each model and adapter, which placement acts on. Bounded in size.
 #pragma once
 
 #include <cstddef>
@@ -24,10 +24,10 @@
   explicit DemandTable(std::size_t max_keys) : max_keys_(max_keys) {}
 
   void CountArrival(Time now, const DemandKey& key);
-  void CountUnserved(Time now, const DemandKey& key);  // refused, as no runner holds it
+  void CountUnserved(Time now, const DemandKey& key);  // no ready runner holds it
   void ChangeRunning(const DemandKey& key, int change);
 
-  // Whether a key came to be unserved, for the first time of late, since this was asked last.
+  // Whether a key became unserved, for the first time recently, since the last call.
   bool TakeNewlyUnserved() { return std::exchange(newly_unserved_, false); }
 
   std::vector<Decisions::Demand> Recent(Time now) const;
--- a/src/routing/load_forecast.cpp
+++ b/src/routing/load_forecast.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr std::size_t kMaxMissing = 4096;
-constexpr Time kForgetAfter = 15 * kSecond;  // asked for no more: placement forgets it as well
-constexpr double kRemembered = 20;           // loads that the delay is a mean of
-constexpr double kSafety = 1.25;             // a client that comes too early is refused again
-constexpr Time kMin = 200 * kMillisecond;    // of what is overdue
+constexpr Time kForgetAfter = 15 * kSecond;  // since the last request; placement drops the demand as well
+constexpr double kRemembered = 20;           // number of loads that the mean delay covers
+constexpr double kSafety = 1.25;             // a client that retries too early is refused again
+constexpr Time kMin = 200 * kMillisecond;    // for an overdue load
 
 }  // namespace
 
--- a/src/routing/load_forecast.h
+++ b/src/routing/load_forecast.h
@@ -1,5 +1,6 @@
-// When a model or an adapter that no ready runner holds may be there: its load, and what others have taken of
-// late beyond theirs, for the demand to be heard, the order to be given and its end to become known.
+// Estimates when a model or adapter that no ready runner holds will be available: its own load time plus the
+// overhead observed for recent loads, which covers reporting the demand, issuing the load order and learning
+// of its completion.
 #pragma once
 
 #include <unordered_map>
@@ -12,11 +13,11 @@
 
 class LoadForecast {
  public:
-  // It was asked for in vain; `load` is what the load takes by itself, 0 for an adapter.
+  // Records a request that no ready runner could serve. `load` is the load time alone, 0 for an adapter.
   void NoteMissing(Time now, Holding holding, Time load);
-  // Learns from those that a ready runner holds by now.
+  // Updates the expected overhead from the missing items that a ready runner now holds.
   void NoteRunners(Time now, const RunnerTable& runners);
-  // The span until it may be there, from the first time it was asked for in vain.
+  // The estimated time until it is available. The load counts as begun at the first unserved request.
   Time Remaining(Time now, Holding holding, Time load) const;
 
  private:
--- a/src/routing/priority_scale.cpp
+++ b/src/routing/priority_scale.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kLast = PriorityScale::kLate - 1;
-constexpr std::size_t kSpread = 5;  // up to so many stand two apart, from 1
+constexpr std::size_t kSpread = 5;  // up to so many precedences are spaced two apart, starting at 1
 
 }  // namespace
 
--- a/src/routing/priority_scale.h
+++ b/src/routing/priority_scale.h
@@ -1,4 +1,4 @@
-// The runner's Priority header for each precedence of a configuration.
+// Maps each precedence of a configuration to a value of the Priority header that is sent to runners.
 #pragma once
 
 #include <vector>
@@ -12,13 +12,13 @@
   PriorityScale() = default;
   explicit PriorityScale(const messages::Configuration& configuration);
 
-  // 0 (first) to 8; more urgent precedences never get a higher number than less urgent ones.
+  // 0 (most urgent) to 8; a more urgent precedence never gets a higher number than a less urgent one.
   int PriorityOf(int precedence) const;
-  // Of a request whose objective has passed: it comes after all that may still be in time.
+  // For a request whose objective has passed: it is served after all that may still be in time.
   static constexpr int kLate = 9;
 
  private:
-  std::vector<int> precedences_;  // combined ones that can come up, most urgent first
+  std::vector<int> precedences_;  // all combined precedences that can occur, most urgent first
 };
 
 }  // namespace lichenlug::routing
--- a/src/routing/prompt_home.h
+++ b/src/routing/prompt_home.h
@@ -1,4 +1,4 @@
-// Where a request starts on the ring of runners. Pure.
+// The position on the ring of runners where the search for a request's runner begins. Pure function.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,10 @@
 
 namespace lichenlug::routing {
 
-// The key of a request whose home is found by its model or adapter and by the parts of its prompt that others
-// share: all but the last one, which is the request's own or its session's. Requests that share these parts
-// meet at one runner, which has read them already; the groups of a busy model spread over all its holders.
+// Returns the ring key of a request, derived from its model or adapter and from the parts of its prompt that
+// other requests share: all but the last one, which belongs to the request or its session alone. Requests
+// that share these parts are sent to the same runner, which has already processed them, while the groups of
+// a busy model are spread over all of its holders.
 std::uint64_t PromptHome(Holding needs, const std::vector<std::string>& prompt_parts);
 
 }  // namespace lichenlug::routing
--- a/src/routing/request_flow.h
+++ b/src/routing/request_flow.h
@@ -1,5 +1,5 @@
-// The way of each request from its arrival to its end: which attempts were made, what may still be done, and
-// the decision module's actions turned into decisions.
+// Tracks each request from arrival to completion: the attempts made, what may still be tried, and the
+// translation of the decision module's actions into decisions for the data plane.
 #pragma once
 
 #include <cstdint>
@@ -24,12 +24,13 @@
   DispatcherCount& dispatchers() { return dispatchers_; }
   const DemandTable& demand() const { return demand_; }
   bool TakeNewlyUnserved() { return demand_.TakeNewlyUnserved(); }
-  bool Uses(const ServiceState& service) const;  // a request of it is still held
+  bool Uses(const ServiceState& service) const;  // it has unfinished requests
   void SetBounds(const Bounds& bounds) { bounds_ = bounds; }
   void SetRunnersKnown(bool known) { runners_known_ = known; }
   void SetMechanisms(const Mechanisms& mechanisms) { mechanisms_ = mechanisms; }
 
-  // `service` is null where the configuration has none of the name. `priority`: the runner's header.
+  // `service` is null if the configuration has none of that name. `priority` is the value of the Priority
+  // header.
   void Arrived(Time now, const Arrival& arrival, int priority, ServiceState* service,
                std::vector<Decision>* decisions);
   void FirstEvent(Time now, RequestNumber request, int attempt);
@@ -38,12 +39,12 @@
   void Gone(Time now, RequestNumber request, std::vector<Decision>* decisions);
   bool MayReplace(Time now, RequestNumber request) const;
 
-  // Tells the service's module of changes of its runners.
+  // Passes changes of the runner table to the service's module.
   void TellChanges(Time now, ServiceState* service, const RunnerTable::Changes& changes,
                    std::vector<Decision>* decisions);
   void FireTimers(Time now, ServiceState* service, std::vector<Decision>* decisions);
-  // Requests that are held for a load: sent once a ready runner holds what they need, ended when their time
-  // is up.
+  // Handles the requests that are held for a load: dispatches those whose model or adapter a ready runner now
+  // holds and ends those whose hold time is over.
   void ServeHeld(Time now, ServiceState* service, std::vector<Decision>* decisions);
   std::optional<Time> NextHeldEnd(const ServiceState& service) const;
 
@@ -54,7 +55,7 @@
     Time sent = 0;
     Fate fate = Fate::kOut;
     bool begun = false;
-    bool reached = true;  // the runner; false once it turns out that nothing was sent
+    bool reached = true;  // the request reached the runner; false if the connection failed
   };
   struct Request {
     RequestNumber number = 0;
@@ -62,12 +63,12 @@
     DemandKey key;
     ClassKey alike;
     Holding needs = 0;
-    std::uint64_t home = 0;  // where its set begins on the ring
+    std::uint64_t home = 0;  // ring key where its worker set begins
     Time deadline = 0;
-    Time held_until = 0;  // for a load; 0: never held
+    Time held_until = 0;  // while waiting for a load; 0: never held
     int tries = 1, priority = 5;
     bool repeatable = false, stream = false, came_back = false;
-    bool ended = false;  // its end was told; kept until its attempts are closed
+    bool ended = false;  // its outcome was reported; kept until all its attempts are closed
     std::vector<Attempt> attempts;
   };
 
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -5,8 +5,8 @@
 namespace lichenlug::routing {
 namespace {
 
-// What is left over covers requests that count in another window here than where the rule is judged, and
-// views of the dispatchers that differ for a moment.
+// The remainder is a safety margin. It covers requests that fall into a different window here than where the
+// rule is checked, and dispatchers that briefly disagree about how many of them are live.
 constexpr double kRatioPart = 0.85;
 constexpr double kSlackPart = 0.8;
 constexpr Time kRememberedWindows = 30;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,6 +1,7 @@
-// The retry budget of one service: how many repeats this dispatcher may send it, so that the repeats of all
-// dispatchers together stay within ratio x requests + slack in every sliding window without any of them
-// asking another. Each spends a part of the ratio on its own requests, and its even part of the slack.
+// The retry budget of one service: how many retries this dispatcher may send, so that the retries of all
+// dispatchers together stay within ratio x requests + slack in every sliding window without coordination
+// between them. Each dispatcher may spend a fraction of the ratio on its own requests plus an equal share of
+// the slack.
 #pragma once
 
 #include <deque>
@@ -11,7 +12,7 @@
 
 namespace lichenlug::routing {
 
-// How many dispatchers there are, and the most there were in the last minutes. Shared by all budgets.
+// The number of live dispatchers, now and at its recent maximum (over some minutes). Shared by all budgets.
 class DispatcherCount {
  public:
   explicit DispatcherCount(Time started) : started_(started) {}
@@ -19,8 +20,9 @@
   void Set(Time now, Time window, int live);
   int live() const { return counts_.empty() ? 0 : counts_.back().count; }
 
-  // This dispatcher's even part of the slack. None for the first window of a life: its last life's repeats
-  // may still be in it. The part does not grow when others are lost: they may be at work behind a cut.
+  // This dispatcher's equal share of the slack. It is 0 during the first window after a start, which may
+  // still contain retries sent before a restart. The share does not grow at once when other dispatchers are
+  // lost, because they may still be running behind a network partition.
   double ShareOf(Time now, double slack, Time window) const;
 
  private:
@@ -30,7 +32,7 @@
   };
 
   Time started_;
-  std::deque<Count> counts_;  // smaller and smaller; the last is the one of now
+  std::deque<Count> counts_;  // strictly decreasing; the last is the current one
 };
 
 class RetryBudget {
@@ -39,7 +41,8 @@
 
   void CountRequest(Time now) { requests_.Add(now); }
   void CountRepeat(Time now) { repeats_.Add(now); }
-  // Whether one more repeat fits into this part of the budget; the rest is kept for what needs it more.
+  // Whether one more retry fits into this fraction of the budget; the rest is reserved for requests that need
+  // it more.
   bool Allows(Time now, const Bounds& bounds, const DispatcherCount& dispatchers, double part = 1) const;
 
  private:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -24,7 +24,7 @@
   return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
 }
 
-// The colons of a bracketed IPv6 address are not a port's.
+// The colons inside a bracketed IPv6 address do not introduce a port.
 std::string_view WithoutPort(std::string_view host) {
   const std::size_t bracket = host.rfind(']');
   const std::size_t colon = host.rfind(':');
@@ -34,7 +34,7 @@
 
 std::string_view PathOf(std::string_view target) { return target.substr(0, target.find_first_of("?#")); }
 
-// The key of `Bearer KEY`; empty where there is none.
+// The key of `Bearer KEY`; empty if there is none.
 std::string_view KeyOf(std::string_view authorization) {
   const std::string_view value = Trimmed(authorization);
   if (value.size() <= kBearer.size() || LowerCase(value.substr(0, kBearer.size())) != kBearer) return {};
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,4 +1,4 @@
-// Which route and tenant a request belongs to. Pure; built anew for each configuration.
+// Finds the route and tenant of a request. Immutable; rebuilt for each configuration.
 #pragma once
 
 #include <cstddef>
@@ -17,21 +17,21 @@
 enum class RouteKind { kSafe, kUnsafe, kStream };
 
 struct RouteMatch {
-  const messages::Route* route = nullptr;    // lives as long as the Router
+  const messages::Route* route = nullptr;    // valid as long as the Router
   const messages::Tenant* tenant = nullptr;  // null: anonymous
   RouteKind kind = RouteKind::kUnsafe;
   bool repeatable = false;  // safe, or a stream that may be resumed
-  int precedence = 0;       // the tenant's goes before the route's; 0 first
+  int precedence = 0;       // ordered by the tenant's, then the route's; 0 is the most urgent
 };
 struct RouteRefusal {
-  int status = 404;     // 404 no route, 401 no or unknown key
+  int status = 404;     // 404: no route; 401: missing or unknown key
   std::string message;  // one line
 };
 
-// The route's part of a precedence is its rest by this, the tenant's what is left.
+// A combined precedence is tenant precedence x kRoutePrecedences + route precedence.
 inline constexpr int kRoutePrecedences = 16;
 
-// How urgent a request is, 0 first; `tenant` is null for an anonymous one.
+// The combined precedence of a request, 0 the most urgent. `tenant` is null for an anonymous request.
 int CombinedPrecedence(const messages::Tenant* tenant, const messages::Route& route);
 
 class Router {
@@ -40,15 +40,14 @@
 
   std::int64_t edition() const { return configuration_->edition(); }
 
-  // `authorization` is the header's value, empty where there is none. `target` may carry a query.
+  // `authorization` is the value of the Authorization header, empty if absent. `target` may include a query.
   std::variant<RouteMatch, RouteRefusal> Match(std::string_view host, std::string_view target,
                                                std::string_view authorization) const;
-  // The service for one request, by the route's weights; `draw` in [0, 1).
+  // Chooses the service for a request by the route's weights; `draw` is a random number in [0, 1).
   static const std::string& ServiceOf(const messages::Route& route, double draw);
 
  private:
-  // The routes of a host. A look-up costs one step for each length of a prefix, however many routes there
-  // are.
+  // The routes of a host. A lookup costs one step per distinct prefix length, however many routes there are.
   struct HostRoutes {
     std::unordered_map<std::string_view, const messages::Route*> by_prefix;
     std::vector<std::size_t> lengths;  // of the prefixes, longest first
@@ -58,7 +57,7 @@
   const messages::Tenant* TenantOf(std::string_view authorization) const;
 
   std::shared_ptr<const messages::Configuration> configuration_;
-  std::unordered_map<std::string, HostRoutes> hosts_;  // by name in lower case, without a port
+  std::unordered_map<std::string, HostRoutes> hosts_;  // by lowercase name without port
   std::unordered_map<std::string_view, const messages::Tenant*> tenants_by_key_;
 };
 
