--- a/src/delta/text_delta.cpp
+++ b/src/delta/text_delta.cpp
@@ -8,7 +8,7 @@
 constexpr char kPieceEnd = '}';
 constexpr std::size_t kLongestPiece = 64;
 
-// The piece that begins at `start`.
+// Returns the piece that begins at `start`.
 std::string_view PieceAt(std::string_view text, std::size_t start) {
   const std::string_view longest = text.substr(start, kLongestPiece);
   const std::size_t end = longest.find(kPieceEnd);
@@ -27,7 +27,8 @@
   return places;
 }
 
-// Where the base holds the piece; where it goes on after the last copy if it can, so that copies grow long.
+// Finds the piece in the base, preferring the position right after the last copy, so that adjacent copies
+// merge into long ones.
 std::optional<std::size_t> Find(std::string_view base, const Places& places, std::string_view piece,
                                 std::size_t after_last) {
   if (after_last <= base.size() && base.substr(after_last).starts_with(piece)) return after_last;
--- a/src/delta/text_delta.h
+++ b/src/delta/text_delta.h
@@ -1,6 +1,6 @@
-// Differences between two versions of a text or record, by the pieces that they share. A piece ends behind a
-// closing brace, so the items of a configuration that did not change are found wherever they stand now, or
-// after 64 bytes, so that what is appended to a long list of numbers is short too.
+// Deltas between two versions of a text or record, built from the pieces that both share. A piece ends after
+// a closing brace, so that unchanged items of a configuration are found wherever they have moved, or after 64
+// bytes, so that appending to a long list of numbers also gives a short delta.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 messages::TextDelta MakeDelta(std::string_view base, std::string_view target);
 
-// None where the delta does not fit the base, or makes more than `max_size`.
+// Returns nullopt if the delta does not match the base or the result would exceed `max_size` bytes.
 std::optional<std::string> ApplyDelta(std::string_view base, const messages::TextDelta& delta,
                                       std::size_t max_size);
 
--- a/src/routing/decisions.cpp
+++ b/src/routing/decisions.cpp
@@ -15,7 +15,7 @@
  public:
   Impl(Time now, std::uint64_t seed) : now_(now), flow_(now, seed) {}
 
-  // Time never goes back for what is held here.
+  // Clamps the caller's time so that the state here never sees it go backwards.
   Time Now(Time now) { return now_ = std::max(now_, now); }
 
   void Install(std::shared_ptr<const Snapshot> snapshot, std::vector<Decision>* decisions) {
@@ -36,7 +36,7 @@
   void Arrived(const Arrival& arrival, std::vector<Decision>* decisions) {
     const auto found = services_.find(arrival.service);
     const bool known = found != services_.end() && found->second->configured;
-    if (known) ExpireWithheld(found->second.get(), decisions);  // no timer tells while there are no requests
+    if (known) ExpireWithheld(found->second.get(), decisions);  // no timer runs while there are no requests
     const int priority = arrival.late ? PriorityScale::kLate : priorities_.PriorityOf(arrival.precedence);
     flow_.Arrived(now_, arrival, priority, known ? found->second.get() : nullptr, decisions);
   }
@@ -99,7 +99,7 @@
     }
   }
 
-  // A service that the configuration has dropped is kept until its last request has ended.
+  // A service that was removed from the configuration is kept until its last request has ended.
   void DropUnused() {
     std::erase_if(services_,
                   [this](const auto& item) { return !item.second->configured && !flow_.Uses(*item.second); });
--- a/src/routing/held_requests.cpp
+++ b/src/routing/held_requests.cpp
@@ -1,4 +1,4 @@
-// Requests whose model or adapter no ready runner holds: held where its load is likely to end in time.
+// Requests whose model or adapter no ready runner holds: they are held if its load is likely to end in time.
 #include <algorithm>
 #include <utility>
 
@@ -7,12 +7,14 @@
 namespace lichenlug::routing {
 namespace {
 
-// Of its objective, on the safe side, the answer of a request held for a load has to have begun by.
+// A request is held for a load only if the answer should begin within this fraction of its objective. The
+// rest is a safety margin.
 constexpr double kObjectivePart = 0.9;
-// A client that was refused before comes no third time: a late answer is worth more to it than a refusal.
-// What is left of its time is for the run, and to tell it in time that nothing came.
+// A client that was refused before does not retry a third time, so a late answer is worth more to it than a
+// refusal. It is held for up to this fraction of its remaining time. The rest is for the run, or for refusing
+// it in time if the load does not end.
 constexpr double kCameBackPart = 0.4;
-constexpr Time kRunnersHeardAfter = 1500 * kMillisecond;  // their heartbeats come about so often
+constexpr Time kRunnersHeardAfter = 1500 * kMillisecond;  // about one heartbeat interval of the runners
 
 }  // namespace
 
@@ -39,7 +41,7 @@
   return true;
 }
 
-// This dispatcher has just begun: runners that hold what it needs are about to be heard.
+// This dispatcher has just started: heartbeats of runners that hold what the request needs may still arrive.
 void RequestFlow::HoldForRunners(Time now, Request* request) {
   const auto left = static_cast<double>(request->deadline - now);
   request->held_until = now + std::min(static_cast<Time>(kCameBackPart * left), kRunnersHeardAfter);
--- a/src/routing/request_actions.cpp
+++ b/src/routing/request_actions.cpp
@@ -1,4 +1,4 @@
-// What the decision module wants done, as decisions for the data plane.
+// Translates the actions of the decision module into decisions for the data plane.
 #include <algorithm>
 #include <utility>
 
@@ -56,7 +56,7 @@
   ForgetEnded(action.id);
 }
 
-// The attempt is closed at once: the data plane closes its connection, which ends the run.
+// The attempt is closed immediately: the data plane closes its connection, which ends the run.
 void RequestFlow::Do(Time now, ServiceState* service, const rookgw::CancelAttempt& action,
                      std::vector<Decision>* decisions) {
   Request* request = Find(action.id);
--- a/src/routing/request_flow.cpp
+++ b/src/routing/request_flow.cpp
@@ -10,11 +10,12 @@
 
 constexpr std::size_t kMaxDemandKeys = 8192;
 constexpr Time kMinRetryAfter = 50 * kMillisecond, kMaxRetryAfter = kSecond;
-constexpr Time kUnknownRetryAfter = 300 * kMillisecond;  // before a run was seen, or a service
-// Of the retry budget, for requests that lose little by a refusal, since their clients come back. The rest is
-// for those that came back already and those that may have run: for them this is the last chance.
+constexpr Time kUnknownRetryAfter = 300 * kMillisecond;  // for an unknown service or before its first answer
+// Fraction of the retry budget that is open to requests that lose little by a refusal, since their clients
+// retry. The rest is reserved for requests of clients that have already retried and for requests that may
+// have run: this is their last chance.
 constexpr double kFirstTryPart = 0.6;
-constexpr Time kLeftByRetryAfter = 3;  // clients honour it up to a third of what is left
+constexpr Time kLeftByRetryAfter = 3;  // clients honour Retry-After up to a third of their remaining time
 
 rookgw::Outcome ModuleOutcome(AttemptOutcome outcome, bool begun) {
   switch (outcome) {
@@ -31,7 +32,7 @@
       return rookgw::Outcome::kConnectFailed;
     case AttemptOutcome::kBroken:
       return rookgw::Outcome::kReset;
-    case AttemptOutcome::kTimeout:  // one that has begun to answer is slow, not gone
+    case AttemptOutcome::kTimeout:  // a runner that has begun to answer is slow, not dead
       return begun ? rookgw::Outcome::kCancelled : rookgw::Outcome::kTimeout;
     case AttemptOutcome::kCancelled:
       break;
@@ -85,11 +86,11 @@
   ForgetEnded(arrival.request);
 }
 
-// Hands it to the decision module.
+// Passes the request to the decision module.
 void RequestFlow::Begin(Time now, Request* request, std::vector<Decision>* decisions) {
   ServiceState* const service = request->service;
   ServiceScheduler& scheduler = service->Scheduler(now, request->alike, random_(), dispatchers_.live());
-  FireTimers(now, service, decisions);  // none fires while there are no requests
+  FireTimers(now, service, decisions);  // timers do not fire while there are no requests
   rookgw::RequestArrived event;
   event.id = request->number;
   if (request->needs != 0) event.key = request->home;
@@ -103,11 +104,11 @@
   Request* request = Find(number);
   Attempt* attempt = FindOpen(request, attempt_number);
   if (attempt == nullptr || std::exchange(attempt->begun, true)) return;
-  std::vector<rookgw::Action> none;  // neither event has the module act
+  std::vector<rookgw::Action> none;  // neither event causes an action
   request->service->scheduler->Tell(
       now, rookgw::AttemptUpdate{number, attempt_number, rookgw::AttemptUpdate::Kind::kStarted, 0}, &none);
-  // A stream that has begun may go on past its deadline; one that may be taken up again is ended at it, for
-  // it could be waiting for its next run.
+  // A stream that has begun may continue past its deadline. A resumable one is ended at its deadline, because
+  // it could be waiting for its next attempt.
   if (request->stream && !request->repeatable)
     request->service->scheduler->Tell(now, rookgw::StreamStarted{number, attempt_number}, &none);
 }
@@ -196,7 +197,8 @@
   Translate(now, service, actions, decisions);
 }
 
-// Says whether the rejection of an attempt tells nothing of the runner's room.
+// Updates the runner table after an attempt. Returns whether the runner's rejection says nothing about its
+// free capacity.
 bool RequestFlow::NoteRunner(Time now, const Request& request, const Attempt& attempt, AttemptOutcome outcome,
                              std::vector<Decision>* decisions) {
   RunnerTable::Changes changes;
@@ -219,7 +221,7 @@
   return MayReachAnother(now, request);
 }
 
-// The budget counts what arrives at runners beyond the first attempt that did.
+// The budget counts every attempt that reaches a runner after the request's first one that did.
 bool RequestFlow::MayReachAnother(Time now, const Request& request) const {
   const bool first = std::ranges::none_of(request.attempts, &Attempt::reached);
   const bool may_be_refused = !request.came_back && !MayHaveRun(request);
@@ -235,8 +237,8 @@
     decisions->emplace_back(Refuse{request->number, Bounded(now, request->deadline, retry_after)});
 }
 
-// Where no ready runner holds what it needs, when that may be loaded; else when a run should have ended,
-// spread so that refused clients do not come back together.
+// If no ready runner holds the model or adapter, the estimated time until it is loaded. Otherwise about the
+// mean run time, with jitter so that refused clients do not retry at the same moment.
 Time RequestFlow::RetryAfter(Time now, const Request& request) {
   const ServiceState& service = *request.service;
   if (request.needs != 0 && !service.runners.AnyReady(request.needs))
--- a/src/routing/runner_table.cpp
+++ b/src/routing/runner_table.cpp
@@ -13,9 +13,9 @@
 using rookgw::ListedWorker;
 
 constexpr Time kWithholdFor = 1500 * kMillisecond;
-constexpr Time kRejectedFor = 2 * kSecond;  // an unload waits for the runs of what it drops
+constexpr Time kRejectedFor = 2 * kSecond;  // an unload first waits for the runs that use the model
 constexpr Time kFullFor = 400 * kMillisecond;
-constexpr double kColdPart = 0.6;  // of its slots are counted on while a runner is slow from its start
+constexpr double kColdPart = 0.6;  // fraction of the slots used while a runner is still slow after its start
 
 ListedWorker::State StateOf(const messages::RunnerRecord& record, bool gone) {
   if (gone) return ListedWorker::State::kGone;
@@ -24,7 +24,7 @@
                                                      : ListedWorker::State::kGone;
 }
 
-// Records are merged by these: there is never another one with the same.
+// Records are merged by call count and state, so two records that agree in these are the same.
 bool SameRecord(const messages::RunnerRecord& a, const messages::RunnerRecord& b) {
   return a.call_count() == b.call_count() && a.state() == b.state();
 }
--- a/src/routing/runner_table.h
+++ b/src/routing/runner_table.h
@@ -1,5 +1,6 @@
-// The runners of one service as the decision module is told of them: what each holds, less what was found not
-// to be there after all. Says what has changed, so that the module's list is patched and never sent whole.
+// The runners of one service as reported to the decision module: the models and adapters each one holds,
+// without those that a runner turned out not to have. Reports changes only, so that the module's list is
+// patched instead of being sent as a whole.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace lichenlug::routing {
 
-using Holding = std::uint64_t;  // hash of a model or of one of its adapters; 0: anything will do
+using Holding = std::uint64_t;  // hash of a model or of one of its adapters; 0: any runner will do
 
 Holding HoldingOf(std::string_view model, std::string_view adapter);
 
@@ -26,38 +27,38 @@
 
   explicit RunnerTable(std::string own_zone) : own_zone_(std::move(own_zone)) {}
 
-  // All runners of the service there are now.
+  // Replaces the records by those of all current runners of the service.
   void Update(const std::vector<const messages::RunnerRecord*>& records, Changes* changes);
 
-  // The runner says that it doesn't hold it: not asked again before a newer record, or for a moment.
+  // The runner reported that it does not hold it: not used for it until a newer record or a short time later.
   void Withhold(Time now, const std::string& runner_id, Holding holding, Changes* changes);
-  // The runner has rejected a request for what it says it holds: it is not asked for it for a moment, if
-  // another ready runner holds it. Says whether an order for it must be under way, most likely its unload:
-  // with so few of this dispatcher's requests the runner can't be full.
+  // The runner has rejected a request for something that it claims to hold: it is not used for it for a short
+  // time, if another ready runner holds it. Returns whether an order for it must be under way, most likely an
+  // unload: with so few open requests of this dispatcher the runner can't be full.
   bool NoteRejected(Time now, const std::string& runner_id, Holding holding, int live_dispatchers,
                     Changes* changes);
   void CountOpen(const std::string& runner_id, int change);  // attempts of this dispatcher
-  // Another runner answers at its address: gone until a newer record.
+  // Another runner answers at its address: treated as gone until a newer record.
   void MarkGone(const std::string& runner_id, Changes* changes);
-  void Expire(Time now, Changes* changes);  // gives back what was withheld for long enough
+  void Expire(Time now, Changes* changes);  // ends the withholding that has run out
   std::optional<Time> NextExpiry() const;
 
   bool AnyReady(Holding holding) const;                // a ready runner holds it
   std::string AddressOf(const std::string& id) const;  // empty: not known
-  Changes All() const;                                 // for a module that starts
+  Changes All() const;                                 // initial list for a new module
 
  private:
   struct Withheld {
     Holding holding = 0;
     Time until = 0;
-    bool until_newer = true;  // or a newer record before
+    bool until_newer = true;  // a newer record ends it early
   };
   struct Runner {
     messages::RunnerRecord record;
     bool gone = false;  // until a record with a higher call count
     std::vector<Withheld> withheld;
     int open = 0;                 // attempts of this dispatcher
-    rookgw::ListedWorker listed;  // as last told
+    rookgw::ListedWorker listed;  // as last reported to the module
   };
 
   rookgw::ListedWorker Describe(const Runner& runner) const;
--- a/src/routing/service_brain.cpp
+++ b/src/routing/service_brain.cpp
@@ -8,22 +8,22 @@
 namespace lichenlug::routing {
 namespace {
 
-constexpr std::size_t kMaxClasses = 64;  // later ones are taken for the likest
-// A refusal within this part of the objective still leaves the client's next try its worth.
+constexpr std::size_t kMaxClasses = 64;  // beyond this, a request joins an existing class with equal effects
+// A refusal within 1/kHeldPart of the objective leaves the client's retry enough time to succeed.
 constexpr int kHeldPart = 4;
-// A client that comes back comes no third time, and even a late answer has worth to it.
+// A client that retries does not do so a third time, and even a late answer has value for it.
 constexpr int kCameBackObjectives = 3;
 constexpr Time kMaxCameBackWait = kSecond;
-// A late answer has a worth too, so no request is given up because its run is longer than its objective.
+// A late answer still has value, so no request is given up because its run takes longer than its objective.
 constexpr double kNeverHopeless = 1e6;
 constexpr double kLateValue = 0.5;
-constexpr double kPrecedenceStep = 10;   // of worth, in powers of two: more than runs differ in length
+constexpr double kPrecedenceStep = 10;   // in powers of two of worth; exceeds the spread of run times
 constexpr int kMaxPrecedence = 90;       // keeps the worth above 0
-constexpr double kCrossZoneFee = 0.001;  // any fee makes the module prefer its own zone
-constexpr int kMaxAttempts = 16;         // the route's `tries` are counted by the caller
+constexpr double kCrossZoneFee = 0.001;  // any positive fee makes the module prefer its own zone
+constexpr int kMaxAttempts = 16;         // the caller enforces the request's `tries`
 constexpr Time kMaxRetryAfter = kSecond;
 constexpr int kErrorFailures =
-    3;  // many dispatchers share a runner: each sees too few errors to wait for more
+    3;  // many dispatchers share a runner, so each sees too few errors to wait for more
 
 rookgw::ClassSettings SettingsOf(const ClassKey& key) {
   rookgw::ClassSettings settings;
@@ -41,7 +41,7 @@
   return settings;
 }
 
-// Class 0 serves where the table of classes is full, so it repeats nothing.
+// Class 0 is the fallback when the class table is full, so it must not repeat anything.
 ClassKey FirstClass(const ServiceScheduler::Setup& setup) {
   ClassKey first = setup.first_class;
   first.repeatable = false;
@@ -61,7 +61,7 @@
   settings.cancelling = true;
   settings.retry_after = true;
   settings.max_retry_after = kMaxRetryAfter;
-  settings.repeats_marked = true;  // a client's repeat is not told from a first try
+  settings.repeats_marked = true;  // the module must not try to detect client retries by itself
   settings.reports_starts = true;
   settings.silence = setup.silence;
   settings.failures_per_error = kErrorFailures;
--- a/src/routing/service_brain.h
+++ b/src/routing/service_brain.h
@@ -1,4 +1,4 @@
-// The decision module of one service: its settings, its classes of requests and its timers.
+// The decision module of one service with its settings, request classes and timers.
 #pragma once
 
 #include <compare>
@@ -14,7 +14,7 @@
 
 namespace lichenlug::routing {
 
-// Requests of one class are alike to the module. Few, however many routes there are.
+// The module treats all requests of a class the same way. There are few classes, however many routes exist.
 struct ClassKey {
   Time objective = 0;
   bool repeatable = false;
@@ -31,19 +31,19 @@
   struct Setup {
     std::uint64_t seed = 0;
     int live_dispatchers = 1;
-    bool zoned = false;  // runners of the own zone are preferred
-    Time silence = 0;    // a runner this long without a sign of life while it should begin is passed over
+    bool zoned = false;  // prefer runners in the dispatcher's own zone
+    Time silence = 0;    // a runner that shows no activity for this long with unstarted attempts is ejected
     ClassKey first_class;
   };
 
   ServiceScheduler(Time now, const Setup& setup);
 
-  // Tells one event and appends what is to be done; timers are kept here.
+  // Handles one event and appends the resulting actions, except timers, which are kept here.
   void Tell(Time now, const rookgw::Event& event, std::vector<rookgw::Action>* actions);
   void FireTimers(Time now, std::vector<rookgw::Action>* actions);
   std::optional<Time> NextTimer() const;  // none while there are no requests
 
-  int ClassOf(const ClassKey& key);  // a new one where there is none like it
+  int ClassOf(const ClassKey& key);  // adds a class if there is none like it
   void SetLiveDispatchers(int live) { scheduler_.SetInstances(live); }
   bool idle() const { return scheduler_.sizes().requests == 0; }
 
@@ -51,8 +51,8 @@
   void KeepTimers(Time now, std::size_t from, std::vector<rookgw::Action>* actions);
 
   rookgw::Scheduler scheduler_;
-  std::vector<ClassKey> classes_;                     // by number
-  std::vector<std::pair<Time, std::string>> timers_;  // a few
+  std::vector<ClassKey> classes_;                     // indexed by class number
+  std::vector<std::pair<Time, std::string>> timers_;  // due time and token; only a few
 };
 
 }  // namespace lichenlug::routing
--- a/src/routing/service_state.cpp
+++ b/src/routing/service_state.cpp
@@ -3,7 +3,7 @@
 namespace lichenlug::routing {
 namespace {
 
-// Signs of life are frequent at an engine; a whole answer of other services may take longer.
+// Engines send events frequently; other services may stay silent until their complete answer.
 constexpr Time kEngineSilence = kSecond, kOtherSilence = 2 * kSecond;
 
 }  // namespace
@@ -26,7 +26,7 @@
                                    .silence = has_engine ? kEngineSilence : kOtherSilence,
                                    .first_class = first});
   const RunnerTable::Changes all = runners.All();
-  std::vector<rookgw::Action> none;  // no request is there yet
+  std::vector<rookgw::Action> none;  // there are no requests yet
   scheduler->Tell(
       now, rookgw::ListChanged{.form = rookgw::ListChanged::Form::kWhole, .version = 0, .workers = all},
       &none);
--- a/src/routing/service_state.h
+++ b/src/routing/service_state.h
@@ -1,4 +1,4 @@
-// What is held of one service: its runners, its decision module and its retry budget.
+// The state of one service: its runners, its decision module and its retry budget.
 #pragma once
 
 #include <cstdint>
@@ -25,25 +25,25 @@
 
   void Configure(const messages::Service& service);
 
-  // The module, made for the first request.
+  // Returns the module, which is created for the first request.
   ServiceScheduler& Scheduler(Time now, const ClassKey& first, std::uint64_t seed, int live_dispatchers);
 
-  // Models that the operator has given the service; a service without an engine has none.
+  // Whether the operator has configured the model for the service; a service without an engine has none.
   bool Knows(const std::string& model) const { return load_times.contains(model); }
-  // What the load of what no ready runner holds takes by itself: nothing for an adapter of a model that is
-  // there.
+  // The load time, without overhead, of a model or adapter that no ready runner holds: 0 for an adapter whose
+  // model is loaded.
   Time LoadTime(const std::string& model, const std::string& adapter) const;
 
   std::string name;
   RunnerTable runners;
   RetryBudget budget;
   LoadForecast forecast;
-  std::vector<RequestNumber> held;  // for what may be loaded in time, the first to come first
+  std::vector<RequestNumber> held;  // requests waiting for a load or for runners, in order of arrival
   std::unique_ptr<ServiceScheduler> scheduler;
-  RunningMean run_time;  // of answers, in microseconds
+  RunningMean run_time;  // of served requests, in microseconds
   bool configured = false, has_engine = false;
   bool zoned = false;
-  std::unordered_map<std::string, Time> load_times;  // of models, by name
+  std::unordered_map<std::string, Time> load_times;  // by model name
 };
 
 }  // namespace lichenlug::routing
--- a/src/routing/sliding_counter.h
+++ b/src/routing/sliding_counter.h
@@ -1,4 +1,4 @@
-// A count of events in the window before now, in a bounded number of buckets.
+// Counts events in a sliding window, using a fixed number of buckets.
 #pragma once
 
 #include <algorithm>
@@ -20,16 +20,16 @@
     ++bucket.count;
   }
 
-  // No fewer than those of the window: the bucket at its far end counts whole.
+  // Upper bound: counts the oldest, partially covered bucket in full.
   std::int64_t AtLeast(Time now) const { return Sum(now, kBuckets + 1); }
-  // No more than those of the window: the bucket at its far end is left out.
+  // Lower bound: leaves out the oldest, partially covered bucket.
   std::int64_t AtMost(Time now) const { return Sum(now, kBuckets); }
 
  private:
   static constexpr std::size_t kBuckets = 100;
 
   struct Bucket {
-    Time number = -1;  // of the buckets since the clock's zero
+    Time number = -1;  // now / width_, counted from the clock's zero
     std::int64_t count = 0;
   };
 
--- a/src/routing/zones.h
+++ b/src/routing/zones.h
@@ -1,4 +1,4 @@
-// Zones as the decision module is told of them: it only has to know which runners are near.
+// Zone numbers passed to the decision module, which only needs to know which runners are near.
 #pragma once
 
 namespace lichenlug::routing {
