--- a/src/routing/attempt_outcome.cpp
+++ b/src/routing/attempt_outcome.cpp
@@ -17,7 +17,7 @@
     case AttemptOutcome::kConnectFailed:
       return "connect failed";
     case AttemptOutcome::kBroken:
-      return "broke off";
+      return "connection broken";
     case AttemptOutcome::kTimeout:
       return "timeout";
     case AttemptOutcome::kCancelled:
--- a/src/routing/decisions.h
+++ b/src/routing/decisions.h
@@ -63,7 +63,7 @@
 enum class AttemptOutcome {
   kServed,         // a complete answer without a runner error
   kServerError,    // a complete answer with a 5xx status from the runner: the request has run
-  kNotRun,         // the runner reports that it did not run: full, leaving, wrong runner, model not held
+  kNotRun,         // the runner reports that it did not run: full, draining, wrong runner, model not held
   kModelMissing,   // 421 for the model: the record of the runner was out of date
   kWrongRunner,    // 421 because another runner now has the address
   kConnectFailed,  // nothing was sent
--- a/tests/system/delta/text_delta_test.cpp
+++ b/tests/system/delta/text_delta_test.cpp
@@ -13,7 +13,7 @@
   CHECK(ApplyDelta(base, MakeDelta(base, target), kNoLimit) == target);
 }
 
-TEST_CASE("A difference gives back the text, whatever the two are") {
+TEST_CASE("A delta reproduces the target from the base") {
   for (const char* base : {"", "}", "{}", "abc", "{a}{b}{c}", "{a}{a}{a}x"}) {
     for (const char* target :
          {"", "}", "abc", "{a}{b}{c}", "{c}{b}{a}", "{a}x{b}{c}", "{a}{a}{a}{a}", "}}}{"}) {
@@ -22,7 +22,7 @@
   }
 }
 
-TEST_CASE("A difference gives back random texts") {
+TEST_CASE("A delta reproduces random texts") {
   std::mt19937 random(1);
   const auto text = [&] {
     std::string result(random() % 60, ' ');
@@ -32,7 +32,7 @@
   for (int i = 0; i < 5000; ++i) CheckRoundTrip(text(), text());
 }
 
-TEST_CASE("A difference is short where little changed") {
+TEST_CASE("A delta is short if little has changed") {
   std::string base, target;
   for (int i = 0; i < 1000; ++i) {
     const std::string item = "{\"name\":\"item-" + std::to_string(i) + "\",\"value\":12345},";
@@ -45,7 +45,7 @@
   CHECK(ApplyDelta(base, delta, kNoLimit) == target);
 }
 
-TEST_CASE("A difference beyond its base or the limit is refused") {
+TEST_CASE("A delta that exceeds its base or the size limit is rejected") {
   messages::TextDelta delta;
   auto* segment = delta.add_segments();
   segment->set_offset(2);
--- a/tests/system/routing/attempts_test.cpp
+++ b/tests/system/routing/attempts_test.cpp
@@ -1,4 +1,4 @@
-// What follows when an attempt ends without an answer: another runner, a refusal or a failure.
+// Handling of attempts that end without an answer: retry at another runner, refusal or failure.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -32,21 +32,21 @@
     REQUIRE(second.size() == 1);
     CHECK(second[0].attempt == 1);
     CHECK(second[0].runner_id != first.runner_id);
-    // `tries` is the most runners that it may go to.
+    // `tries` is the maximum number of attempts.
     const auto end = fresh.Ended(second[0], outcome);
     REQUIRE(end.size() == 1);
     CHECK(Only<Refuse>(end).size() == 1);
   }
 }
 
-TEST_CASE("a request of one try is refused when it has not run", "[attempts]") {
+TEST_CASE("a request with a single try is refused if it has not run", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   const auto end = dispatcher.Ended(First(&dispatcher, true, 1), AttemptOutcome::kNotRun);
   REQUIRE(end.size() == 1);
   CHECK(Only<Refuse>(end).size() == 1);
 }
 
-TEST_CASE("a request that may have run is repeated only where that is harmless", "[attempts]") {
+TEST_CASE("a request that may have run is retried only if it is repeatable", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   const auto failed = dispatcher.Ended(First(&dispatcher, false), AttemptOutcome::kBroken);
   REQUIRE(failed.size() == 1);
@@ -55,11 +55,11 @@
   const auto second = Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken));
   REQUIRE(second.size() == 1);
   CHECK(second[0].runner_id != first.runner_id);
-  // It has not run at the second, but may have at the first: nothing is promised.
+  // It did not run at the second runner but may have run at the first, so it must fail and not be refused.
   CHECK(Only<Fail>(dispatcher.Ended(second[0], AttemptOutcome::kNotRun)).size() == 1);
 }
 
-TEST_CASE("a stream that has begun is taken up elsewhere", "[attempts]") {
+TEST_CASE("a broken stream is resumed at another runner", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   const StartAttempt first = First(&dispatcher, true);
   dispatcher.decisions.FirstEvent(dispatcher.now, first.request, 0);
@@ -67,7 +67,7 @@
   CHECK(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken)).size() == 1);
 }
 
-TEST_CASE("a stream that nobody can take up fails at its deadline at the latest", "[attempts]") {
+TEST_CASE("a broken stream that no runner can resume fails by its deadline", "[attempts]") {
   Testbed testbed = Runners(2);
   Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
@@ -81,7 +81,7 @@
   CHECK(Only<Fail>(end).size() == 1);
 }
 
-TEST_CASE("a time-out fails, and an end that was final needs no decision", "[attempts]") {
+TEST_CASE("a timeout fails the request, and a final outcome needs no decision", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   const auto failed = dispatcher.Ended(First(&dispatcher, true), AttemptOutcome::kTimeout);
   REQUIRE(failed.size() == 1);
@@ -94,31 +94,32 @@
   }
 }
 
-TEST_CASE("a runner without the model is not asked for it again before it has said more", "[attempts]") {
+TEST_CASE("a runner that lacks the model is not used for it until a newer record or a short time later",
+          "[attempts]") {
   Testbed testbed = Runners(2);
   Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
   REQUIRE(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kModelMissing)).size() == 1);
   dispatcher.Install(testbed);  // the same record again
   for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
-  SECTION("a newer record") {
+  SECTION("until a newer record") {
     testbed.Runner(first.runner_id).set_call_count(2);
     dispatcher.Install(testbed);
   }
-  SECTION("some time") { dispatcher.Wait(1600 * kMillisecond); }
+  SECTION("until the time is over") { dispatcher.Wait(1600 * kMillisecond); }
   std::set<std::string> used;
   for (int i = 0; i < 40; ++i) used.insert(dispatcher.Send("m1"));
   CHECK(used.contains(first.runner_id));
 }
 
-TEST_CASE("a hardly used runner that rejects a model is passed over for it while another holds it",
+TEST_CASE("a nearly idle runner that rejects a model is not used for it while another runner holds it",
           "[attempts]") {
   Testbed testbed = Runners(2);
   for (const char* id : {"r0", "r1"}) testbed.Runner(id).add_models()->set_name("m2");
   Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
   REQUIRE(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kNotRun)).size() == 1);
-  // Its order may still be under way when it next says what it holds.
+  // The order may still be under way when the runner next reports what it holds.
   testbed.Runner(first.runner_id).set_call_count(2);
   dispatcher.Install(testbed);
   const auto used = [&](const std::string& model) {
@@ -128,7 +129,7 @@
   };
   REQUIRE_FALSE(used("m1").contains(first.runner_id));
   CHECK(used("m2").contains(first.runner_id));
-  SECTION("until it holds it anew") {
+  SECTION("until it has reported the model missing and then held again") {
     messages::RunnerRecord& runner = testbed.Runner(first.runner_id);
     const auto models = runner.models();
     runner.clear_models();
@@ -138,11 +139,11 @@
     runner.set_call_count(4);
     dispatcher.Install(testbed);
   }
-  SECTION("for some time") { dispatcher.Wait(2100 * kMillisecond); }
+  SECTION("until the time is over") { dispatcher.Wait(2100 * kMillisecond); }
   CHECK(used("m1").contains(first.runner_id));
 }
 
-TEST_CASE("an only holder that rejects is asked again", "[attempts]") {
+TEST_CASE("the only holder of a model is used again after a rejection", "[attempts]") {
   Dispatcher dispatcher(Runners(1));
   const StartAttempt first = First(&dispatcher, true);
   REQUIRE(dispatcher.Ended(first, AttemptOutcome::kNotRun).empty());
@@ -150,7 +151,7 @@
   CHECK(dispatcher.Send("m1") == first.runner_id);
 }
 
-TEST_CASE("when the last runner turns out not to hold the model, the demand is counted", "[attempts]") {
+TEST_CASE("unserved demand is counted when the last holder turns out not to have the model", "[attempts]") {
   Dispatcher dispatcher(Runners(1));
   const auto refused =
       Only<Refuse>(dispatcher.Ended(First(&dispatcher, true), AttemptOutcome::kModelMissing));
@@ -160,7 +161,7 @@
   CHECK(Only<Refuse>(dispatcher.Arrived(Asking(50, dispatcher.now, "m1"))).size() == 1);
 }
 
-TEST_CASE("another runner at the address: gone until a newer record", "[attempts]") {
+TEST_CASE("a runner whose address belongs to another one is gone until a newer record", "[attempts]") {
   Testbed testbed = Runners(2);
   Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
@@ -175,14 +176,14 @@
   CHECK(used.contains(first.runner_id));
 }
 
-TEST_CASE("a runner that can't be reached is passed over for a while", "[attempts]") {
+TEST_CASE("an unreachable runner is not used for a while", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   const StartAttempt first = First(&dispatcher, true);
   dispatcher.Ended(first, AttemptOutcome::kConnectFailed);
   for (int i = 0; i < 20; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
 }
 
-TEST_CASE("an attempt that reached no runner draws nothing on the retry budget", "[attempts]") {
+TEST_CASE("an attempt that reached no runner does not use the retry budget", "[attempts]") {
   Testbed testbed = Runners(3);
   testbed.bounds.retry_budget = true;
   testbed.bounds.retry_slack = 0;
@@ -190,18 +191,18 @@
   const auto second = Only<StartAttempt>(dispatcher.Ended(First(&dispatcher, true, 3),  //
                                                           AttemptOutcome::kConnectFailed));
   REQUIRE(second.size() == 1);
-  // The second was the first to reach one; a third would be a repeat.
+  // The second attempt was the first to reach a runner; a third would be a retry.
   CHECK(Only<Refuse>(dispatcher.Ended(second[0], AttemptOutcome::kNotRun)).size() == 1);
 }
 
-TEST_CASE("a full runner is passed over for a moment", "[attempts]") {
+TEST_CASE("a full runner is not used for a short time", "[attempts]") {
   Dispatcher dispatcher(Runners(2));
   const StartAttempt first = First(&dispatcher, true);
   dispatcher.Ended(first, AttemptOutcome::kNotRun);
   for (int i = 0; i < 10; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
 }
 
-TEST_CASE("a runner that hangs is passed over once it has been silent", "[attempts]") {
+TEST_CASE("a hanging runner is not used once it has been silent for too long", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   std::set<std::string> used;
   const StartAttempt hung = First(&dispatcher, true);
@@ -214,7 +215,7 @@
   CHECK_FALSE(used.contains(hung.runner_id));
 }
 
-TEST_CASE("a runner that vanishes takes nothing new; its attempts end as they do", "[attempts]") {
+TEST_CASE("a removed runner gets no new requests; its open attempts end normally", "[attempts]") {
   Testbed testbed = Runners(3);
   Dispatcher dispatcher(testbed);
   const StartAttempt first = First(&dispatcher, true);
@@ -226,7 +227,7 @@
   for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
 }
 
-TEST_CASE("a client that leaves has its attempt cancelled", "[attempts]") {
+TEST_CASE("the attempt of a client that disconnects is cancelled", "[attempts]") {
   Dispatcher dispatcher(Runners(3));
   const StartAttempt first = First(&dispatcher, true);
   const auto cancelled = Only<CancelAttempt>(dispatcher.Gone(first.request));
--- a/tests/system/routing/budget_storm_test.cpp
+++ b/tests/system/routing/budget_storm_test.cpp
@@ -1,4 +1,4 @@
-// A storm of failures at many dispatchers: the retry budget that they share without talking.
+// Failures of all requests at many dispatchers, which share a retry budget without coordination.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -13,14 +13,14 @@
 constexpr int kDispatchers = 10;
 constexpr Time kTick = 10 * kMillisecond;
 
-// Repeats in a window against what the rule allows there.
+// Compares the retries in each window with what the budget allows there.
 class BudgetRule {
  public:
   explicit BudgetRule(const Bounds& bounds) : bounds_(bounds) {}
   void Request(Time now) { requests_.push_back(now); }
   void Repeat(Time now) { repeats_.push_back(now); }
 
-  // The most repeats by what is allowed, over all windows that end with a repeat.
+  // The maximum of retries / allowed retries over all windows that end with a retry.
   double Worst() const {
     double worst = 0;
     const auto count = [](const std::deque<Time>& times, Time from, Time to) {
@@ -43,7 +43,7 @@
   std::deque<Time> requests_, repeats_;
 };
 
-TEST_CASE("under a storm of failures all dispatchers together keep the retry budget", "[storm]") {
+TEST_CASE("all dispatchers together stay within the retry budget during a retry storm", "[storm]") {
   Testbed testbed;
   for (int i = 0; i < 9; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
   testbed.live_dispatchers = kDispatchers;
@@ -57,8 +57,8 @@
   std::size_t refused = 0;
   for (Time now = kWorldTime; now < kWorldTime + 60 * kSecond; now += kTick) {
     const Time second = (now - kWorldTime) / kSecond;
-    // A jump of traffic, a pause, and views of the dispatchers that differ from what is true: all are at
-    // work.
+    // A traffic spike, a pause, and wrong views of the number of dispatchers: in truth all of them are
+    // running.
     const double per_tick = second < 15 ? 0.05 : second < 25 ? 0.5 : second < 40 ? 0.002 : 0.1;
     if (now % (7 * kSecond) == 0) {
       testbed.live_dispatchers = second % 2 == 0 || second > 42 ? 4 : kDispatchers;
@@ -75,7 +75,7 @@
         arrival.tries = 4;
         rule.Request(now);
         std::vector<Decision> todo = dispatcher->Arrived(arrival);
-        // Every attempt fails, in one way or the other, and is tried again as long as that is allowed.
+        // Every attempt fails, in one of two ways, and is retried as long as that is allowed.
         for (std::size_t at = 0; at < todo.size(); ++at) {
           refused += std::holds_alternative<Refuse>(todo[at]) ? 1 : 0;
           const auto* started = std::get_if<StartAttempt>(&todo[at]);
--- a/tests/system/routing/decisions_test.cpp
+++ b/tests/system/routing/decisions_test.cpp
@@ -1,4 +1,4 @@
-// Which runner a request goes to, and how it ends.
+// Choice of the runner for a request, and the request's outcome.
 #include "routing/decisions.h"
 
 #include <catch2/catch.hpp>
@@ -52,7 +52,7 @@
   CHECK(started[0].priority == 3);
 }
 
-TEST_CASE("a request that is late already comes after all that may be in time", "[decisions]") {
+TEST_CASE("a request that is already late has a lower priority than any that may be in time", "[decisions]") {
   Testbed testbed;
   testbed.AddRunner("only", "pool", 64, {"m1"});
   Dispatcher dispatcher(testbed);
@@ -67,7 +67,7 @@
   CHECK(first[0].priority > second[0].priority);
 }
 
-TEST_CASE("a draining runner gets nothing new, and its requests go on", "[decisions]") {
+TEST_CASE("a draining runner gets no new requests, and its open ones continue", "[decisions]") {
   Testbed testbed = NineRunners();
   Dispatcher dispatcher(testbed);
   const std::string home = dispatcher.Send("m2");
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_CASE("a model starts at its home, the same at every dispatcher", "[decisions]") {
+TEST_CASE("the first request for a model goes to its home, the same at every dispatcher", "[decisions]") {
   const Testbed testbed = NineRunners();
   std::set<std::string> homes;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -89,7 +89,7 @@
     const auto started = Only<StartAttempt>(dispatcher.Arrived(Asking(1, dispatcher.now, "m1")));
     REQUIRE(started.size() == 1);
     homes.insert(started[0].runner_id);
-    for (RequestNumber number = 2; number < 20; ++number) {  // one at a time needs no second runner
+    for (RequestNumber number = 2; number < 20; ++number) {  // sequential requests need no second runner
       dispatcher.Serve(number - 1);
       dispatcher.now += 300 * kMillisecond;
       homes.insert(Only<StartAttempt>(dispatcher.Arrived(Asking(number, dispatcher.now, "m1")))[0].runner_id);
@@ -122,7 +122,7 @@
   CHECK(std::set<std::string>(before.begin(), before.end()).size() == 9);
 }
 
-TEST_CASE("the set widens under load, and the least loaded member is taken", "[decisions]") {
+TEST_CASE("the worker set grows under load, and its least loaded member is chosen", "[decisions]") {
   Dispatcher dispatcher(NineRunners());
   std::map<std::string, int> held;
   for (int i = 0; i < 9 * 64; ++i) {
@@ -133,23 +133,23 @@
   }
   REQUIRE(held.size() == 9);
   for (const auto& [runner, count] : held) CHECK(count == 64);
-  CHECK(dispatcher.Send("m1").empty());  // all places are taken
+  CHECK(dispatcher.Send("m1").empty());  // all slots are in use
 }
 
-TEST_CASE("a request that finds no place waits within a part of its objective", "[decisions]") {
+TEST_CASE("a request that finds no free slot waits for a fraction of its objective", "[decisions]") {
   Testbed testbed;
   testbed.AddRunner("only", "pool", 2, {"m1"});
   Dispatcher dispatcher(testbed);
   dispatcher.Send("m1"), dispatcher.Send("m1");
   const Time asked = dispatcher.now;
   REQUIRE(dispatcher.Arrived(Asking(3, asked, "m1")).empty());
-  SECTION("it is sent once a place comes free") {
+  SECTION("it is sent once a slot is free") {
     dispatcher.Wait(20 * kMillisecond);
     const auto started = Only<StartAttempt>(dispatcher.Serve(1));
     REQUIRE(started.size() == 1);
     CHECK(started[0].request == 3);
   }
-  SECTION("else it is refused early enough for another try") {
+  SECTION("otherwise it is refused early enough for a retry") {
     const auto ends = dispatcher.Wait(100 * kMillisecond);
     REQUIRE(ends.size() == 1);
     const auto refused = Only<Refuse>(ends);
@@ -158,13 +158,13 @@
     CHECK(refused[0].retry_after > 0);
     CHECK(refused[0].retry_after <= 4 * kSecond);
   }
-  SECTION("a client that leaves frees it") {
+  SECTION("it is dropped when its client disconnects") {
     CHECK(dispatcher.Gone(3).empty());
     CHECK(dispatcher.Wait(kSecond).empty());
   }
 }
 
-TEST_CASE("the more urgent of the waiting go first", "[decisions]") {
+TEST_CASE("more urgent waiting requests are sent first", "[decisions]") {
   Testbed testbed;
   testbed.AddRunner("only", "pool", 1, {"m1"});
   Dispatcher dispatcher(testbed);
@@ -185,7 +185,7 @@
   for (RequestNumber number = 1; number <= 20; ++number) {
     const auto refused = Only<Refuse>(dispatcher.Arrived(Asking(number, dispatcher.now, "unloaded")));
     REQUIRE(refused.size() == 1);
-    // The load is under way from the first request on.
+    // The load counts as begun at the first request.
     const Time gone = static_cast<Time>(number - 1) * 50 * kMillisecond;
     CHECK(refused[0].retry_after == 2500 * kMillisecond - gone);
     dispatcher.now += 50 * kMillisecond;
@@ -194,7 +194,7 @@
   hasty.deadline = dispatcher.now + 1500 * kMillisecond;
   const auto refused = Only<Refuse>(dispatcher.Arrived(hasty));
   REQUIRE(refused.size() == 1);
-  CHECK(refused[0].retry_after == 500 * kMillisecond);  // a third of what is left
+  CHECK(refused[0].retry_after == 500 * kMillisecond);  // a third of the remaining time
 
   const auto recent = dispatcher.decisions.DemandNow(dispatcher.now);
   const Decisions::Demand* demand = Find(recent, "unloaded");
@@ -211,7 +211,7 @@
   CHECK(dispatcher.Send("unloaded") == "r2");
 }
 
-TEST_CASE("an adapter that is not loaded has its client come back soon", "[decisions]") {
+TEST_CASE("a request for an adapter that is not loaded is refused with a short retry time", "[decisions]") {
   Dispatcher dispatcher(NineRunners());
   const auto refused = Only<Refuse>(dispatcher.Arrived(Asking(1, dispatcher.now, "m2/a3")));
   REQUIRE(refused.size() == 1);
@@ -221,13 +221,13 @@
   CHECK(Find(recent, "m2", "a3")->unserved == Approx(1));
 }
 
-TEST_CASE("a model that the operator has not given is refused and not counted", "[decisions]") {
+TEST_CASE("a request for a model that is not configured is refused and not counted", "[decisions]") {
   Dispatcher dispatcher(NineRunners());
   CHECK(Only<Refuse>(dispatcher.Arrived(Asking(1, dispatcher.now, "nobody's"))).size() == 1);
   CHECK(dispatcher.decisions.DemandNow(dispatcher.now).empty());
 }
 
-TEST_CASE("demand tells what runs", "[decisions]") {
+TEST_CASE("demand includes the number of running requests", "[decisions]") {
   Dispatcher dispatcher(NineRunners());
   for (int i = 0; i < 5; ++i) dispatcher.Send("m1");
   dispatcher.Send("m3");
@@ -251,7 +251,7 @@
   CHECK(dispatcher.decisions.DemandNow(dispatcher.now).empty());
 }
 
-TEST_CASE("runners of the own zone are preferred, and others take what overflows", "[decisions]") {
+TEST_CASE("runners of the dispatcher's zone are preferred, and others take the overflow", "[decisions]") {
   Testbed testbed;
   for (int i = 0; i < 6; ++i)
     testbed.AddRunner("r" + std::to_string(i), "pool", 8, {"m1"}).set_zone(i < 3 ? "here" : "there");
@@ -266,7 +266,7 @@
   }
 }
 
-TEST_CASE("a request for a service that is not there is refused", "[decisions]") {
+TEST_CASE("a request for an unknown service is refused", "[decisions]") {
   Dispatcher dispatcher(NineRunners());
   Arrival arrival = Asking(1, dispatcher.now, "m1");
   arrival.service = "nowhere";
@@ -274,7 +274,7 @@
   CHECK(dispatcher.decisions.NextTimer() == std::nullopt);
 }
 
-TEST_CASE("services come and go with the configuration", "[decisions]") {
+TEST_CASE("services are added and removed with the configuration", "[decisions]") {
   Testbed testbed = NineRunners();
   Dispatcher dispatcher(testbed);
   const std::string home = dispatcher.Send("m1");
@@ -284,14 +284,14 @@
   shared.configuration().clear_services();
   dispatcher.Install(shared);
   CHECK(dispatcher.Send("m1").empty());
-  // Its request is still there, and ends as any other.
+  // The request of the removed service is still open and ends normally.
   CHECK(dispatcher.Serve(1).empty());
   dispatcher.Install(shared);
   dispatcher.Install(NineRunners());
   CHECK(dispatcher.Send("m1") == home);
 }
 
-TEST_CASE("classes are added as routes change, and their number has an end", "[decisions]") {
+TEST_CASE("classes are added as requests differ, and their number is bounded", "[decisions]") {
   Testbed testbed;
   testbed.AddRunner("only", "pool", 5000, {"m1"});
   Dispatcher dispatcher(testbed);
--- a/tests/system/routing/held_requests_test.cpp
+++ b/tests/system/routing/held_requests_test.cpp
@@ -1,5 +1,5 @@
-// Requests for a model or adapter that no ready runner holds: held where its load is likely to end in time,
-// else refused with the time of the load's likely end.
+// Requests for a model or adapter that no ready runner holds: they are held if its load is likely to end in
+// time, else refused with the estimated time until the load ends.
 #include <catch2/catch.hpp>
 
 #include "world.h"
@@ -44,7 +44,7 @@
   CHECK(started[0].runner_id == "r1");
 }
 
-TEST_CASE("a held request whose load does not come is refused within its objective", "[held]") {
+TEST_CASE("a held request whose load does not end is refused within its objective", "[held]") {
   Dispatcher dispatcher(OneRunner());
   REQUIRE(dispatcher.Arrived(Patient(1, dispatcher.now, "m1/a1")).empty());
   REQUIRE(dispatcher.Wait(3500 * kMillisecond).empty());
@@ -57,7 +57,7 @@
 
 TEST_CASE("a request is not held for a load that takes longer than its objective", "[held]") {
   Dispatcher dispatcher(OneRunner());
-  Arrival arrival = Patient(1, dispatcher.now, "unloaded");  // 2 s, and some for the order
+  Arrival arrival = Patient(1, dispatcher.now, "unloaded");  // loads in 2 s, plus the order's overhead
   arrival.objective = 2600 * kMillisecond;
   CHECK(Only<Refuse>(dispatcher.Arrived(arrival)).size() == 1);
   arrival.request = 2;
@@ -65,37 +65,37 @@
   CHECK(dispatcher.Arrived(arrival).empty());
 }
 
-TEST_CASE("a client that came back is held for a late answer, with time left for the run", "[held]") {
+TEST_CASE("the request of a retrying client is held for a late answer, with time left for the run",
+          "[held]") {
   Testbed testbed = OneRunner();
   Dispatcher dispatcher(testbed);
   Arrival arrival = Asking(1, dispatcher.now, "m1/a1");
   arrival.came_back = true;
   arrival.deadline = dispatcher.now + 5 * kSecond;
   REQUIRE(dispatcher.Arrived(arrival).empty());
-  SECTION("served once the adapter is there") {
+  SECTION("dispatched once the adapter is loaded") {
     REQUIRE(dispatcher.Wait(1900 * kMillisecond).empty());
     std::vector<Decision> decisions;
     Load(&testbed, &dispatcher, "a1", &decisions);
     CHECK(Only<StartAttempt>(decisions).size() == 1);
   }
-  SECTION("refused before half of its time is gone") {
+  SECTION("refused before half of its time has passed") {
     CHECK(Only<Refuse>(dispatcher.Wait(2100 * kMillisecond)).size() == 1);
   }
-  SECTION("forgotten with its client") {
+  SECTION("dropped when its client disconnects") {
     CHECK(dispatcher.Gone(1).empty());
     CHECK(dispatcher.decisions.NextTimer() == std::nullopt);
   }
 }
 
-TEST_CASE("a client that came back for a model that the operator has not given is refused at once",
-          "[held]") {
+TEST_CASE("a retrying client's request for a model that is not configured is refused at once", "[held]") {
   Dispatcher dispatcher(OneRunner());
   Arrival arrival = Asking(1, dispatcher.now, "nobody's");
   arrival.came_back = true;
   CHECK(Only<Refuse>(dispatcher.Arrived(arrival)).size() == 1);
 }
 
-TEST_CASE("the time to come back is learned from earlier loads", "[held]") {
+TEST_CASE("the retry time is learned from earlier loads", "[held]") {
   Testbed testbed = OneRunner();
   Dispatcher dispatcher(testbed);
   for (int i = 0; i < 20; ++i) {
@@ -111,20 +111,20 @@
   REQUIRE(refused.size() == 1);
   CHECK(refused[0].retry_after > kSecond);
   CHECK(refused[0].retry_after < 1500 * kMillisecond);
-  // One that asks later has less to wait.
+  // A later request has less time to wait.
   dispatcher.now += 500 * kMillisecond;
   const auto later = Only<Refuse>(dispatcher.Arrived(Asking(dispatcher.next++, dispatcher.now, "m1/late")));
   REQUIRE(later.size() == 1);
   CHECK(later[0].retry_after == refused[0].retry_after - 500 * kMillisecond);
 }
 
-TEST_CASE("a part of the retry budget is kept for clients that came back and for what may have run",
+TEST_CASE("part of the retry budget is reserved for retrying clients and requests that may have run",
           "[held]") {
   Testbed testbed;
   for (int i = 0; i < 100; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
   testbed.bounds.retry_ratio = 0;
-  testbed.bounds.retry_slack = 50;  // 40 are spent here
-  // How many requests go on to another runner after their first attempt.
+  testbed.bounds.retry_slack = 50;  // of which 40 may be spent
+  // The number of requests that get a second attempt.
   const auto second_attempts = [&](bool came_back, AttemptOutcome outcome) {
     Dispatcher dispatcher(testbed);
     int count = 0;
@@ -144,7 +144,7 @@
   CHECK(second_attempts(false, AttemptOutcome::kBroken) == 40);
 }
 
-TEST_CASE("a model or adapter that comes to be missing is news once", "[held]") {
+TEST_CASE("a newly missing model or adapter is reported once", "[held]") {
   Dispatcher dispatcher(OneRunner());
   CHECK_FALSE(dispatcher.decisions.TakeNewlyUnserved());
   dispatcher.Arrived(Asking(1, dispatcher.now, "m1/a1"));
@@ -157,7 +157,7 @@
   CHECK_FALSE(dispatcher.decisions.TakeNewlyUnserved());
 }
 
-TEST_CASE("just after the start a request waits for a runner to be heard, and is no demand for a load",
+TEST_CASE("right after a start a request waits for heartbeats of runners and is no unserved demand",
           "[held]") {
   Testbed testbed;
   testbed.runners_known = false;
@@ -171,7 +171,7 @@
   CHECK(started[0].runner_id == "r1");
 }
 
-TEST_CASE("a request that waits in vain for a runner to be heard is refused in time to come back", "[held]") {
+TEST_CASE("a request that waits in vain for heartbeats of runners is refused in time for a retry", "[held]") {
   Testbed testbed;
   testbed.runners_known = false;
   Dispatcher dispatcher(testbed);
--- a/tests/system/routing/mechanisms_test.cpp
+++ b/tests/system/routing/mechanisms_test.cpp
@@ -1,4 +1,4 @@
-// The list of parts of the policy that an experiment leaves out.
+// The list of policy mechanisms that an experiment disables.
 #include "base/mechanisms.h"
 
 #include <catch2/catch.hpp>
@@ -6,7 +6,7 @@
 namespace lichenlug {
 namespace {
 
-TEST_CASE("all mechanisms are on unless they are left out by name", "[mechanisms]") {
+TEST_CASE("all mechanisms are enabled unless disabled by name", "[mechanisms]") {
   Mechanisms mechanisms;
   CHECK(mechanisms.Has(Mechanism::kPromptHomes));
   CHECK_FALSE(mechanisms.Disable("").has_value());
@@ -17,7 +17,7 @@
   CHECK(mechanisms.Has(Mechanism::kServerErrors));
 }
 
-TEST_CASE("a name that there is not is told", "[mechanisms]") {
+TEST_CASE("an unknown mechanism name is reported", "[mechanisms]") {
   Mechanisms mechanisms;
   CHECK(mechanisms.Disable("prompt-homes,nothing") == "nothing");
   CHECK(mechanisms.Disable("x") == "x");
--- a/tests/system/routing/mutation_test.cpp
+++ b/tests/system/routing/mutation_test.cpp
@@ -1,4 +1,4 @@
-// Events that are not as they should be: unknown numbers, doubled ends, odd values.
+// Malformed events: unknown request numbers, duplicate outcomes, out-of-range values.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -7,7 +7,7 @@
 namespace lichenlug::routing {
 namespace {
 
-TEST_CASE("events that are not as they should be never break the decisions", "[mutation]") {
+TEST_CASE("malformed events never break the decisions", "[mutation]") {
   Testbed testbed;
   for (int i = 0; i < 5; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 3, {"m1", "m2/a1"});
   testbed.AddRunner("d", "desk", 2, {});
@@ -62,7 +62,7 @@
         if (const auto* start = std::get_if<StartAttempt>(&decision)) REQUIRE_FALSE(start->address.empty());
       dispatcher.decisions.DemandNow(dispatcher.now);
     }
-    // Whatever came, all that is held ends with the deadlines.
+    // Whatever the events were, all requests have ended after their deadlines.
     dispatcher.Wait(30 * kSecond);
     for (RequestNumber number = 0; number < 800; ++number) dispatcher.Gone(number);
     for (const Decisions::Demand& demand : dispatcher.decisions.DemandNow(dispatcher.now))
--- a/tests/system/routing/play_test.cpp
+++ b/tests/system/routing/play_test.cpp
@@ -1,4 +1,4 @@
-// Dispatchers and runners in virtual time: how evenly the load is spread, and what happens beyond all places.
+// Dispatchers and runners in virtual time: how evenly the load is spread, and what happens in overload.
 #include <catch2/catch.hpp>
 #include <cstdio>
 #include <functional>
@@ -12,7 +12,7 @@
 
 constexpr int kDispatchers = 10;
 
-// Dispatchers that send to runners which answer after a time that grows with their load.
+// Simulates dispatchers and runners whose response time grows with their load.
 class Play {
  public:
   Play(const Testbed& testbed, int dispatchers) {
@@ -20,7 +20,8 @@
       dispatchers_.push_back(std::make_unique<Dispatcher>(testbed, i + 1));
   }
 
-  // `per_s` requests a second for `span`; models drawn by a falling weight; uneven shares of dispatchers.
+  // Sends `per_s` requests per second for `span`. Earlier models are more popular, and the dispatchers get
+  // unequal shares.
   void Run(double per_s, Time span, const std::vector<std::string>& models, Time run_time) {
     std::exponential_distribution<double> gap(per_s / kSecond);
     std::vector<double> model_weights, shares;
@@ -117,7 +118,7 @@
   testbed.live_dispatchers = kDispatchers;
   for (int i = 0; i < 9; ++i) {
     std::vector<std::string> held;
-    // The first model is everywhere, each next one on fewer runners.
+    // The first model is on every runner, each further one on fewer runners.
     for (std::size_t m = 0; m < models.size(); ++m)
       if (m == 0 || (static_cast<std::size_t>(i) + m) % (m + 1) == 0) held.push_back(models[m]);
     testbed.AddRunner("r" + std::to_string(i), "pool", 64, held);
@@ -131,7 +132,8 @@
     Play play(NineRunnersOfModels(models), kDispatchers);
     play.Run(per_s, 30 * kSecond, models, 1000 * kMillisecond);
     std::printf(
-        "play at %3.0f/s: %zu arrived, %zu refused, %zu failed, %zu found full, load mean %.1f, max %.1f of "
+        "simulated %3.0f/s: %zu arrived, %zu refused, %zu failed, %zu found full, load mean %.1f, max %.1f "
+        "of "
         "%d (%.2f)\n",
         per_s, play.arrived, play.refused, play.failed, play.full, play.MeanLoad(), play.MaxLoad(),
         play.slots, play.MaxLoad() / play.MeanLoad());
@@ -141,11 +143,11 @@
   }
 }
 
-TEST_CASE("beyond all places requests are refused, and the runners stay busy", "[play]") {
+TEST_CASE("in overload requests are refused, and the runners stay busy", "[play]") {
   Play play(NineRunnersOfModels({"m1"}), kDispatchers);
   play.Run(600, 20 * kSecond, {"m1"}, 1000 * kMillisecond);
   std::printf(
-      "play over the top: %zu arrived, %zu refused, %zu failed, %zu found full, load mean %.1f of %d\n",
+      "simulated overload: %zu arrived, %zu refused, %zu failed, %zu found full, load mean %.1f of %d\n",
       play.arrived, play.refused, play.failed, play.full, play.MeanLoad(), play.slots);
   CHECK(play.failed == 0);
   CHECK(play.MeanLoad() > 0.85 * play.slots);
--- a/tests/system/routing/prompt_home_test.cpp
+++ b/tests/system/routing/prompt_home_test.cpp
@@ -1,4 +1,4 @@
-// Homes by the parts of a prompt that requests share.
+// Homes derived from the prompt parts that requests share.
 #include "routing/prompt_home.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
   return testbed;
 }
 
-// The runner that an otherwise idle dispatcher sends a request with this prompt to.
+// Returns the runner that an otherwise idle dispatcher chooses for a request with this prompt.
 std::string RunnerFor(Dispatcher* dispatcher, const std::vector<std::string>& parts) {
   Arrival arrival = Asking(dispatcher->next++, dispatcher->now, "m1");
   arrival.prompt_parts = parts;
@@ -29,7 +29,7 @@
   return started.front().runner_id;
 }
 
-TEST_CASE("the last part of a prompt is its request's own and moves no home", "[prompt_home]") {
+TEST_CASE("the last part of a prompt does not affect the home", "[prompt_home]") {
   const Holding model = HoldingOf("m1", "");
   CHECK(PromptHome(model, {}) == model);
   CHECK(PromptHome(model, {"own"}) == model);
@@ -39,7 +39,7 @@
   CHECK(PromptHome(model, {"a", "x"}) != PromptHome(HoldingOf("m2", ""), {"a", "x"}));
 }
 
-TEST_CASE("requests that share a prefix meet at one runner, at every dispatcher", "[prompt_home]") {
+TEST_CASE("requests that share a prefix go to the same runner from every dispatcher", "[prompt_home]") {
   const Testbed testbed = Holders(kHolders, 20);
   Dispatcher first(testbed, 1), second(testbed, 2);
   for (int group = 0; group < 20; ++group) {
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("the groups of one model spread over all its holders", "[prompt_home]") {
+TEST_CASE("the prompt groups of one model are spread over all its holders", "[prompt_home]") {
   const Testbed testbed = Holders(kHolders, 20);
   Dispatcher dispatcher(testbed);
   std::map<std::string, int> groups;
--- a/tests/system/routing/retry_budget_test.cpp
+++ b/tests/system/routing/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// The retry budget of a service and the estimators beside it.
+// The retry budget of a service, the sliding counter and the priority scale.
 #include "routing/retry_budget.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
   return repeats;
 }
 
-TEST_CASE("a new life has none of the slack for the first window", "[budget]") {
+TEST_CASE("a restarted dispatcher has no share of the slack in the first window", "[budget]") {
   Bounds bounds;
   RetryBudget budget(kWindow);
   DispatcherCount count(100 * kSecond);
@@ -26,7 +26,7 @@
   CHECK(Spend(&budget, 110 * kSecond, bounds, count) == 48);  // 0.8 of 60
 }
 
-TEST_CASE("the budget grows with own requests and comes back with the window", "[budget]") {
+TEST_CASE("the budget grows with own requests and is restored as the window slides", "[budget]") {
   Bounds bounds;
   bounds.retry_slack = 0;
   RetryBudget budget(kWindow);
@@ -40,7 +40,7 @@
   CHECK(Spend(&budget, start + 10 * kSecond + 300 * kMillisecond, bounds, count) == 17);
 }
 
-TEST_CASE("an idle budget forgets", "[budget]") {
+TEST_CASE("an idle budget drops old requests", "[budget]") {
   Bounds bounds;
   bounds.retry_slack = 0;
   RetryBudget budget(kWindow);
@@ -50,7 +50,7 @@
   CHECK(Spend(&budget, 1000 * kSecond, bounds, count) == 0);
 }
 
-TEST_CASE("the part of the slack does not grow when others are lost, for they may be behind a cut",
+TEST_CASE("the share of the slack does not grow at once when others are lost: they may be partitioned",
           "[budget]") {
   DispatcherCount count(0);
   count.Set(kSecond, kWindow, 10);
@@ -59,14 +59,14 @@
   CHECK(count.live() == 4);
   CHECK(count.ShareOf(21 * kSecond, 60, kWindow) == Approx(6));
   CHECK(count.ShareOf(200 * kSecond, 60, kWindow) == Approx(6));
-  count.Set(200 * kSecond, kWindow, 20);  // more: at once
+  count.Set(200 * kSecond, kWindow, 20);  // an increase takes effect at once
   CHECK(count.ShareOf(200 * kSecond, 60, kWindow) == Approx(3));
   count.Set(201 * kSecond, kWindow, 5);
   CHECK(count.ShareOf(500 * kSecond, 60, kWindow) == Approx(3));
-  CHECK(count.ShareOf(502 * kSecond, 60, kWindow) == Approx(12));  // lost for minutes
+  CHECK(count.ShareOf(502 * kSecond, 60, kWindow) == Approx(12));  // they have been lost for minutes
 }
 
-TEST_CASE("a count that changes often keeps its largest", "[budget]") {
+TEST_CASE("a count that changes often is remembered by its maximum", "[budget]") {
   DispatcherCount count(0);
   Time now = 20 * kSecond;
   for (int i = 0; i < 1000; ++i, now += kMillisecond) count.Set(now, kWindow, i % 2 == 0 ? 9 : 3 + i % 3);
@@ -75,14 +75,14 @@
   CHECK(count.ShareOf(now + 31 * kWindow, 90, kWindow) == Approx(30));
 }
 
-TEST_CASE("where the rule is not in force there is no end", "[budget]") {
+TEST_CASE("retries are unlimited if the retry budget is not enforced", "[budget]") {
   Bounds bounds;
   bounds.retry_budget = false;
   RetryBudget budget(kWindow);
   CHECK(Spend(&budget, kSecond, bounds, DispatcherCount(0)) == 1000);
 }
 
-TEST_CASE("the count of a window never counts too few at one end or too many at the other", "[budget]") {
+TEST_CASE("the sliding counter's bounds enclose the true count of the window", "[budget]") {
   SlidingCounter counter(kWindow);
   const Time start = 123456789;
   for (int i = 0; i < 1000; ++i) counter.Add(start + i * 10 * kMillisecond);
--- a/tests/system/routing/router_test.cpp
+++ b/tests/system/routing/router_test.cpp
@@ -1,4 +1,4 @@
-// The routes of hosts, prefixes and keys.
+// Route lookup by host and path prefix, and authorization by key.
 #include "routing/router.h"
 
 #include <catch2/catch.hpp>
@@ -57,7 +57,7 @@
   CHECK(name("", "/") == "404");
 }
 
-TEST_CASE("hosts compare without case and port", "[router]") {
+TEST_CASE("hosts are compared without case and port", "[router]") {
   const Router router(TwoTenants());
   CHECK(NameOf(router.Match("A.EXAMPLE:8080", "/", "Bearer key-1")) == "root");
   CHECK(NameOf(router.Match(" a.example ", "/", "Bearer key-1")) == "root");
@@ -68,7 +68,7 @@
   CHECK(NameOf(six.Match("[2001:db8::1]", "/", "")) == "six");
 }
 
-TEST_CASE("a route that is not anonymous needs a known key", "[router]") {
+TEST_CASE("a route that is not anonymous requires a known key", "[router]") {
   const Router router(TwoTenants());
   const auto status = [&](const char* authorization) {
     return NameOf(router.Match("a.example", "/", authorization));
@@ -85,7 +85,7 @@
   CHECK(NameOf(router.Match("c.example", "/", "")) == "404");
 }
 
-TEST_CASE("an anonymous route takes anyone and still knows a key's tenant", "[router]") {
+TEST_CASE("an anonymous route accepts any client and still identifies the tenant of a key", "[router]") {
   const Router router(TwoTenants());
   CHECK(std::get<RouteMatch>(router.Match("b.example", "/", "")).tenant == nullptr);
   CHECK(std::get<RouteMatch>(router.Match("b.example", "/", "Bearer none")).tenant == nullptr);
@@ -100,7 +100,7 @@
   CHECK(NameOf(router.Match("a.example", "/", "Bearer key-1")) == "root");
 }
 
-TEST_CASE("kinds tell what may be repeated, and the tenant's precedence goes before the route's",
+TEST_CASE("the route's kind decides what is repeatable, and the tenant's precedence outranks the route's",
           "[router]") {
   auto configuration = TwoTenants();
   messages::Route* route = configuration->mutable_routes(0);
@@ -108,7 +108,7 @@
   const auto match = [&](const std::string& key) {
     const Router router(configuration);
     RouteMatch found = std::get<RouteMatch>(router.Match("a.example", "/", "Bearer " + key));
-    found.route = nullptr, found.tenant = nullptr;  // of a router that is gone
+    found.route = nullptr, found.tenant = nullptr;  // they belong to the destroyed router
     return found;
   };
   CHECK(match("key-1").precedence < match("key-3").precedence);
@@ -148,7 +148,7 @@
   CHECK(Router::ServiceOf(route, 1) == "few");
 }
 
-TEST_CASE("a host of ten thousand routes finds each", "[router]") {
+TEST_CASE("each of ten thousand routes of a host is found", "[router]") {
   auto configuration = std::make_shared<messages::Configuration>();
   for (int i = 0; i < 10000; ++i) {
     const std::string number = std::to_string(i);
--- a/tests/system/routing/world.h
+++ b/tests/system/routing/world.h
@@ -1,4 +1,4 @@
-// A configuration, runners and requests for tests of the decisions.
+// Test fixtures for the routing decisions: a configuration, runners, requests and a dispatcher.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace lichenlug::routing {
 
-// What is installed: a service `pool` with an engine and a service `desk` without one.
+// The state to install: a service `pool` with an engine, a service `desk` without one, and their runners.
 class Testbed {
  public:
   Testbed();
@@ -18,7 +18,7 @@
   messages::Configuration& configuration() { return *configuration_; }
   messages::RunnerRecord& AddRunner(const std::string& id, const std::string& service, int slots,
                                     const std::vector<std::string>& models);
-  // Declares what is changed after it; the records known so far stay.
+  // The runner's record, for changes. They have no effect on snapshots taken before.
   messages::RunnerRecord& Runner(const std::string& id) { return runners_.at(id); }
   void Remove(const std::string& id) { runners_.erase(id); }
 
@@ -34,7 +34,7 @@
   std::map<std::string, messages::RunnerRecord> runners_;
 };
 
-// A request of `pool` for a model, given as MODEL or MODEL/ADAPTER, or one of `desk` where it is empty.
+// A request to `pool` for `model`, given as MODEL or MODEL/ADAPTER, or a request to `desk` if it is empty.
 Arrival Asking(RequestNumber number, Time now, const std::string& model);
 
 template <typename T>
@@ -45,23 +45,24 @@
   return only;
 }
 
-inline constexpr Time kWorldTime = 1000 * kSecond;  // when most tests begin
+inline constexpr Time kWorldTime = 1000 * kSecond;  // start time of most tests
 
-// One dispatcher's decisions, at a time of its own.
+// The decisions of one dispatcher with its own clock.
 class Dispatcher {
  public:
-  // One that has run for long, or that starts at `started`.
+  // The first constructor makes a dispatcher that has run for a long time, the second one that starts at
+  // `started`.
   explicit Dispatcher(const Testbed& testbed, std::uint64_t seed = 7);
   Dispatcher(const Testbed& testbed, std::uint64_t seed, Time started);
 
   std::vector<Decision> Install(const Testbed& testbed);
   std::vector<Decision> Arrived(const Arrival& arrival);
   std::vector<Decision> Ended(const StartAttempt& attempt, AttemptOutcome outcome, bool final = false);
-  std::vector<Decision> Serve(RequestNumber number);  // at its first runner
+  std::vector<Decision> Serve(RequestNumber number);  // its first attempt succeeds
   std::vector<Decision> Gone(RequestNumber number);
-  std::vector<Decision> Wait(Time span);  // with all timers on the way
+  std::vector<Decision> Wait(Time span);  // advances the clock and fires all timers that fall due
 
-  // The runner that a request for the model is sent to; empty: it is not sent.
+  // Sends a request for the model and returns the runner chosen; empty if none was.
   std::string Send(const std::string& model);
 
   Time now;
