--- a/tests/system/routing/play_test.cpp
+++ b/tests/system/routing/play_test.cpp
@@ -126,7 +126,7 @@
   return testbed;
 }
 
-TEST_CASE("ten dispatchers spread their load over nine runners", "[play]") {
+TEST_CASE("ten dispatchers spread their load over nine runners", "[simulation]") {
   const std::vector<std::string> models{"m1", "m2", "m3", "m4"};
   for (const double per_s : {60.0, 180.0, 240.0}) {
     Play play(NineRunnersOfModels(models), kDispatchers);
@@ -143,7 +143,7 @@
   }
 }
 
-TEST_CASE("in overload requests are refused, and the runners stay busy", "[play]") {
+TEST_CASE("in overload requests are refused, and the runners stay busy", "[simulation]") {
   Play play(NineRunnersOfModels({"m1"}), kDispatchers);
   play.Run(600, 20 * kSecond, {"m1"}, 1000 * kMillisecond);
   std::printf(
