--- a/src/routing/demand_table.cpp
+++ b/src/routing/demand_table.cpp
@@ -7,7 +7,7 @@
 
 constexpr Time kMemory = 3 * kSecond;   // time constant of the average rates
 constexpr Time kRecent = 10 * kSecond;  // keys idle for longer are not reported
-constexpr std::size_t kForgetPart = 8;  // a full table evicts one in so many entries
+constexpr std::size_t kForgetPart = 8;  // a full table evicts 1/kForgetPart of its entries
 
 }  // namespace
 
--- a/src/routing/load_forecast.cpp
+++ b/src/routing/load_forecast.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kMaxMissing = 4096;
 constexpr Time kForgetAfter = 15 * kSecond;  // since the last request; placement drops the demand as well
-constexpr double kRemembered = 20;           // number of loads that the mean delay covers
+constexpr double kRemembered = 20;           // loads in the running mean
 constexpr double kSafety = 1.25;             // a client that retries too early is refused again
 constexpr Time kMin = 200 * kMillisecond;    // for an overdue load
 
--- a/src/routing/priority_scale.cpp
+++ b/src/routing/priority_scale.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr int kLast = PriorityScale::kLate - 1;
-constexpr std::size_t kSpread = 5;  // up to so many precedences are spaced two apart, starting at 1
+// Up to this many precedences get priorities two apart, starting at 1.
+constexpr std::size_t kSpread = 5;
 
 }  // namespace
 
--- a/src/routing/service_brain.cpp
+++ b/src/routing/service_brain.cpp
@@ -8,7 +8,7 @@
 namespace lichenlug::routing {
 namespace {
 
-constexpr std::size_t kMaxClasses = 64;  // beyond this, a request joins an existing class with equal effects
+constexpr std::size_t kMaxClasses = 64;  // further requests join an existing class with equal effects
 // A refusal within 1/kHeldPart of the objective leaves the client's retry enough time to succeed.
 constexpr int kHeldPart = 4;
 // A client that retries does not do so a third time, and even a late answer has value for it.
@@ -22,8 +22,8 @@
 constexpr double kCrossZoneFee = 0.001;  // any positive fee makes the module prefer its own zone
 constexpr int kMaxAttempts = 16;         // the caller enforces the request's `tries`
 constexpr Time kMaxRetryAfter = kSecond;
-constexpr int kErrorFailures =
-    3;  // many dispatchers share a runner, so each sees too few errors to wait for more
+// Many dispatchers share a runner, so each sees too few errors to wait for more.
+constexpr int kErrorFailures = 3;
 
 rookgw::ClassSettings SettingsOf(const ClassKey& key) {
   rookgw::ClassSettings settings;
