--- a/src/routing/runner_table.cpp
+++ b/src/routing/runner_table.cpp
@@ -15,7 +15,7 @@
 constexpr Time kWithholdFor = 1500 * kMillisecond;
 constexpr Time kRejectedFor = 2 * kSecond;  // an unload first waits for the runs that use the model
 constexpr Time kFullFor = 400 * kMillisecond;
-constexpr double kColdPart = 0.6;  // fraction of the slots used while a runner is still slow after its start
+constexpr double kColdPart = 0.6;  // of the slots are used while a runner is cold
 
 ListedWorker::State StateOf(const messages::RunnerRecord& record, bool gone) {
   if (gone) return ListedWorker::State::kGone;
