--- a/src/routing/held_requests.cpp
+++ b/src/routing/held_requests.cpp
@@ -10,7 +10,7 @@
 // A request is held for a load only if the answer should begin within this fraction of its objective. The
 // rest is a safety margin.
 constexpr double kObjectivePart = 0.9;
-// A client that was refused before does not retry a third time, so a late answer is worth more to it than a
+// A client that was refused before does not try a third time, so a late answer is worth more to it than a
 // refusal. It is held for up to this fraction of its remaining time. The rest is for the run, or for refusing
 // it in time if the load does not end.
 constexpr double kCameBackPart = 0.4;
--- a/src/routing/runner_table.h
+++ b/src/routing/runner_table.h
@@ -40,7 +40,7 @@
   void CountOpen(const std::string& runner_id, int change);  // attempts of this dispatcher
   // Another runner answers at its address: treated as gone until a newer record.
   void MarkGone(const std::string& runner_id, Changes* changes);
-  void Expire(Time now, Changes* changes);  // ends the withholding that has run out
+  void Expire(Time now, Changes* changes);  // ends expired withholdings
   std::optional<Time> NextExpiry() const;
 
   bool AnyReady(Holding holding) const;                // a ready runner holds it
--- a/src/routing/service_brain.cpp
+++ b/src/routing/service_brain.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxClasses = 64;  // further requests join an existing class with equal effects
 // A refusal within 1/kHeldPart of the objective leaves the client's retry enough time to succeed.
 constexpr int kHeldPart = 4;
-// A client that retries does not do so a third time, and even a late answer has value for it.
+// A client that has retried does not try a third time, and even a late answer has value for it.
 constexpr int kCameBackObjectives = 3;
 constexpr Time kMaxCameBackWait = kSecond;
 // A late answer still has value, so no request is given up because its run takes longer than its objective.
--- a/tests/system/routing/attempts_test.cpp
+++ b/tests/system/routing/attempts_test.cpp
@@ -90,7 +90,7 @@
                                  AttemptOutcome::kNotRun, AttemptOutcome::kCancelled}) {
     Dispatcher fresh(Runners(3));
     CHECK(fresh.Ended(First(&fresh, true), outcome, true).empty());
-    CHECK(fresh.decisions.NextTimer() == std::nullopt);  // nothing is held
+    CHECK(fresh.decisions.NextTimer() == std::nullopt);  // no request is held
   }
 }
 
--- a/tests/system/routing/decisions_test.cpp
+++ b/tests/system/routing/decisions_test.cpp
@@ -9,7 +9,7 @@
 namespace lichenlug::routing {
 namespace {
 
-// Nine runners of 64 slots; all hold m1, three m2, one m3 and m1/a1.
+// Nine runners with 64 slots each: all hold m1, three hold m2, one holds m3, one holds m1/a1.
 Testbed NineRunners() {
   Testbed testbed;
   for (int i = 0; i < 9; ++i) {
