--- a/src/dataplane/exchange_suspected.cpp
+++ b/src/dataplane/exchange_suspected.cpp
@@ -17,7 +17,7 @@
   if (suspected_.get() == &attempt) return;
   ++context_->counters.suspected;
   const bool can_go_on = !head_sent_ || Resumable();
-  if (suspected_ != nullptr || !can_go_on || !table_->MayReplace(number_)) return;
+  if (suspected_ != nullptr || !can_go_on || !table_->MayFailOver(number_)) return;
   const auto self = shared_from_this();
   suspected_ = Remove(attempt);
   may_have_run_ = may_have_run_ || suspected_->sent();
--- a/src/dataplane/exchange_table.cpp
+++ b/src/dataplane/exchange_table.cpp
@@ -37,7 +37,7 @@
     timeout = std::min(timeout, static_cast<Time>(match.route->deadline_ms() * kMillisecond));
   origin.arrived = arrived, origin.deadline = arrived + timeout;
   origin.service =
-      routing::Router::ServiceOf(*match.route, std::uniform_real_distribution<double>(0, 1)(random_));
+      routing::Router::ChooseService(*match.route, std::uniform_real_distribution<double>(0, 1)(random_));
   origin.match = match, origin.router = context_->router, origin.sink = sink;
   origin.request = std::move(request);
   const routing::RequestNumber number = origin.number;
@@ -81,7 +81,7 @@
 }
 
 std::vector<routing::Decisions::Demand> ExchangeTable::Demand() const {
-  return decisions_.DemandNow(context_->Now());
+  return decisions_.RecentDemand(context_->Now());
 }
 
 void ExchangeTable::FirstEvent(routing::RequestNumber number, int attempt) {
@@ -99,8 +99,8 @@
   Execute();
 }
 
-bool ExchangeTable::MayReplace(routing::RequestNumber number) const {
-  return decisions_.MayReplace(context_->Now(), number);
+bool ExchangeTable::MayFailOver(routing::RequestNumber number) const {
+  return decisions_.MayFailOver(context_->Now(), number);
 }
 
 void ExchangeTable::Erase(routing::RequestNumber number) {
--- a/src/dataplane/exchange_table.h
+++ b/src/dataplane/exchange_table.h
@@ -35,7 +35,7 @@
   void FirstEvent(routing::RequestNumber number, int attempt);
   void AttemptEnded(routing::RequestNumber number, int attempt, routing::AttemptOutcome outcome, bool final);
   void Gone(routing::RequestNumber number);
-  bool MayReplace(routing::RequestNumber number) const;  // an attempt that breaks now
+  bool MayFailOver(routing::RequestNumber number) const;  // an attempt that breaks now
   void Erase(routing::RequestNumber number);
 
  private:
--- a/src/routing/decisions.cpp
+++ b/src/routing/decisions.cpp
@@ -139,8 +139,8 @@
   impl_->flow().Gone(impl_->Now(now), request, decisions);
 }
 
-bool Decisions::MayReplace(Time now, RequestNumber request) const {
-  return impl_->flow().MayReplace(now, request);
+bool Decisions::MayFailOver(Time now, RequestNumber request) const {
+  return impl_->flow().MayFailOver(now, request);
 }
 
 void Decisions::Tick(Time now, std::vector<Decision>* decisions) {
@@ -150,7 +150,7 @@
 
 std::optional<Time> Decisions::NextTimer() const { return impl_->NextTimer(); }
 
-std::vector<Decisions::Demand> Decisions::DemandNow(Time now) const {
+std::vector<Decisions::Demand> Decisions::RecentDemand(Time now) const {
   return impl_->flow().demand().Recent(now);
 }
 
--- a/src/routing/decisions.h
+++ b/src/routing/decisions.h
@@ -90,7 +90,7 @@
   void Gone(Time now, RequestNumber request,
             std::vector<Decision>* decisions);  // the client has disconnected
   // Whether another runner may be tried if the current attempt broke off now.
-  bool MayReplace(Time now, RequestNumber request) const;
+  bool MayFailOver(Time now, RequestNumber request) const;
   void Tick(Time now, std::vector<Decision>* decisions);
   std::optional<Time> NextTimer() const;
 
@@ -98,7 +98,7 @@
     std::string service, model, adapter;
     double arrivals_per_s = 0, running = 0, unserved = 0;
   };
-  std::vector<Demand> DemandNow(Time now) const;  // for recently requested models and adapters
+  std::vector<Demand> RecentDemand(Time now) const;  // for recently requested models and adapters
   // Whether a requested model or adapter was newly found to have no ready runner since the last call.
   // Placement should be notified immediately.
   bool TakeNewlyUnserved();
--- a/src/routing/request_flow.cpp
+++ b/src/routing/request_flow.cpp
@@ -150,7 +150,7 @@
   ForgetEnded(number);
 }
 
-bool RequestFlow::MayReplace(Time now, RequestNumber number) const {
+bool RequestFlow::MayFailOver(Time now, RequestNumber number) const {
   const auto found = requests_.find(number);
   if (found == requests_.end() || found->second.ended) return false;
   return MayTryAgain(now, found->second, AttemptOutcome::kBroken);
--- a/src/routing/request_flow.h
+++ b/src/routing/request_flow.h
@@ -37,7 +37,7 @@
   void AttemptEnded(Time now, RequestNumber request, int attempt, AttemptOutcome outcome, bool final,
                     std::vector<Decision>* decisions);
   void Gone(Time now, RequestNumber request, std::vector<Decision>* decisions);
-  bool MayReplace(Time now, RequestNumber request) const;
+  bool MayFailOver(Time now, RequestNumber request) const;
 
   // Passes changes of the runner table to the service's module.
   void TellChanges(Time now, ServiceState* service, const RunnerTable::Changes& changes,
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -83,7 +83,7 @@
   return match;
 }
 
-const std::string& Router::ServiceOf(const messages::Route& route, double draw) {
+const std::string& Router::ChooseService(const messages::Route& route, double draw) {
   double total = 0;
   for (const messages::WeightedService& part : route.weighted_services())
     total += std::max(0.0, part.weight());
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -44,7 +44,7 @@
   std::variant<RouteMatch, RouteRefusal> Match(std::string_view host, std::string_view target,
                                                std::string_view authorization) const;
   // Chooses the service for a request by the route's weights; `draw` is a random number in [0, 1).
-  static const std::string& ServiceOf(const messages::Route& route, double draw);
+  static const std::string& ChooseService(const messages::Route& route, double draw);
 
  private:
   // The routes of a host. A lookup costs one step per distinct prefix length, however many routes there are.
--- a/tests/system/routing/attempts_test.cpp
+++ b/tests/system/routing/attempts_test.cpp
@@ -157,7 +157,7 @@
       Only<Refuse>(dispatcher.Ended(First(&dispatcher, true), AttemptOutcome::kModelMissing));
   REQUIRE(refused.size() == 1);
   CHECK(refused[0].retry_after == 2500 * kMillisecond);
-  CHECK(dispatcher.decisions.DemandNow(dispatcher.now)[0].unserved == Approx(1));
+  CHECK(dispatcher.decisions.RecentDemand(dispatcher.now)[0].unserved == Approx(1));
   CHECK(Only<Refuse>(dispatcher.Arrived(Asking(50, dispatcher.now, "m1"))).size() == 1);
 }
 
--- a/tests/system/routing/decisions_test.cpp
+++ b/tests/system/routing/decisions_test.cpp
@@ -196,14 +196,14 @@
   REQUIRE(refused.size() == 1);
   CHECK(refused[0].retry_after == 500 * kMillisecond);  // a third of the remaining time
 
-  const auto recent = dispatcher.decisions.DemandNow(dispatcher.now);
+  const auto recent = dispatcher.decisions.RecentDemand(dispatcher.now);
   const Decisions::Demand* demand = Find(recent, "unloaded");
   REQUIRE(demand != nullptr);
   CHECK(demand->service == "pool");
   CHECK(demand->unserved > 10);
   CHECK(demand->arrivals_per_s > 4);
   CHECK(demand->running == 0);
-  CHECK(Find(dispatcher.decisions.DemandNow(dispatcher.now + 11 * kSecond), "unloaded") == nullptr);
+  CHECK(Find(dispatcher.decisions.RecentDemand(dispatcher.now + 11 * kSecond), "unloaded") == nullptr);
 
   testbed.Runner("r2").add_models()->set_name("unloaded");
   testbed.Runner("r2").set_call_count(2);
@@ -216,7 +216,7 @@
   const auto refused = Only<Refuse>(dispatcher.Arrived(Asking(1, dispatcher.now, "m2/a3")));
   REQUIRE(refused.size() == 1);
   CHECK(refused[0].retry_after == 300 * kMillisecond);
-  const auto recent = dispatcher.decisions.DemandNow(dispatcher.now);
+  const auto recent = dispatcher.decisions.RecentDemand(dispatcher.now);
   REQUIRE(Find(recent, "m2", "a3") != nullptr);
   CHECK(Find(recent, "m2", "a3")->unserved == Approx(1));
 }
@@ -224,7 +224,7 @@
 TEST_CASE("a request for a model that is not configured is refused and not counted", "[decisions]") {
   Dispatcher dispatcher(NineRunners());
   CHECK(Only<Refuse>(dispatcher.Arrived(Asking(1, dispatcher.now, "nobody's"))).size() == 1);
-  CHECK(dispatcher.decisions.DemandNow(dispatcher.now).empty());
+  CHECK(dispatcher.decisions.RecentDemand(dispatcher.now).empty());
 }
 
 TEST_CASE("demand includes the number of running requests", "[decisions]") {
@@ -232,12 +232,12 @@
   for (int i = 0; i < 5; ++i) dispatcher.Send("m1");
   dispatcher.Send("m3");
   dispatcher.Serve(1);
-  auto recent = dispatcher.decisions.DemandNow(dispatcher.now);
+  auto recent = dispatcher.decisions.RecentDemand(dispatcher.now);
   CHECK(Find(recent, "m1")->running == 4);
   CHECK(Find(recent, "m3")->running == 1);
   CHECK(Find(recent, "m3")->unserved == 0);
   dispatcher.Gone(6);
-  recent = dispatcher.decisions.DemandNow(dispatcher.now);
+  recent = dispatcher.decisions.RecentDemand(dispatcher.now);
   CHECK(Find(recent, "m3")->running == 0);
 }
 
@@ -248,7 +248,7 @@
   std::map<std::string, int> held;
   for (int i = 0; i < 18; ++i) ++held[dispatcher.Send("")];
   CHECK(held == std::map<std::string, int>{{"d1", 6}, {"d2", 6}, {"d3", 6}});
-  CHECK(dispatcher.decisions.DemandNow(dispatcher.now).empty());
+  CHECK(dispatcher.decisions.RecentDemand(dispatcher.now).empty());
 }
 
 TEST_CASE("runners of the dispatcher's zone are preferred, and others take the overflow", "[decisions]") {
--- a/tests/system/routing/held_requests_test.cpp
+++ b/tests/system/routing/held_requests_test.cpp
@@ -35,7 +35,7 @@
   Dispatcher dispatcher(testbed);
   REQUIRE(dispatcher.Arrived(Patient(1, dispatcher.now, "m1/a1")).empty());
   REQUIRE(dispatcher.Wait(1200 * kMillisecond).empty());
-  CHECK(dispatcher.decisions.DemandNow(dispatcher.now)[0].unserved > 0);
+  CHECK(dispatcher.decisions.RecentDemand(dispatcher.now)[0].unserved > 0);
   std::vector<Decision> decisions;
   Load(&testbed, &dispatcher, "a1", &decisions);
   const auto started = Only<StartAttempt>(decisions);
@@ -164,7 +164,7 @@
   Dispatcher dispatcher(testbed);
   Arrival arrival = Asking(1, dispatcher.now, "m1");
   REQUIRE(dispatcher.Arrived(arrival).empty());
-  for (const auto& demand : dispatcher.decisions.DemandNow(dispatcher.now)) CHECK(demand.unserved == 0);
+  for (const auto& demand : dispatcher.decisions.RecentDemand(dispatcher.now)) CHECK(demand.unserved == 0);
   testbed.AddRunner("r1", "pool", 64, {"m1"});
   const auto started = Only<StartAttempt>(dispatcher.Install(testbed));
   REQUIRE(started.size() == 1);
--- a/tests/system/routing/mutation_test.cpp
+++ b/tests/system/routing/mutation_test.cpp
@@ -60,12 +60,12 @@
       }
       for (const Decision& decision : out)
         if (const auto* start = std::get_if<StartAttempt>(&decision)) REQUIRE_FALSE(start->address.empty());
-      dispatcher.decisions.DemandNow(dispatcher.now);
+      dispatcher.decisions.RecentDemand(dispatcher.now);
     }
     // Whatever the events were, all requests have ended after their deadlines.
     dispatcher.Wait(30 * kSecond);
     for (RequestNumber number = 0; number < 800; ++number) dispatcher.Gone(number);
-    for (const Decisions::Demand& demand : dispatcher.decisions.DemandNow(dispatcher.now))
+    for (const Decisions::Demand& demand : dispatcher.decisions.RecentDemand(dispatcher.now))
       CHECK(demand.running == 0);
   }
 }
--- a/tests/system/routing/router_test.cpp
+++ b/tests/system/routing/router_test.cpp
@@ -131,7 +131,7 @@
 TEST_CASE("weights split a route's requests", "[router]") {
   messages::Route route;
   route.set_service("one");
-  CHECK(Router::ServiceOf(route, 0.99) == "one");
+  CHECK(Router::ChooseService(route, 0.99) == "one");
   const auto add = [&](const char* service, double weight) {
     messages::WeightedService* part = route.add_weighted_services();
     part->set_service(service);
@@ -141,11 +141,11 @@
   add("most", 90);
   add("few", 10);
   add("never", 0);
-  CHECK(Router::ServiceOf(route, 0) == "most");
-  CHECK(Router::ServiceOf(route, 0.8999) == "most");
-  CHECK(Router::ServiceOf(route, 0.9001) == "few");
-  CHECK(Router::ServiceOf(route, 0.999999) == "few");
-  CHECK(Router::ServiceOf(route, 1) == "few");
+  CHECK(Router::ChooseService(route, 0) == "most");
+  CHECK(Router::ChooseService(route, 0.8999) == "most");
+  CHECK(Router::ChooseService(route, 0.9001) == "few");
+  CHECK(Router::ChooseService(route, 0.999999) == "few");
+  CHECK(Router::ChooseService(route, 1) == "few");
 }
 
 TEST_CASE("each of ten thousand routes of a host is found", "[router]") {
