--- a/src/routing/service_brain.cpp
+++ b/src/routing/service_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "routing/service_brain.h"
+#include "routing/service_scheduler.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/routing/service_state.h
+++ b/src/routing/service_state.h
@@ -14,7 +14,7 @@
 #include "routing/load_forecast.h"
 #include "routing/retry_budget.h"
 #include "routing/runner_table.h"
-#include "routing/service_brain.h"
+#include "routing/service_scheduler.h"
 #include "routing/snapshot.h"
 
 namespace lichenlug::routing {
--- a/tests/system/routing/attempts_test.cpp
+++ b/tests/system/routing/attempts_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::routing {
 namespace {
--- a/tests/system/routing/budget_storm_test.cpp
+++ b/tests/system/routing/budget_storm_test.cpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <random>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::routing {
 namespace {
--- a/tests/system/routing/held_requests_test.cpp
+++ b/tests/system/routing/held_requests_test.cpp
@@ -2,7 +2,7 @@
 // time, else refused with the estimated time until the load ends.
 #include <catch2/catch.hpp>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::routing {
 namespace {
--- a/tests/system/routing/prompt_home_test.cpp
+++ b/tests/system/routing/prompt_home_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::routing {
 namespace {
--- a/tests/system/routing/world.cpp
+++ b/tests/system/routing/testbed.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "testbed.h"
 
 #include <algorithm>
 
