--- a/src/routing/decisions.cpp
+++ b/src/routing/decisions.cpp
@@ -16,11 +16,11 @@
   Impl(Time now, std::uint64_t seed) : now_(now), flow_(now, seed) {}
 
   // Clamps the caller's time so that the state here never sees it go backwards.
-  Time Now(Time now) { return now_ = std::max(now_, now); }
+  Time AdvanceTo(Time now) { return now_ = std::max(now_, now); }
 
   void Install(std::shared_ptr<const Snapshot> snapshot, std::vector<Decision>* decisions) {
-    const bool configured = !snapshot_ || snapshot_->configuration != snapshot->configuration;
-    const bool listed = !snapshot_ || snapshot_->runners != snapshot->runners;
+    const bool configuration_changed = !snapshot_ || snapshot_->configuration != snapshot->configuration;
+    const bool runners_changed = !snapshot_ || snapshot_->runners != snapshot->runners;
     snapshot_ = std::move(snapshot);
     flow_.SetBounds(snapshot_->bounds);
     flow_.SetRunnersKnown(snapshot_->runners_known);
@@ -28,9 +28,9 @@
     flow_.dispatchers().Set(now_, snapshot_->bounds.retry_window, snapshot_->live_dispatchers);
     for (auto& [name, service] : services_)
       if (service->scheduler) service->scheduler->SetLiveDispatchers(snapshot_->live_dispatchers);
-    if (configured) Configure();
-    if (configured || listed) UpdateRunners(decisions);
-    if (configured) DropUnused();
+    if (configuration_changed) Configure();
+    if (configuration_changed || runners_changed) UpdateRunners(decisions);
+    if (configuration_changed) DropUnused();
   }
 
   void Arrived(const Arrival& arrival, std::vector<Decision>* decisions) {
@@ -44,21 +44,21 @@
   void Tick(std::vector<Decision>* decisions) {
     for (auto& [name, service] : services_) {
       ExpireWithheld(service.get(), decisions);
-      flow_.ServeHeld(now_, service.get(), decisions);
+      flow_.ProcessHeldRequests(now_, service.get(), decisions);
       flow_.FireTimers(now_, service.get(), decisions);
     }
   }
 
   std::optional<Time> NextTimer() const {
     std::optional<Time> next;
-    const auto take = [&next](std::optional<Time> at) {
+    const auto consider = [&next](std::optional<Time> at) {
       if (at && (!next || *at < *next)) next = at;
     };
     for (const auto& [name, service] : services_) {
-      const bool at_work = !service->held.empty() || (service->scheduler && !service->scheduler->idle());
-      if (at_work) take(service->runners.NextExpiry());
-      take(flow_.NextHeldEnd(*service));
-      if (service->scheduler) take(service->scheduler->NextTimer());
+      const bool busy = !service->held.empty() || (service->scheduler && !service->scheduler->idle());
+      if (busy) consider(service->runners.NextExpiry());
+      consider(flow_.NextHoldExpiry(*service));
+      if (service->scheduler) consider(service->scheduler->NextTimer());
     }
     return next;
   }
@@ -70,7 +70,7 @@
   void ExpireWithheld(ServiceState* service, std::vector<Decision>* decisions) {
     RunnerTable::Changes changes;
     service->runners.Expire(now_, &changes);
-    flow_.TellChanges(now_, service, changes, decisions);
+    flow_.ApplyRunnerChanges(now_, service, changes, decisions);
   }
 
   void Configure() {
@@ -94,15 +94,16 @@
     for (auto& [name, service] : services_) {
       RunnerTable::Changes changes;
       service->runners.Update(by_service[name], &changes);
-      flow_.TellChanges(now_, service.get(), changes, decisions);
-      flow_.ServeHeld(now_, service.get(), decisions);
+      flow_.ApplyRunnerChanges(now_, service.get(), changes, decisions);
+      flow_.ProcessHeldRequests(now_, service.get(), decisions);
     }
   }
 
   // A service that was removed from the configuration is kept until its last request has ended.
   void DropUnused() {
-    std::erase_if(services_,
-                  [this](const auto& item) { return !item.second->configured && !flow_.Uses(*item.second); });
+    std::erase_if(services_, [this](const auto& item) {
+      return !item.second->configured && !flow_.HasRequestsOf(*item.second);
+    });
   }
 
   Time now_;
@@ -117,26 +118,26 @@
 
 void Decisions::Install(Time now, std::shared_ptr<const Snapshot> snapshot,
                         std::vector<Decision>* decisions) {
-  impl_->Now(now);
+  impl_->AdvanceTo(now);
   impl_->Install(std::move(snapshot), decisions);
 }
 
 void Decisions::Arrived(Time now, const Arrival& arrival, std::vector<Decision>* decisions) {
-  impl_->Now(now);
+  impl_->AdvanceTo(now);
   impl_->Arrived(arrival, decisions);
 }
 
 void Decisions::FirstEvent(Time now, RequestNumber request, int attempt) {
-  impl_->flow().FirstEvent(impl_->Now(now), request, attempt);
+  impl_->flow().FirstEvent(impl_->AdvanceTo(now), request, attempt);
 }
 
 void Decisions::AttemptEnded(Time now, RequestNumber request, int attempt, AttemptOutcome outcome, bool final,
                              std::vector<Decision>* decisions) {
-  impl_->flow().AttemptEnded(impl_->Now(now), request, attempt, outcome, final, decisions);
+  impl_->flow().AttemptEnded(impl_->AdvanceTo(now), request, attempt, outcome, final, decisions);
 }
 
 void Decisions::Gone(Time now, RequestNumber request, std::vector<Decision>* decisions) {
-  impl_->flow().Gone(impl_->Now(now), request, decisions);
+  impl_->flow().Gone(impl_->AdvanceTo(now), request, decisions);
 }
 
 bool Decisions::MayFailOver(Time now, RequestNumber request) const {
@@ -144,7 +145,7 @@
 }
 
 void Decisions::Tick(Time now, std::vector<Decision>* decisions) {
-  impl_->Now(now);
+  impl_->AdvanceTo(now);
   impl_->Tick(decisions);
 }
 
--- a/src/routing/demand_table.h
+++ b/src/routing/demand_table.h
@@ -36,12 +36,12 @@
   struct Entry {
     Entry();
     RateMeter arrivals, unserved;
-    Time seen = 0, told_unserved = 0;
+    Time seen = 0, reported_unserved = 0;
     int running = 0;
   };
 
   Entry& Touch(Time now, const DemandKey& key);
-  void ForgetOldest();
+  void EvictOldest();
 
   std::size_t max_keys_;
   bool newly_unserved_ = false;
--- a/src/routing/load_forecast.h
+++ b/src/routing/load_forecast.h
@@ -14,23 +14,23 @@
 class LoadForecast {
  public:
   // Records a request that no ready runner could serve. `load` is the load time alone, 0 for an adapter.
-  void NoteMissing(Time now, Holding holding, Time load);
+  void RecordMissing(Time now, Holding holding, Time load);
   // Updates the expected overhead from the missing items that a ready runner now holds.
-  void NoteRunners(Time now, const RunnerTable& runners);
+  void LearnFromRunners(Time now, const RunnerTable& runners);
   // The estimated time until it is available. The load counts as begun at the first unserved request.
   Time Remaining(Time now, Holding holding, Time load) const;
 
  private:
   struct Missing {
-    Time since = 0, last_asked = 0, load = 0;
+    Time since = 0, last_requested = 0, load = 0;
   };
 
-  RunningMean& DelayOf(Time load) { return load == 0 ? adapter_delay_ : model_delay_; }
-  const RunningMean& DelayOf(Time load) const { return load == 0 ? adapter_delay_ : model_delay_; }
+  RunningMean& OverheadFor(Time load) { return load == 0 ? adapter_overhead_ : model_overhead_; }
+  const RunningMean& OverheadFor(Time load) const { return load == 0 ? adapter_overhead_ : model_overhead_; }
 
   std::unordered_map<Holding, Missing> missing_;
-  RunningMean model_delay_{500.0 * kMillisecond, 1};
-  RunningMean adapter_delay_{300.0 * kMillisecond, 1};
+  RunningMean model_overhead_{500.0 * kMillisecond, 1};
+  RunningMean adapter_overhead_{300.0 * kMillisecond, 1};
 };
 
 }  // namespace lichenlug::routing
--- a/src/routing/priority_scale.cpp
+++ b/src/routing/priority_scale.cpp
@@ -8,9 +8,9 @@
 namespace lichenlug::routing {
 namespace {
 
-constexpr int kLast = PriorityScale::kLate - 1;
+constexpr int kMaxPriority = PriorityScale::kLate - 1;
 // Up to this many precedences get priorities two apart, starting at 1.
-constexpr std::size_t kSpread = 5;
+constexpr std::size_t kMaxSpacedPrecedences = 5;
 
 }  // namespace
 
@@ -27,8 +27,9 @@
 int PriorityScale::PriorityOf(int precedence) const {
   const auto rank =
       static_cast<std::size_t>(std::ranges::lower_bound(precedences_, precedence) - precedences_.begin());
-  if (precedences_.size() <= kSpread) return std::min(kLast, static_cast<int>(1 + 2 * rank));
-  return std::min(kLast, static_cast<int>(rank * kLast / (precedences_.size() - 1)));
+  if (precedences_.size() <= kMaxSpacedPrecedences)
+    return std::min(kMaxPriority, static_cast<int>(1 + 2 * rank));
+  return std::min(kMaxPriority, static_cast<int>(rank * kMaxPriority / (precedences_.size() - 1)));
 }
 
 }  // namespace lichenlug::routing
--- a/src/routing/request_actions.cpp
+++ b/src/routing/request_actions.cpp
@@ -6,22 +6,23 @@
 
 namespace lichenlug::routing {
 
-void RequestFlow::Translate(Time now, ServiceState* service, const std::vector<rookgw::Action>& actions,
-                            std::vector<Decision>* decisions) {
+void RequestFlow::ApplyActions(Time now, ServiceState* service, const std::vector<rookgw::Action>& actions,
+                               std::vector<Decision>* decisions) {
   for (const rookgw::Action& action : actions) {
-    if (const auto* dispatch = std::get_if<rookgw::Dispatch>(&action)) Do(now, service, *dispatch, decisions);
-    if (const auto* decline = std::get_if<rookgw::Decline>(&action)) Do(now, *decline, decisions);
-    if (const auto* fail = std::get_if<rookgw::Fail>(&action)) Do(now, *fail, decisions);
+    if (const auto* dispatch = std::get_if<rookgw::Dispatch>(&action))
+      Apply(now, service, *dispatch, decisions);
+    if (const auto* decline = std::get_if<rookgw::Decline>(&action)) Apply(now, *decline, decisions);
+    if (const auto* fail = std::get_if<rookgw::Fail>(&action)) Apply(now, *fail, decisions);
     if (const auto* cancel = std::get_if<rookgw::CancelAttempt>(&action))
-      Do(now, service, *cancel, decisions);
+      Apply(now, service, *cancel, decisions);
   }
 }
 
-void RequestFlow::Do(Time now, ServiceState* service, const rookgw::Dispatch& action,
-                     std::vector<Decision>* decisions) {
-  Request* request = Find(action.id);
+void RequestFlow::Apply(Time now, ServiceState* service, const rookgw::Dispatch& action,
+                        std::vector<Decision>* decisions) {
+  Request* request = FindRequest(action.id);
   const int number = request == nullptr ? 0 : static_cast<int>(std::ssize(request->attempts));
-  if (request == nullptr || request->ended || !MayReachAnother(now, *request)) {
+  if (request == nullptr || request->ended || !MayDispatch(now, *request)) {
     if (request != nullptr) End(now, request, RetryAfter(now, *request), decisions);
     rookgw::AttemptEnded unsent;
     unsent.id = action.id;
@@ -29,13 +30,13 @@
     unsent.worker = action.worker;
     unsent.outcome = rookgw::Outcome::kVoid;
     unsent.complete = true;
-    Run(now, service, unsent, decisions);
-    return ForgetEnded(action.id);
+    ProcessEvent(now, service, unsent, decisions);
+    return EraseIfDone(action.id);
   }
-  if (std::ranges::any_of(request->attempts, &Attempt::reached)) service->budget.CountRepeat(now);
+  if (std::ranges::any_of(request->attempts, &Attempt::reached_runner)) service->budget.CountRetry(now);
   request->attempts.push_back({.runner_id = action.worker, .sent = now});
   demand_.ChangeRunning(request->key, +1);
-  service->runners.CountOpen(action.worker, +1);
+  service->runners.AddOpenAttempts(action.worker, +1);
   decisions->emplace_back(StartAttempt{.request = action.id,
                                        .attempt = number,
                                        .runner_id = action.worker,
@@ -43,28 +44,28 @@
                                        .priority = request->priority});
 }
 
-void RequestFlow::Do(Time now, const rookgw::Decline& action, std::vector<Decision>* decisions) {
-  if (Request* request = Find(action.id)) {
+void RequestFlow::Apply(Time now, const rookgw::Decline& action, std::vector<Decision>* decisions) {
+  if (Request* request = FindRequest(action.id)) {
     const bool missing = !request->service->runners.AnyReady(request->needs);
     End(now, request, missing ? RetryAfter(now, *request) : action.retry_after, decisions);
   }
-  ForgetEnded(action.id);
+  EraseIfDone(action.id);
 }
 
-void RequestFlow::Do(Time now, const rookgw::Fail& action, std::vector<Decision>* decisions) {
-  if (Request* request = Find(action.id)) End(now, request, 0, decisions);
-  ForgetEnded(action.id);
+void RequestFlow::Apply(Time now, const rookgw::Fail& action, std::vector<Decision>* decisions) {
+  if (Request* request = FindRequest(action.id)) End(now, request, 0, decisions);
+  EraseIfDone(action.id);
 }
 
 // The attempt is closed immediately: the data plane closes its connection, which ends the run.
-void RequestFlow::Do(Time now, ServiceState* service, const rookgw::CancelAttempt& action,
-                     std::vector<Decision>* decisions) {
-  Request* request = Find(action.id);
-  Attempt* attempt = FindOpen(request, action.attempt);
+void RequestFlow::Apply(Time now, ServiceState* service, const rookgw::CancelAttempt& action,
+                        std::vector<Decision>* decisions) {
+  Request* request = FindRequest(action.id);
+  Attempt* attempt = FindOpenAttempt(request, action.attempt);
   if (attempt == nullptr) return;
-  attempt->fate = Fate::kMayHaveRun;
+  attempt->state = AttemptState::kMayHaveRun;
   demand_.ChangeRunning(request->key, -1);
-  service->runners.CountOpen(attempt->runner_id, -1);
+  service->runners.AddOpenAttempts(attempt->runner_id, -1);
   decisions->emplace_back(CancelAttempt{action.id, action.attempt});
   rookgw::AttemptEnded event;
   event.id = action.id;
@@ -73,8 +74,8 @@
   event.outcome = rookgw::Outcome::kCancelled;
   event.complete = request->ended;
   event.took = now - attempt->sent;
-  Run(now, service, event, decisions);
-  ForgetEnded(action.id);
+  ProcessEvent(now, service, event, decisions);
+  EraseIfDone(action.id);
 }
 
 }  // namespace lichenlug::routing
--- a/src/routing/request_flow.cpp
+++ b/src/routing/request_flow.cpp
@@ -14,10 +14,10 @@
 // Fraction of the retry budget that is open to requests that lose little by a refusal, since their clients
 // retry. The rest is reserved for requests of clients that have already retried and for requests that may
 // have run: this is their last chance.
-constexpr double kFirstTryPart = 0.6;
-constexpr Time kLeftByRetryAfter = 3;  // clients honour Retry-After up to a third of their remaining time
+constexpr double kFirstTryBudgetFraction = 0.6;
+constexpr Time kMaxRetryAfterDivisor = 3;  // clients honour Retry-After up to a third of their remaining time
 
-rookgw::Outcome ModuleOutcome(AttemptOutcome outcome, bool begun) {
+rookgw::Outcome ModuleOutcome(AttemptOutcome outcome, bool started) {
   switch (outcome) {
     case AttemptOutcome::kServed:
       return rookgw::Outcome::kServed;
@@ -33,7 +33,7 @@
     case AttemptOutcome::kBroken:
       return rookgw::Outcome::kReset;
     case AttemptOutcome::kTimeout:  // a runner that has begun to answer is slow, not dead
-      return begun ? rookgw::Outcome::kCancelled : rookgw::Outcome::kTimeout;
+      return started ? rookgw::Outcome::kCancelled : rookgw::Outcome::kTimeout;
     case AttemptOutcome::kCancelled:
       break;
   }
@@ -50,7 +50,7 @@
 RequestFlow::RequestFlow(Time now, std::uint64_t seed)
     : random_(seed), dispatchers_(now), demand_(kMaxDemandKeys) {}
 
-bool RequestFlow::Uses(const ServiceState& service) const {
+bool RequestFlow::HasRequestsOf(const ServiceState& service) const {
   return std::ranges::any_of(requests_, [&](const auto& item) { return item.second.service == &service; });
 }
 
@@ -58,7 +58,8 @@
                           std::vector<Decision>* decisions) {
   if (requests_.contains(arrival.request)) return;
   if (service == nullptr || arrival.deadline <= now) {
-    decisions->emplace_back(Refuse{arrival.request, Bounded(now, arrival.deadline, kUnknownRetryAfter)});
+    decisions->emplace_back(
+        Refuse{arrival.request, ClampRetryAfter(now, arrival.deadline, kUnknownRetryAfter)});
     return;
   }
   Request& request = requests_[arrival.request];
@@ -74,92 +75,94 @@
   request.repeatable = arrival.repeatable;
   request.stream = arrival.kind == RouteKind::kStream;
   request.came_back = arrival.came_back;
-  request.alike = ClassKey::Of(arrival);
+  request.class_key = ClassKey::FromArrival(arrival);
   service->budget.CountRequest(now);
-  if (request.needs != 0 && service->Knows(arrival.model)) demand_.CountArrival(now, request.key);
-  if (service->runners.AnyReady(request.needs)) return Begin(now, &request, decisions);
-  if (!runners_known_) return HoldForRunners(now, &request);
-  if (request.needs == 0) return Begin(now, &request, decisions);
-  NoteMissing(now, request);
-  if (Hold(now, &request)) return;
+  if (request.needs != 0 && service->HasModel(arrival.model)) demand_.CountArrival(now, request.key);
+  if (service->runners.AnyReady(request.needs)) return Submit(now, &request, decisions);
+  if (!runners_known_) return HoldForHeartbeats(now, &request);
+  if (request.needs == 0) return Submit(now, &request, decisions);
+  RecordMissing(now, request);
+  if (HoldForLoad(now, &request)) return;
   End(now, &request, RetryAfter(now, request), decisions);
-  ForgetEnded(arrival.request);
+  EraseIfDone(arrival.request);
 }
 
 // Passes the request to the decision module.
-void RequestFlow::Begin(Time now, Request* request, std::vector<Decision>* decisions) {
+void RequestFlow::Submit(Time now, Request* request, std::vector<Decision>* decisions) {
   ServiceState* const service = request->service;
-  ServiceScheduler& scheduler = service->Scheduler(now, request->alike, random_(), dispatchers_.live());
+  ServiceScheduler& scheduler = service->Scheduler(now, request->class_key, random_(), dispatchers_.live());
   FireTimers(now, service, decisions);  // timers do not fire while there are no requests
   rookgw::RequestArrived event;
   event.id = request->number;
   if (request->needs != 0) event.key = request->home;
   event.needs = request->needs;
   event.valid_until = request->deadline;
-  event.cls = scheduler.ClassOf(request->alike);
-  Run(now, service, event, decisions);
+  event.cls = scheduler.ClassOf(request->class_key);
+  ProcessEvent(now, service, event, decisions);
 }
 
 void RequestFlow::FirstEvent(Time now, RequestNumber number, int attempt_number) {
-  Request* request = Find(number);
-  Attempt* attempt = FindOpen(request, attempt_number);
-  if (attempt == nullptr || std::exchange(attempt->begun, true)) return;
+  Request* request = FindRequest(number);
+  Attempt* attempt = FindOpenAttempt(request, attempt_number);
+  if (attempt == nullptr || std::exchange(attempt->started, true)) return;
   std::vector<rookgw::Action> none;  // neither event causes an action
-  request->service->scheduler->Tell(
+  request->service->scheduler->HandleEvent(
       now, rookgw::AttemptUpdate{number, attempt_number, rookgw::AttemptUpdate::Kind::kStarted, 0}, &none);
   // A stream that has begun may continue past its deadline. A resumable one is ended at its deadline, because
   // it could be waiting for its next attempt.
   if (request->stream && !request->repeatable)
-    request->service->scheduler->Tell(now, rookgw::StreamStarted{number, attempt_number}, &none);
+    request->service->scheduler->HandleEvent(now, rookgw::StreamStarted{number, attempt_number}, &none);
 }
 
 void RequestFlow::AttemptEnded(Time now, RequestNumber number, int attempt_number, AttemptOutcome outcome,
                                bool final, std::vector<Decision>* decisions) {
-  Request* request = Find(number);
-  Attempt* attempt = FindOpen(request, attempt_number);
+  Request* request = FindRequest(number);
+  Attempt* attempt = FindOpenAttempt(request, attempt_number);
   if (attempt == nullptr) return;
   ServiceState* service = request->service;
-  attempt->fate = NeverRan(outcome) ? Fate::kNeverRan : Fate::kMayHaveRun;
-  attempt->reached = outcome != AttemptOutcome::kConnectFailed;
+  attempt->state = NeverRan(outcome) ? AttemptState::kNeverRan : AttemptState::kMayHaveRun;
+  attempt->reached_runner = outcome != AttemptOutcome::kConnectFailed;
   demand_.ChangeRunning(request->key, -1);
-  service->runners.CountOpen(attempt->runner_id, -1);
+  service->runners.AddOpenAttempts(attempt->runner_id, -1);
   if (outcome == AttemptOutcome::kServed) service->run_time.Add(static_cast<double>(now - attempt->sent));
   rookgw::AttemptEnded event;
   event.id = number;
   event.attempt = attempt_number;
   event.worker = attempt->runner_id;
-  event.outcome = ModuleOutcome(outcome, attempt->begun);
+  event.outcome = ModuleOutcome(outcome, attempt->started);
   event.took = now - attempt->sent;
-  if (NoteRunner(now, *request, *attempt, outcome, decisions)) event.outcome = rookgw::Outcome::kVoid;
+  if (UpdateRunnerTable(now, *request, *attempt, outcome, decisions)) event.outcome = rookgw::Outcome::kVoid;
   const bool answered = final || outcome == AttemptOutcome::kServed || request->ended;
-  event.complete = answered || !MayTryAgain(now, *request, outcome);
+  event.complete = answered || !MayRetry(now, *request, outcome);
   if (event.complete && !answered) {
-    NoteMissing(now, *request);
+    RecordMissing(now, *request);
     End(now, request, RetryAfter(now, *request), decisions);
   }
   request->ended = request->ended || event.complete;
-  Run(now, service, event, decisions);
-  ForgetEnded(number);
+  ProcessEvent(now, service, event, decisions);
+  EraseIfDone(number);
 }
 
 void RequestFlow::Gone(Time now, RequestNumber number, std::vector<Decision>* decisions) {
-  Request* request = Find(number);
+  Request* request = FindRequest(number);
   if (request == nullptr || std::exchange(request->ended, true)) return;
   std::erase(request->service->held, number);
-  if (request->service->scheduler) Run(now, request->service, rookgw::RequestAbandoned{number}, decisions);
-  ForgetEnded(number);
+  if (request->service->scheduler)
+    ProcessEvent(now, request->service, rookgw::RequestAbandoned{number}, decisions);
+  EraseIfDone(number);
 }
 
 bool RequestFlow::MayFailOver(Time now, RequestNumber number) const {
   const auto found = requests_.find(number);
   if (found == requests_.end() || found->second.ended) return false;
-  return MayTryAgain(now, found->second, AttemptOutcome::kBroken);
+  return MayRetry(now, found->second, AttemptOutcome::kBroken);
 }
 
-void RequestFlow::TellChanges(Time now, ServiceState* service, const RunnerTable::Changes& changes,
-                              std::vector<Decision>* decisions) {
+void RequestFlow::ApplyRunnerChanges(Time now, ServiceState* service, const RunnerTable::Changes& changes,
+                                     std::vector<Decision>* decisions) {
   if (changes.empty() || !service->scheduler) return;
-  Run(now, service,
+  ProcessEvent(
+      now, service,
       rookgw::ListChanged{.form = rookgw::ListChanged::Form::kPatch, .version = 0, .workers = changes},
       decisions);
 }
@@ -168,65 +171,67 @@
   if (!service->scheduler) return;
   std::vector<rookgw::Action> actions;
   service->scheduler->FireTimers(now, &actions);
-  Translate(now, service, actions, decisions);
+  ApplyActions(now, service, actions, decisions);
 }
 
-RequestFlow::Request* RequestFlow::Find(RequestNumber number) {
+RequestFlow::Request* RequestFlow::FindRequest(RequestNumber number) {
   const auto found = requests_.find(number);
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-RequestFlow::Attempt* RequestFlow::FindOpen(Request* request, int attempt) {
+RequestFlow::Attempt* RequestFlow::FindOpenAttempt(Request* request, int attempt) {
   if (request == nullptr || attempt < 0 || attempt >= std::ssize(request->attempts)) return nullptr;
   Attempt& found = request->attempts[static_cast<std::size_t>(attempt)];
-  return found.fate == Fate::kOut ? &found : nullptr;
+  return found.state == AttemptState::kOpen ? &found : nullptr;
 }
 
 bool RequestFlow::MayHaveRun(const Request& request) {
-  return std::ranges::any_of(request.attempts, [](const Attempt& it) { return it.fate != Fate::kNeverRan; });
+  return std::ranges::any_of(request.attempts,
+                             [](const Attempt& it) { return it.state != AttemptState::kNeverRan; });
 }
 
-bool RequestFlow::HasOpen(const Request& request) {
-  return std::ranges::any_of(request.attempts, [](const Attempt& it) { return it.fate == Fate::kOut; });
+bool RequestFlow::HasOpenAttempt(const Request& request) {
+  return std::ranges::any_of(request.attempts,
+                             [](const Attempt& it) { return it.state == AttemptState::kOpen; });
 }
 
-void RequestFlow::Run(Time now, ServiceState* service, const rookgw::Event& event,
-                      std::vector<Decision>* decisions) {
+void RequestFlow::ProcessEvent(Time now, ServiceState* service, const rookgw::Event& event,
+                               std::vector<Decision>* decisions) {
   std::vector<rookgw::Action> actions;
-  service->scheduler->Tell(now, event, &actions);
-  Translate(now, service, actions, decisions);
+  service->scheduler->HandleEvent(now, event, &actions);
+  ApplyActions(now, service, actions, decisions);
 }
 
 // Updates the runner table after an attempt. Returns whether the runner's rejection says nothing about its
 // free capacity.
-bool RequestFlow::NoteRunner(Time now, const Request& request, const Attempt& attempt, AttemptOutcome outcome,
-                             std::vector<Decision>* decisions) {
+bool RequestFlow::UpdateRunnerTable(Time now, const Request& request, const Attempt& attempt,
+                                    AttemptOutcome outcome, std::vector<Decision>* decisions) {
   RunnerTable::Changes changes;
   RunnerTable& runners = request.service->runners;
   if (outcome == AttemptOutcome::kModelMissing)
     runners.Withhold(now, attempt.runner_id, request.needs, &changes);
   if (outcome == AttemptOutcome::kWrongRunner) runners.MarkGone(attempt.runner_id, &changes);
-  const bool order_under_way =
+  const bool order_in_progress =
       outcome == AttemptOutcome::kNotRun &&
-      runners.NoteRejected(now, attempt.runner_id, request.needs, dispatchers_.live(), &changes);
-  TellChanges(now, request.service, changes, decisions);
-  return order_under_way;
+      runners.RecordRejection(now, attempt.runner_id, request.needs, dispatchers_.live(), &changes);
+  ApplyRunnerChanges(now, request.service, changes, decisions);
+  return order_in_progress;
 }
 
-bool RequestFlow::MayTryAgain(Time now, const Request& request, AttemptOutcome outcome) const {
+bool RequestFlow::MayRetry(Time now, const Request& request, AttemptOutcome outcome) const {
   if (outcome == AttemptOutcome::kTimeout || outcome == AttemptOutcome::kCancelled) return false;
   if (MayHaveRun(request) && !request.repeatable) return false;
   if (std::ssize(request.attempts) >= request.tries) return false;
   if (!request.service->runners.AnyReady(request.needs)) return false;
-  return MayReachAnother(now, request);
+  return MayDispatch(now, request);
 }
 
 // The budget counts every attempt that reaches a runner after the request's first one that did.
-bool RequestFlow::MayReachAnother(Time now, const Request& request) const {
-  const bool first = std::ranges::none_of(request.attempts, &Attempt::reached);
+bool RequestFlow::MayDispatch(Time now, const Request& request) const {
+  const bool first = std::ranges::none_of(request.attempts, &Attempt::reached_runner);
   const bool may_be_refused = !request.came_back && !MayHaveRun(request);
-  return first ||
-         request.service->budget.Allows(now, bounds_, dispatchers_, may_be_refused ? kFirstTryPart : 1);
+  return first || request.service->budget.Allows(now, bounds_, dispatchers_,
+                                                 may_be_refused ? kFirstTryBudgetFraction : 1);
 }
 
 void RequestFlow::End(Time now, Request* request, Time retry_after, std::vector<Decision>* decisions) {
@@ -234,7 +239,7 @@
   if (MayHaveRun(*request))
     decisions->emplace_back(Fail{request->number});
   else
-    decisions->emplace_back(Refuse{request->number, Bounded(now, request->deadline, retry_after)});
+    decisions->emplace_back(Refuse{request->number, ClampRetryAfter(now, request->deadline, retry_after)});
 }
 
 // If no ready runner holds the model or adapter, the estimated time until it is loaded. Otherwise about the
@@ -249,13 +254,13 @@
   return std::clamp(static_cast<Time>(spread * service.run_time.value), kMinRetryAfter, kMaxRetryAfter);
 }
 
-Time RequestFlow::Bounded(Time now, Time deadline, Time retry_after) {
-  return std::clamp<Time>(retry_after, 0, std::max<Time>(0, deadline - now) / kLeftByRetryAfter);
+Time RequestFlow::ClampRetryAfter(Time now, Time deadline, Time retry_after) {
+  return std::clamp<Time>(retry_after, 0, std::max<Time>(0, deadline - now) / kMaxRetryAfterDivisor);
 }
 
-void RequestFlow::ForgetEnded(RequestNumber number) {
-  const Request* request = Find(number);
-  if (request != nullptr && request->ended && !HasOpen(*request)) requests_.erase(number);
+void RequestFlow::EraseIfDone(RequestNumber number) {
+  const Request* request = FindRequest(number);
+  if (request != nullptr && request->ended && !HasOpenAttempt(*request)) requests_.erase(number);
 }
 
 }  // namespace lichenlug::routing
--- a/src/routing/request_flow.h
+++ b/src/routing/request_flow.h
@@ -24,7 +24,7 @@
   DispatcherCount& dispatchers() { return dispatchers_; }
   const DemandTable& demand() const { return demand_; }
   bool TakeNewlyUnserved() { return demand_.TakeNewlyUnserved(); }
-  bool Uses(const ServiceState& service) const;  // it has unfinished requests
+  bool HasRequestsOf(const ServiceState& service) const;  // it has unfinished requests
   void SetBounds(const Bounds& bounds) { bounds_ = bounds; }
   void SetRunnersKnown(bool known) { runners_known_ = known; }
   void SetMechanisms(const Mechanisms& mechanisms) { mechanisms_ = mechanisms; }
@@ -40,28 +40,28 @@
   bool MayFailOver(Time now, RequestNumber request) const;
 
   // Passes changes of the runner table to the service's module.
-  void TellChanges(Time now, ServiceState* service, const RunnerTable::Changes& changes,
-                   std::vector<Decision>* decisions);
+  void ApplyRunnerChanges(Time now, ServiceState* service, const RunnerTable::Changes& changes,
+                          std::vector<Decision>* decisions);
   void FireTimers(Time now, ServiceState* service, std::vector<Decision>* decisions);
   // Handles the requests that are held for a load: dispatches those whose model or adapter a ready runner now
   // holds and ends those whose hold time is over.
-  void ServeHeld(Time now, ServiceState* service, std::vector<Decision>* decisions);
-  std::optional<Time> NextHeldEnd(const ServiceState& service) const;
+  void ProcessHeldRequests(Time now, ServiceState* service, std::vector<Decision>* decisions);
+  std::optional<Time> NextHoldExpiry(const ServiceState& service) const;
 
  private:
-  enum class Fate : std::uint8_t { kOut, kNeverRan, kMayHaveRun };
+  enum class AttemptState : std::uint8_t { kOpen, kNeverRan, kMayHaveRun };
   struct Attempt {
     std::string runner_id;
     Time sent = 0;
-    Fate fate = Fate::kOut;
-    bool begun = false;
-    bool reached = true;  // the request reached the runner; false if the connection failed
+    AttemptState state = AttemptState::kOpen;
+    bool started = false;
+    bool reached_runner = true;  // the request reached the runner; false if the connection failed
   };
   struct Request {
     RequestNumber number = 0;
     ServiceState* service = nullptr;
     DemandKey key;
-    ClassKey alike;
+    ClassKey class_key;
     Holding needs = 0;
     std::uint64_t home = 0;  // ring key where its worker set begins
     Time deadline = 0;
@@ -72,32 +72,34 @@
     std::vector<Attempt> attempts;
   };
 
-  Request* Find(RequestNumber number);
-  Attempt* FindOpen(Request* request, int attempt);
+  Request* FindRequest(RequestNumber number);
+  Attempt* FindOpenAttempt(Request* request, int attempt);
   static bool MayHaveRun(const Request& request);
-  static bool HasOpen(const Request& request);
-  bool MayReachAnother(Time now, const Request& request) const;
+  static bool HasOpenAttempt(const Request& request);
+  bool MayDispatch(Time now, const Request& request) const;
 
-  void Begin(Time now, Request* request, std::vector<Decision>* decisions);
-  void NoteMissing(Time now, const Request& request);
-  bool Hold(Time now, Request* request);
-  void HoldForRunners(Time now, Request* request);
-  void Run(Time now, ServiceState* service, const rookgw::Event& event, std::vector<Decision>* decisions);
-  void Translate(Time now, ServiceState* service, const std::vector<rookgw::Action>& actions,
-                 std::vector<Decision>* decisions);
-  void Do(Time now, ServiceState* service, const rookgw::Dispatch& action, std::vector<Decision>* decisions);
-  void Do(Time now, const rookgw::Decline& action, std::vector<Decision>* decisions);
-  void Do(Time now, const rookgw::Fail& action, std::vector<Decision>* decisions);
-  void Do(Time now, ServiceState* service, const rookgw::CancelAttempt& action,
-          std::vector<Decision>* decisions);
+  void Submit(Time now, Request* request, std::vector<Decision>* decisions);
+  void RecordMissing(Time now, const Request& request);
+  bool HoldForLoad(Time now, Request* request);
+  void HoldForHeartbeats(Time now, Request* request);
+  void ProcessEvent(Time now, ServiceState* service, const rookgw::Event& event,
+                    std::vector<Decision>* decisions);
+  void ApplyActions(Time now, ServiceState* service, const std::vector<rookgw::Action>& actions,
+                    std::vector<Decision>* decisions);
+  void Apply(Time now, ServiceState* service, const rookgw::Dispatch& action,
+             std::vector<Decision>* decisions);
+  void Apply(Time now, const rookgw::Decline& action, std::vector<Decision>* decisions);
+  void Apply(Time now, const rookgw::Fail& action, std::vector<Decision>* decisions);
+  void Apply(Time now, ServiceState* service, const rookgw::CancelAttempt& action,
+             std::vector<Decision>* decisions);
 
-  bool NoteRunner(Time now, const Request& request, const Attempt& attempt, AttemptOutcome outcome,
-                  std::vector<Decision>* decisions);
-  bool MayTryAgain(Time now, const Request& request, AttemptOutcome outcome) const;
+  bool UpdateRunnerTable(Time now, const Request& request, const Attempt& attempt, AttemptOutcome outcome,
+                         std::vector<Decision>* decisions);
+  bool MayRetry(Time now, const Request& request, AttemptOutcome outcome) const;
   void End(Time now, Request* request, Time retry_after, std::vector<Decision>* decisions);
   Time RetryAfter(Time now, const Request& request);
-  static Time Bounded(Time now, Time deadline, Time retry_after);
-  void ForgetEnded(RequestNumber number);
+  static Time ClampRetryAfter(Time now, Time deadline, Time retry_after);
+  void EraseIfDone(RequestNumber number);
 
   std::mt19937_64 random_;
   Bounds bounds_;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -23,7 +23,7 @@
   // This dispatcher's equal share of the slack. It is 0 during the first window after a start, which may
   // still contain retries sent before a restart. The share does not grow at once when other dispatchers are
   // lost, because they may still be running behind a network partition.
-  double ShareOf(Time now, double slack, Time window) const;
+  double SlackShare(Time now, double slack, Time window) const;
 
  private:
   struct Count {
@@ -37,17 +37,17 @@
 
 class RetryBudget {
  public:
-  explicit RetryBudget(Time window) : window_(window), requests_(window), repeats_(window) {}
+  explicit RetryBudget(Time window) : window_(window), requests_(window), retries_(window) {}
 
   void CountRequest(Time now) { requests_.Add(now); }
-  void CountRepeat(Time now) { repeats_.Add(now); }
+  void CountRetry(Time now) { retries_.Add(now); }
   // Whether one more retry fits into this fraction of the budget; the rest is reserved for requests that need
   // it more.
-  bool Allows(Time now, const Bounds& bounds, const DispatcherCount& dispatchers, double part = 1) const;
+  bool Allows(Time now, const Bounds& bounds, const DispatcherCount& dispatchers, double fraction = 1) const;
 
  private:
   Time window_;
-  SlidingCounter requests_, repeats_;
+  SlidingCounter requests_, retries_;
 };
 
 }  // namespace lichenlug::routing
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -53,8 +53,8 @@
     std::vector<std::size_t> lengths;  // of the prefixes, longest first
   };
 
-  const messages::Route* RouteOf(std::string_view host, std::string_view target) const;
-  const messages::Tenant* TenantOf(std::string_view authorization) const;
+  const messages::Route* FindRoute(std::string_view host, std::string_view target) const;
+  const messages::Tenant* FindTenant(std::string_view authorization) const;
 
   std::shared_ptr<const messages::Configuration> configuration_;
   std::unordered_map<std::string, HostRoutes> hosts_;  // by lowercase name without port
--- a/src/routing/runner_table.cpp
+++ b/src/routing/runner_table.cpp
@@ -12,10 +12,10 @@
 
 using rookgw::ListedWorker;
 
-constexpr Time kWithholdFor = 1500 * kMillisecond;
-constexpr Time kRejectedFor = 2 * kSecond;  // an unload first waits for the runs that use the model
-constexpr Time kFullFor = 400 * kMillisecond;
-constexpr double kColdPart = 0.6;  // of the slots are used while a runner is cold
+constexpr Time kMissingWithholdTime = 1500 * kMillisecond;
+constexpr Time kRejectedWithholdTime = 2 * kSecond;  // an unload first waits for the runs that use the model
+constexpr Time kFullWithholdTime = 400 * kMillisecond;
+constexpr double kColdSlotFraction = 0.6;  // of the slots are used while a runner is cold
 
 ListedWorker::State StateOf(const messages::RunnerRecord& record, bool gone) {
   if (gone) return ListedWorker::State::kGone;
@@ -47,14 +47,14 @@
   std::set<std::string_view> present;
   for (const messages::RunnerRecord* record : records) {
     present.insert(record->runner_id());
-    auto [found, fresh] = runners_.try_emplace(record->runner_id());
+    auto [found, inserted] = runners_.try_emplace(record->runner_id());
     Runner& runner = found->second;
-    if (fresh) {
+    if (inserted) {
       runner.listed.id = record->runner_id();
       runner.listed.state = ListedWorker::State::kGone;
     }
-    if (!fresh && SameRecord(*record, runner.record)) continue;
-    if (!fresh && record->call_count() > runner.record.call_count()) {
+    if (!inserted && SameRecord(*record, runner.record)) continue;
+    if (!inserted && record->call_count() > runner.record.call_count()) {
       runner.gone = false;
       std::erase_if(runner.withheld,
                     [&](const Withheld& item) { return item.until_newer || !Lists(*record, item.holding); });
@@ -76,27 +76,30 @@
 void RunnerTable::Withhold(Time now, const std::string& runner_id, Holding holding, Changes* changes) {
   const auto found = runners_.find(runner_id);
   if (found == runners_.end() || holding == 0) return;
-  WithholdFor(&found->second, {holding, now + kWithholdFor}, changes);
+  WithholdFor(&found->second, {holding, now + kMissingWithholdTime}, changes);
 }
 
-bool RunnerTable::NoteRejected(Time now, const std::string& runner_id, Holding holding, int live_dispatchers,
-                               Changes* changes) {
+bool RunnerTable::RecordRejection(Time now, const std::string& runner_id, Holding holding,
+                                  int live_dispatchers, Changes* changes) {
   const auto found = runners_.find(runner_id);
   if (found == runners_.end() || holding == 0) return false;
   Runner& runner = found->second;
-  const bool may_be_full = runner.open * std::max(1, live_dispatchers) >= runner.record.slots();
+  const bool may_be_full = runner.open_attempts * std::max(1, live_dispatchers) >= runner.record.slots();
   const bool listed = std::ranges::binary_search(runner.listed.holds, holding);
   const auto holders = ready_holders_.find(holding);
-  const bool others = listed && holders != ready_holders_.end() && holders->second > 1;
-  if (others)
-    WithholdFor(&runner, {holding, now + (may_be_full ? kFullFor : kRejectedFor), /*until_newer=*/false},
-                changes);
-  return others && !may_be_full;
+  const bool other_holders = listed && holders != ready_holders_.end() && holders->second > 1;
+  if (other_holders)
+    WithholdFor(
+        &runner,
+        {holding, now + (may_be_full ? kFullWithholdTime : kRejectedWithholdTime), /*until_newer=*/false},
+        changes);
+  return other_holders && !may_be_full;
 }
 
-void RunnerTable::CountOpen(const std::string& runner_id, int change) {
+void RunnerTable::AddOpenAttempts(const std::string& runner_id, int change) {
   const auto found = runners_.find(runner_id);
-  if (found != runners_.end()) found->second.open = std::max(0, found->second.open + change);
+  if (found != runners_.end())
+    found->second.open_attempts = std::max(0, found->second.open_attempts + change);
 }
 
 void RunnerTable::WithholdFor(Runner* runner, const Withheld& withheld, Changes* changes) {
@@ -114,7 +117,8 @@
 
 void RunnerTable::Expire(Time now, Changes* changes) {
   for (auto& [id, runner] : runners_) {
-    const auto expired = std::erase_if(runner.withheld, [&](const Withheld& w) { return w.until <= now; });
+    const auto expired =
+        std::erase_if(runner.withheld, [&](const Withheld& item) { return item.until <= now; });
     if (expired > 0) Publish(&runner, changes);
   }
 }
@@ -146,7 +150,7 @@
   listed.state = StateOf(record, runner.gone);
   listed.zone = record.zone() == own_zone_ ? kOwnZone : kOtherZones;
   listed.weight = std::max(1, record.slots());
-  listed.slots = std::max(0, record.slots()) * (record.cold_ms() > 0 ? kColdPart : 1);
+  listed.slots = std::max(0, record.slots()) * (record.cold_ms() > 0 ? kColdSlotFraction : 1);
   for (const messages::HeldModel& model : record.models()) {
     listed.holds.push_back(HoldingOf(model.name(), {}));
     for (const std::string& adapter : model.adapters())
@@ -169,13 +173,13 @@
 void RunnerTable::Publish(Runner* runner, Changes* changes) {
   ListedWorker listed = Describe(*runner);
   if (SameListing(listed, runner->listed)) return;
-  CountHolder(runner->listed, -1);
-  CountHolder(listed, +1);
+  UpdateHolderCount(runner->listed, -1);
+  UpdateHolderCount(listed, +1);
   runner->listed = std::move(listed);
   changes->push_back(runner->listed);
 }
 
-void RunnerTable::CountHolder(const ListedWorker& listed, int change) {
+void RunnerTable::UpdateHolderCount(const ListedWorker& listed, int change) {
   if (listed.state != ListedWorker::State::kServing) return;
   const auto count = [&](Holding holding) {
     if ((ready_holders_[holding] += change) == 0) ready_holders_.erase(holding);
--- a/src/routing/runner_table.h
+++ b/src/routing/runner_table.h
@@ -35,9 +35,9 @@
   // The runner has rejected a request for something that it claims to hold: it is not used for it for a short
   // time, if another ready runner holds it. Returns whether an order for it must be under way, most likely an
   // unload: with so few open requests of this dispatcher the runner can't be full.
-  bool NoteRejected(Time now, const std::string& runner_id, Holding holding, int live_dispatchers,
-                    Changes* changes);
-  void CountOpen(const std::string& runner_id, int change);  // attempts of this dispatcher
+  bool RecordRejection(Time now, const std::string& runner_id, Holding holding, int live_dispatchers,
+                       Changes* changes);
+  void AddOpenAttempts(const std::string& runner_id, int change);  // attempts of this dispatcher
   // Another runner answers at its address: treated as gone until a newer record.
   void MarkGone(const std::string& runner_id, Changes* changes);
   void Expire(Time now, Changes* changes);  // ends expired withholdings
@@ -57,7 +57,7 @@
     messages::RunnerRecord record;
     bool gone = false;  // until a record with a higher call count
     std::vector<Withheld> withheld;
-    int open = 0;                 // attempts of this dispatcher
+    int open_attempts = 0;        // attempts of this dispatcher
     rookgw::ListedWorker listed;  // as last reported to the module
   };
 
@@ -65,7 +65,7 @@
   static bool Lists(const messages::RunnerRecord& record, Holding holding);
   void WithholdFor(Runner* runner, const Withheld& withheld, Changes* changes);
   void Publish(Runner* runner, Changes* changes);
-  void CountHolder(const rookgw::ListedWorker& listed, int change);
+  void UpdateHolderCount(const rookgw::ListedWorker& listed, int change);
 
   std::string own_zone_;
   std::map<std::string, Runner> runners_;
--- a/src/routing/service_scheduler.cpp
+++ b/src/routing/service_scheduler.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr std::size_t kMaxClasses = 64;  // further requests join an existing class with equal effects
-// A refusal within 1/kHeldPart of the objective leaves the client's retry enough time to succeed.
-constexpr int kHeldPart = 4;
+// A refusal within 1/kAimDivisor of the objective leaves the client's retry enough time to succeed.
+constexpr int kAimDivisor = 4;
 // A client that has retried does not try a third time, and even a late answer has value for it.
-constexpr int kCameBackObjectives = 3;
-constexpr Time kMaxCameBackWait = kSecond;
+constexpr int kClientRetryAimFactor = 3;
+constexpr Time kMaxClientRetryAim = kSecond;
 // A late answer still has value, so no request is given up because its run takes longer than its objective.
-constexpr double kNeverHopeless = 1e6;
+constexpr double kUnlimitedStretch = 1e6;
 constexpr double kLateValue = 0.5;
 constexpr double kPrecedenceStep = 10;   // in powers of two of worth; exceeds the spread of run times
 constexpr int kMaxPrecedence = 90;       // keeps the worth above 0
@@ -23,16 +23,16 @@
 constexpr int kMaxAttempts = 16;         // the caller enforces the request's `tries`
 constexpr Time kMaxRetryAfter = kSecond;
 // Many dispatchers share a runner, so each sees too few errors to wait for more.
-constexpr int kErrorFailures = 3;
+constexpr int kFailuresPerError = 3;
 
 rookgw::ClassSettings SettingsOf(const ClassKey& key) {
   rookgw::ClassSettings settings;
   settings.name = std::to_string(key.objective) + (key.repeatable ? " repeatable" : " once") +
                   (key.stream ? " stream " : " whole ") + std::to_string(key.precedence) +
                   (key.came_back ? " again" : "");
-  settings.aim = key.came_back ? std::min(kCameBackObjectives * key.objective, kMaxCameBackWait)
-                               : key.objective / kHeldPart;
-  settings.stretch = kNeverHopeless;
+  settings.aim = key.came_back ? std::min(kClientRetryAimFactor * key.objective, kMaxClientRetryAim)
+                               : key.objective / kAimDivisor;
+  settings.stretch = kUnlimitedStretch;
   settings.late_value = kLateValue;
   settings.worth = std::exp2(-kPrecedenceStep * std::min(key.precedence, kMaxPrecedence));
   settings.effect = key.repeatable ? rookgw::Effect::kRepeatable : rookgw::Effect::kUnsafe;
@@ -42,7 +42,7 @@
 }
 
 // Class 0 is the fallback when the class table is full, so it must not repeat anything.
-ClassKey FirstClass(const ServiceScheduler::Setup& setup) {
+ClassKey FallbackClass(const ServiceScheduler::Setup& setup) {
   ClassKey first = setup.first_class;
   first.repeatable = false;
   return first;
@@ -51,12 +51,12 @@
 rookgw::Settings SettingsOf(const ServiceScheduler::Setup& setup) {
   rookgw::Settings settings;
   settings.instances = std::max(1, setup.live_dispatchers);
-  if (setup.zoned) {
+  if (setup.prefer_own_zone) {
     settings.zones = {"own", "others"};
     settings.my_zone = kOwnZone;
     settings.fee_cross_zone = kCrossZoneFee;
   }
-  settings.classes = {SettingsOf(FirstClass(setup))};
+  settings.classes = {SettingsOf(FallbackClass(setup))};
   settings.max_attempts = kMaxAttempts;
   settings.cancelling = true;
   settings.retry_after = true;
@@ -64,13 +64,13 @@
   settings.repeats_marked = true;  // the module must not try to detect client retries by itself
   settings.reports_starts = true;
   settings.silence = setup.silence;
-  settings.failures_per_error = kErrorFailures;
+  settings.failures_per_error = kFailuresPerError;
   return settings;
 }
 
 }  // namespace
 
-ClassKey ClassKey::Of(const Arrival& arrival) {
+ClassKey ClassKey::FromArrival(const Arrival& arrival) {
   return {.objective = std::max<Time>(0, arrival.objective),
           .repeatable = arrival.repeatable,
           .stream = arrival.kind == RouteKind::kStream,
@@ -79,16 +79,17 @@
 }
 
 ServiceScheduler::ServiceScheduler(Time now, const Setup& setup)
-    : scheduler_(SettingsOf(setup), setup.seed), classes_{FirstClass(setup)} {
+    : scheduler_(SettingsOf(setup), setup.seed), classes_{FallbackClass(setup)} {
   std::vector<rookgw::Action> actions;
   scheduler_.Start(now, &actions);
-  KeepTimers(now, 0, &actions);
+  ExtractTimers(now, 0, &actions);
 }
 
-void ServiceScheduler::Tell(Time now, const rookgw::Event& event, std::vector<rookgw::Action>* actions) {
+void ServiceScheduler::HandleEvent(Time now, const rookgw::Event& event,
+                                   std::vector<rookgw::Action>* actions) {
   const std::size_t from = actions->size();
   scheduler_.Handle(now, event, actions);
-  KeepTimers(now, from, actions);
+  ExtractTimers(now, from, actions);
 }
 
 void ServiceScheduler::FireTimers(Time now, std::vector<rookgw::Action>* actions) {
@@ -98,7 +99,7 @@
     due.push_back(timer.second);
     return true;
   });
-  for (std::string& token : due) Tell(now, rookgw::TimerFired{std::move(token)}, actions);
+  for (std::string& token : due) HandleEvent(now, rookgw::TimerFired{std::move(token)}, actions);
 }
 
 std::optional<Time> ServiceScheduler::NextTimer() const {
@@ -107,19 +108,19 @@
 }
 
 int ServiceScheduler::ClassOf(const ClassKey& key) {
-  const auto same = std::ranges::find(classes_, key);
-  if (same != classes_.end()) return static_cast<int>(same - classes_.begin());
+  const auto exact = std::ranges::find(classes_, key);
+  if (exact != classes_.end()) return static_cast<int>(exact - classes_.begin());
   if (classes_.size() < kMaxClasses) {
     classes_.push_back(key);
     return scheduler_.AddClass(SettingsOf(key));
   }
-  const auto alike = std::ranges::find_if(classes_, [&](const ClassKey& it) {
+  const auto similar = std::ranges::find_if(classes_, [&](const ClassKey& it) {
     return it.repeatable == key.repeatable && it.stream == key.stream;
   });
-  return alike == classes_.end() ? 0 : static_cast<int>(alike - classes_.begin());
+  return similar == classes_.end() ? 0 : static_cast<int>(similar - classes_.begin());
 }
 
-void ServiceScheduler::KeepTimers(Time now, std::size_t from, std::vector<rookgw::Action>* actions) {
+void ServiceScheduler::ExtractTimers(Time now, std::size_t from, std::vector<rookgw::Action>* actions) {
   const auto added = actions->begin() + static_cast<std::ptrdiff_t>(from);
   const auto is_timer = [](const rookgw::Action& action) {
     return std::holds_alternative<rookgw::SetTimer>(action);
--- a/src/routing/service_scheduler.h
+++ b/src/routing/service_scheduler.h
@@ -23,7 +23,7 @@
   bool came_back = false;
 
   auto operator<=>(const ClassKey&) const = default;
-  static ClassKey Of(const Arrival& arrival);
+  static ClassKey FromArrival(const Arrival& arrival);
 };
 
 class ServiceScheduler {
@@ -31,15 +31,15 @@
   struct Setup {
     std::uint64_t seed = 0;
     int live_dispatchers = 1;
-    bool zoned = false;  // prefer runners in the dispatcher's own zone
-    Time silence = 0;    // a runner that shows no activity for this long with unstarted attempts is ejected
+    bool prefer_own_zone = false;  // prefer runners in the dispatcher's own zone
+    Time silence = 0;  // a runner that shows no activity for this long with unstarted attempts is ejected
     ClassKey first_class;
   };
 
   ServiceScheduler(Time now, const Setup& setup);
 
   // Handles one event and appends the resulting actions, except timers, which are kept here.
-  void Tell(Time now, const rookgw::Event& event, std::vector<rookgw::Action>* actions);
+  void HandleEvent(Time now, const rookgw::Event& event, std::vector<rookgw::Action>* actions);
   void FireTimers(Time now, std::vector<rookgw::Action>* actions);
   std::optional<Time> NextTimer() const;  // none while there are no requests
 
@@ -48,7 +48,7 @@
   bool idle() const { return scheduler_.sizes().requests == 0; }
 
  private:
-  void KeepTimers(Time now, std::size_t from, std::vector<rookgw::Action>* actions);
+  void ExtractTimers(Time now, std::size_t from, std::vector<rookgw::Action>* actions);
 
   rookgw::Scheduler scheduler_;
   std::vector<ClassKey> classes_;                     // indexed by class number
--- a/src/routing/service_state.cpp
+++ b/src/routing/service_state.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 // Engines send events frequently; other services may stay silent until their complete answer.
-constexpr Time kEngineSilence = kSecond, kOtherSilence = 2 * kSecond;
+constexpr Time kEngineSilenceTimeout = kSecond, kDefaultSilenceTimeout = 2 * kSecond;
 
 }  // namespace
 
@@ -22,12 +22,12 @@
   scheduler = std::make_unique<ServiceScheduler>(
       now, ServiceScheduler::Setup{.seed = seed,
                                    .live_dispatchers = live_dispatchers,
-                                   .zoned = zoned,
-                                   .silence = has_engine ? kEngineSilence : kOtherSilence,
+                                   .prefer_own_zone = prefer_own_zone,
+                                   .silence = has_engine ? kEngineSilenceTimeout : kDefaultSilenceTimeout,
                                    .first_class = first});
   const RunnerTable::Changes all = runners.All();
   std::vector<rookgw::Action> none;  // there are no requests yet
-  scheduler->Tell(
+  scheduler->HandleEvent(
       now, rookgw::ListChanged{.form = rookgw::ListChanged::Form::kWhole, .version = 0, .workers = all},
       &none);
   return *scheduler;
--- a/src/routing/service_state.h
+++ b/src/routing/service_state.h
@@ -21,7 +21,7 @@
 
 struct ServiceState {
   ServiceState(const std::string& service_name, const std::string& own_zone, Time retry_window)
-      : name(service_name), runners(own_zone), budget(retry_window), zoned(!own_zone.empty()) {}
+      : name(service_name), runners(own_zone), budget(retry_window), prefer_own_zone(!own_zone.empty()) {}
 
   void Configure(const messages::Service& service);
 
@@ -29,7 +29,7 @@
   ServiceScheduler& Scheduler(Time now, const ClassKey& first, std::uint64_t seed, int live_dispatchers);
 
   // Whether the operator has configured the model for the service; a service without an engine has none.
-  bool Knows(const std::string& model) const { return load_times.contains(model); }
+  bool HasModel(const std::string& model) const { return load_times.contains(model); }
   // The load time, without overhead, of a model or adapter that no ready runner holds: 0 for an adapter whose
   // model is loaded.
   Time LoadTime(const std::string& model, const std::string& adapter) const;
@@ -42,7 +42,7 @@
   std::unique_ptr<ServiceScheduler> scheduler;
   RunningMean run_time;  // of served requests, in microseconds
   bool configured = false, has_engine = false;
-  bool zoned = false;
+  bool prefer_own_zone = false;
   std::unordered_map<std::string, Time> load_times;  // by model name
 };
 
--- a/src/routing/sliding_counter.h
+++ b/src/routing/sliding_counter.h
@@ -21,9 +21,9 @@
   }
 
   // Upper bound: counts the oldest, partially covered bucket in full.
-  std::int64_t AtLeast(Time now) const { return Sum(now, kBuckets + 1); }
+  std::int64_t UpperBound(Time now) const { return Sum(now, kBuckets + 1); }
   // Lower bound: leaves out the oldest, partially covered bucket.
-  std::int64_t AtMost(Time now) const { return Sum(now, kBuckets); }
+  std::int64_t LowerBound(Time now) const { return Sum(now, kBuckets); }
 
  private:
   static constexpr std::size_t kBuckets = 100;
--- a/tests/system/routing/budget_storm_test.cpp
+++ b/tests/system/routing/budget_storm_test.cpp
@@ -18,7 +18,7 @@
  public:
   explicit BudgetRule(const Bounds& bounds) : bounds_(bounds) {}
   void Request(Time now) { requests_.push_back(now); }
-  void Repeat(Time now) { repeats_.push_back(now); }
+  void Repeat(Time now) { retries_.push_back(now); }
 
   // The maximum of retries / allowed retries over all windows that end with a retry.
   double Worst() const {
@@ -28,19 +28,19 @@
                                  std::upper_bound(times.begin(), times.end(), from));
     };
     const Time w = bounds_.retry_window;
-    for (Time end : repeats_) {
+    for (Time end : retries_) {
       const double most = std::max({count(requests_, end - w, end), count(requests_, end - 2 * w, end - w),
                                     count(requests_, end - 3 * w / 2, end - w / 2)});
       const double allowed = bounds_.retry_ratio * most + bounds_.retry_slack;
-      worst = std::max(worst, count(repeats_, end - w, end) / allowed);
+      worst = std::max(worst, count(retries_, end - w, end) / allowed);
     }
     return worst;
   }
-  std::size_t repeats() const { return repeats_.size(); }
+  std::size_t repeats() const { return retries_.size(); }
 
  private:
   Bounds bounds_;
-  std::deque<Time> requests_, repeats_;
+  std::deque<Time> requests_, retries_;
 };
 
 TEST_CASE("all dispatchers together stay within the retry budget during a retry storm", "[storm]") {
--- a/tests/system/routing/retry_budget_test.cpp
+++ b/tests/system/routing/retry_budget_test.cpp
@@ -12,7 +12,7 @@
 
 int Spend(RetryBudget* budget, Time now, const Bounds& bounds, const DispatcherCount& count) {
   int repeats = 0;
-  for (; repeats < 1000 && budget->Allows(now, bounds, count); ++repeats) budget->CountRepeat(now);
+  for (; repeats < 1000 && budget->Allows(now, bounds, count); ++repeats) budget->CountRetry(now);
   return repeats;
 }
 
@@ -54,16 +54,16 @@
           "[budget]") {
   DispatcherCount count(0);
   count.Set(kSecond, kWindow, 10);
-  CHECK(count.ShareOf(20 * kSecond, 60, kWindow) == Approx(6));
+  CHECK(count.SlackShare(20 * kSecond, 60, kWindow) == Approx(6));
   count.Set(21 * kSecond, kWindow, 4);
   CHECK(count.live() == 4);
-  CHECK(count.ShareOf(21 * kSecond, 60, kWindow) == Approx(6));
-  CHECK(count.ShareOf(200 * kSecond, 60, kWindow) == Approx(6));
+  CHECK(count.SlackShare(21 * kSecond, 60, kWindow) == Approx(6));
+  CHECK(count.SlackShare(200 * kSecond, 60, kWindow) == Approx(6));
   count.Set(200 * kSecond, kWindow, 20);  // an increase takes effect at once
-  CHECK(count.ShareOf(200 * kSecond, 60, kWindow) == Approx(3));
+  CHECK(count.SlackShare(200 * kSecond, 60, kWindow) == Approx(3));
   count.Set(201 * kSecond, kWindow, 5);
-  CHECK(count.ShareOf(500 * kSecond, 60, kWindow) == Approx(3));
-  CHECK(count.ShareOf(502 * kSecond, 60, kWindow) == Approx(12));  // they have been lost for minutes
+  CHECK(count.SlackShare(500 * kSecond, 60, kWindow) == Approx(3));
+  CHECK(count.SlackShare(502 * kSecond, 60, kWindow) == Approx(12));  // they have been lost for minutes
 }
 
 TEST_CASE("a count that changes often is remembered by its maximum", "[budget]") {
@@ -71,8 +71,8 @@
   Time now = 20 * kSecond;
   for (int i = 0; i < 1000; ++i, now += kMillisecond) count.Set(now, kWindow, i % 2 == 0 ? 9 : 3 + i % 3);
   count.Set(now, kWindow, 3);
-  CHECK(count.ShareOf(now, 90, kWindow) == Approx(10));
-  CHECK(count.ShareOf(now + 31 * kWindow, 90, kWindow) == Approx(30));
+  CHECK(count.SlackShare(now, 90, kWindow) == Approx(10));
+  CHECK(count.SlackShare(now + 31 * kWindow, 90, kWindow) == Approx(30));
 }
 
 TEST_CASE("retries are unlimited if the retry budget is not enforced", "[budget]") {
@@ -87,10 +87,10 @@
   const Time start = 123456789;
   for (int i = 0; i < 1000; ++i) counter.Add(start + i * 10 * kMillisecond);
   const Time end = start + 1000 * 10 * kMillisecond;
-  CHECK(counter.AtLeast(end) >= 1000);
-  CHECK(counter.AtMost(end) <= 1000);
-  CHECK(counter.AtMost(end) >= 980);
-  CHECK(counter.AtLeast(end + kWindow + kSecond) == 0);
+  CHECK(counter.UpperBound(end) >= 1000);
+  CHECK(counter.LowerBound(end) <= 1000);
+  CHECK(counter.LowerBound(end) >= 980);
+  CHECK(counter.UpperBound(end + kWindow + kSecond) == 0);
 }
 
 TEST_CASE("more urgent precedences have smaller numbers in the Priority header", "[priority]") {
