--- a/tests/system/routing/attempts_test.cpp
+++ b/tests/system/routing/attempts_test.cpp
@@ -7,18 +7,18 @@
 namespace lichenlug::routing {
 namespace {
 
-Testbed Runners(int count) {
+Testbed TestbedWithRunners(int count) {
   Testbed testbed;
   testbed.bounds.retry_budget = false;
   for (int i = 0; i < count; ++i) testbed.AddRunner("r" + std::to_string(i), "pool", 64, {"m1"});
   return testbed;
 }
 
-StartAttempt First(Dispatcher* dispatcher, bool repeatable, int tries = 2) {
-  Arrival arrival = Asking(dispatcher->next++, dispatcher->now, "m1");
+StartAttempt StartRequest(TestDispatcher* dispatcher, bool repeatable, int tries = 2) {
+  Arrival arrival = MakeArrival(dispatcher->next_request++, dispatcher->now, "m1");
   arrival.repeatable = repeatable;
   arrival.tries = tries;
-  const auto started = Only<StartAttempt>(dispatcher->Arrived(arrival));
+  const auto started = DecisionsOfType<StartAttempt>(dispatcher->Arrived(arrival));
   REQUIRE(started.size() == 1);
   return started[0];
 }
@@ -26,105 +26,105 @@
 TEST_CASE("a request that has not run goes to another runner", "[attempts]") {
   for (AttemptOutcome outcome : {AttemptOutcome::kNotRun, AttemptOutcome::kModelMissing,
                                  AttemptOutcome::kWrongRunner, AttemptOutcome::kConnectFailed}) {
-    Dispatcher fresh(Runners(3));
-    const StartAttempt first = First(&fresh, false);
-    const auto second = Only<StartAttempt>(fresh.Ended(first, outcome));
+    TestDispatcher fresh(TestbedWithRunners(3));
+    const StartAttempt first = StartRequest(&fresh, false);
+    const auto second = DecisionsOfType<StartAttempt>(fresh.Ended(first, outcome));
     REQUIRE(second.size() == 1);
     CHECK(second[0].attempt == 1);
     CHECK(second[0].runner_id != first.runner_id);
     // `tries` is the maximum number of attempts.
     const auto end = fresh.Ended(second[0], outcome);
     REQUIRE(end.size() == 1);
-    CHECK(Only<Refuse>(end).size() == 1);
+    CHECK(DecisionsOfType<Refuse>(end).size() == 1);
   }
 }
 
 TEST_CASE("a request with a single try is refused if it has not run", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const auto end = dispatcher.Ended(First(&dispatcher, true, 1), AttemptOutcome::kNotRun);
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const auto end = dispatcher.Ended(StartRequest(&dispatcher, true, 1), AttemptOutcome::kNotRun);
   REQUIRE(end.size() == 1);
-  CHECK(Only<Refuse>(end).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(end).size() == 1);
 }
 
 TEST_CASE("a request that may have run is retried only if it is repeatable", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const auto failed = dispatcher.Ended(First(&dispatcher, false), AttemptOutcome::kBroken);
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const auto failed = dispatcher.Ended(StartRequest(&dispatcher, false), AttemptOutcome::kBroken);
   REQUIRE(failed.size() == 1);
-  CHECK(Only<Fail>(failed).size() == 1);
-  const StartAttempt first = First(&dispatcher, true);
-  const auto second = Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken));
+  CHECK(DecisionsOfType<Fail>(failed).size() == 1);
+  const StartAttempt first = StartRequest(&dispatcher, true);
+  const auto second = DecisionsOfType<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken));
   REQUIRE(second.size() == 1);
   CHECK(second[0].runner_id != first.runner_id);
   // It did not run at the second runner but may have run at the first, so it must fail and not be refused.
-  CHECK(Only<Fail>(dispatcher.Ended(second[0], AttemptOutcome::kNotRun)).size() == 1);
+  CHECK(DecisionsOfType<Fail>(dispatcher.Ended(second[0], AttemptOutcome::kNotRun)).size() == 1);
 }
 
 TEST_CASE("a broken stream is resumed at another runner", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const StartAttempt first = First(&dispatcher, true);
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const StartAttempt first = StartRequest(&dispatcher, true);
   dispatcher.decisions.FirstEvent(dispatcher.now, first.request, 0);
   dispatcher.now += kSecond;
-  CHECK(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken)).size() == 1);
+  CHECK(DecisionsOfType<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken)).size() == 1);
 }
 
 TEST_CASE("a broken stream that no runner can resume fails by its deadline", "[attempts]") {
-  Testbed testbed = Runners(2);
-  Dispatcher dispatcher(testbed);
-  const StartAttempt first = First(&dispatcher, true);
+  Testbed testbed = TestbedWithRunners(2);
+  TestDispatcher dispatcher(testbed);
+  const StartAttempt first = StartRequest(&dispatcher, true);
   dispatcher.decisions.FirstEvent(dispatcher.now, first.request, 0);
   testbed.Runner("r0").set_state(messages::RUNNER_DRAINING);
   testbed.Runner("r1").set_state(messages::RUNNER_DRAINING);
   dispatcher.Install(testbed);
   auto end = dispatcher.Ended(first, AttemptOutcome::kBroken);
-  for (const Decision& decision : dispatcher.Wait(13 * kSecond)) end.push_back(decision);
+  for (const Decision& decision : dispatcher.Advance(13 * kSecond)) end.push_back(decision);
   REQUIRE(end.size() == 1);
-  CHECK(Only<Fail>(end).size() == 1);
+  CHECK(DecisionsOfType<Fail>(end).size() == 1);
 }
 
 TEST_CASE("a timeout fails the request, and a final outcome needs no decision", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const auto failed = dispatcher.Ended(First(&dispatcher, true), AttemptOutcome::kTimeout);
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const auto failed = dispatcher.Ended(StartRequest(&dispatcher, true), AttemptOutcome::kTimeout);
   REQUIRE(failed.size() == 1);
-  CHECK(Only<Fail>(failed).size() == 1);
+  CHECK(DecisionsOfType<Fail>(failed).size() == 1);
   for (AttemptOutcome outcome : {AttemptOutcome::kServed, AttemptOutcome::kBroken, AttemptOutcome::kTimeout,
                                  AttemptOutcome::kNotRun, AttemptOutcome::kCancelled}) {
-    Dispatcher fresh(Runners(3));
-    CHECK(fresh.Ended(First(&fresh, true), outcome, true).empty());
+    TestDispatcher fresh(TestbedWithRunners(3));
+    CHECK(fresh.Ended(StartRequest(&fresh, true), outcome, true).empty());
     CHECK(fresh.decisions.NextTimer() == std::nullopt);  // no request is held
   }
 }
 
 TEST_CASE("a runner that lacks the model is not used for it until a newer record or a short time later",
           "[attempts]") {
-  Testbed testbed = Runners(2);
-  Dispatcher dispatcher(testbed);
-  const StartAttempt first = First(&dispatcher, true);
-  REQUIRE(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kModelMissing)).size() == 1);
+  Testbed testbed = TestbedWithRunners(2);
+  TestDispatcher dispatcher(testbed);
+  const StartAttempt first = StartRequest(&dispatcher, true);
+  REQUIRE(DecisionsOfType<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kModelMissing)).size() == 1);
   dispatcher.Install(testbed);  // the same record again
-  for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
+  for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.SendRequest("m1") != first.runner_id);
   SECTION("until a newer record") {
     testbed.Runner(first.runner_id).set_call_count(2);
     dispatcher.Install(testbed);
   }
-  SECTION("until the time is over") { dispatcher.Wait(1600 * kMillisecond); }
+  SECTION("until the time is over") { dispatcher.Advance(1600 * kMillisecond); }
   std::set<std::string> used;
-  for (int i = 0; i < 40; ++i) used.insert(dispatcher.Send("m1"));
+  for (int i = 0; i < 40; ++i) used.insert(dispatcher.SendRequest("m1"));
   CHECK(used.contains(first.runner_id));
 }
 
 TEST_CASE("a nearly idle runner that rejects a model is not used for it while another runner holds it",
           "[attempts]") {
-  Testbed testbed = Runners(2);
+  Testbed testbed = TestbedWithRunners(2);
   for (const char* id : {"r0", "r1"}) testbed.Runner(id).add_models()->set_name("m2");
-  Dispatcher dispatcher(testbed);
-  const StartAttempt first = First(&dispatcher, true);
-  REQUIRE(Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kNotRun)).size() == 1);
+  TestDispatcher dispatcher(testbed);
+  const StartAttempt first = StartRequest(&dispatcher, true);
+  REQUIRE(DecisionsOfType<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kNotRun)).size() == 1);
   // The order may still be under way when the runner next reports what it holds.
   testbed.Runner(first.runner_id).set_call_count(2);
   dispatcher.Install(testbed);
   const auto used = [&](const std::string& model) {
     std::set<std::string> runners;
-    for (int i = 0; i < 40; ++i) runners.insert(dispatcher.Send(model));
+    for (int i = 0; i < 40; ++i) runners.insert(dispatcher.SendRequest(model));
     return runners;
   };
   REQUIRE_FALSE(used("m1").contains(first.runner_id));
@@ -139,98 +139,98 @@
     runner.set_call_count(4);
     dispatcher.Install(testbed);
   }
-  SECTION("until the time is over") { dispatcher.Wait(2100 * kMillisecond); }
+  SECTION("until the time is over") { dispatcher.Advance(2100 * kMillisecond); }
   CHECK(used("m1").contains(first.runner_id));
 }
 
 TEST_CASE("the only holder of a model is used again after a rejection", "[attempts]") {
-  Dispatcher dispatcher(Runners(1));
-  const StartAttempt first = First(&dispatcher, true);
+  TestDispatcher dispatcher(TestbedWithRunners(1));
+  const StartAttempt first = StartRequest(&dispatcher, true);
   REQUIRE(dispatcher.Ended(first, AttemptOutcome::kNotRun).empty());
-  REQUIRE(Only<Refuse>(dispatcher.Wait(100 * kMillisecond)).size() == 1);
-  CHECK(dispatcher.Send("m1") == first.runner_id);
+  REQUIRE(DecisionsOfType<Refuse>(dispatcher.Advance(100 * kMillisecond)).size() == 1);
+  CHECK(dispatcher.SendRequest("m1") == first.runner_id);
 }
 
 TEST_CASE("unserved demand is counted when the last holder turns out not to have the model", "[attempts]") {
-  Dispatcher dispatcher(Runners(1));
-  const auto refused =
-      Only<Refuse>(dispatcher.Ended(First(&dispatcher, true), AttemptOutcome::kModelMissing));
+  TestDispatcher dispatcher(TestbedWithRunners(1));
+  const auto refused = DecisionsOfType<Refuse>(
+      dispatcher.Ended(StartRequest(&dispatcher, true), AttemptOutcome::kModelMissing));
   REQUIRE(refused.size() == 1);
   CHECK(refused[0].retry_after == 2500 * kMillisecond);
   CHECK(dispatcher.decisions.RecentDemand(dispatcher.now)[0].unserved == Approx(1));
-  CHECK(Only<Refuse>(dispatcher.Arrived(Asking(50, dispatcher.now, "m1"))).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(dispatcher.Arrived(MakeArrival(50, dispatcher.now, "m1"))).size() == 1);
 }
 
 TEST_CASE("a runner whose address belongs to another one is gone until a newer record", "[attempts]") {
-  Testbed testbed = Runners(2);
-  Dispatcher dispatcher(testbed);
-  const StartAttempt first = First(&dispatcher, true);
+  Testbed testbed = TestbedWithRunners(2);
+  TestDispatcher dispatcher(testbed);
+  const StartAttempt first = StartRequest(&dispatcher, true);
   dispatcher.Ended(first, AttemptOutcome::kWrongRunner);
   dispatcher.Install(testbed);
-  dispatcher.Wait(5 * kSecond);
-  for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
+  dispatcher.Advance(5 * kSecond);
+  for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.SendRequest("m1") != first.runner_id);
   testbed.Runner(first.runner_id).set_call_count(2);
   dispatcher.Install(testbed);
   std::set<std::string> used;
-  for (int i = 0; i < 20; ++i) used.insert(dispatcher.Send("m1"));
+  for (int i = 0; i < 20; ++i) used.insert(dispatcher.SendRequest("m1"));
   CHECK(used.contains(first.runner_id));
 }
 
 TEST_CASE("an unreachable runner is not used for a while", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const StartAttempt first = First(&dispatcher, true);
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const StartAttempt first = StartRequest(&dispatcher, true);
   dispatcher.Ended(first, AttemptOutcome::kConnectFailed);
-  for (int i = 0; i < 20; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
+  for (int i = 0; i < 20; ++i) REQUIRE(dispatcher.SendRequest("m1") != first.runner_id);
 }
 
 TEST_CASE("an attempt that reached no runner does not use the retry budget", "[attempts]") {
-  Testbed testbed = Runners(3);
+  Testbed testbed = TestbedWithRunners(3);
   testbed.bounds.retry_budget = true;
   testbed.bounds.retry_slack = 0;
-  Dispatcher dispatcher(testbed);
-  const auto second = Only<StartAttempt>(dispatcher.Ended(First(&dispatcher, true, 3),  //
-                                                          AttemptOutcome::kConnectFailed));
+  TestDispatcher dispatcher(testbed);
+  const auto second = DecisionsOfType<StartAttempt>(dispatcher.Ended(StartRequest(&dispatcher, true, 3),  //
+                                                                     AttemptOutcome::kConnectFailed));
   REQUIRE(second.size() == 1);
   // The second attempt was the first to reach a runner; a third would be a retry.
-  CHECK(Only<Refuse>(dispatcher.Ended(second[0], AttemptOutcome::kNotRun)).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(dispatcher.Ended(second[0], AttemptOutcome::kNotRun)).size() == 1);
 }
 
 TEST_CASE("a full runner is not used for a short time", "[attempts]") {
-  Dispatcher dispatcher(Runners(2));
-  const StartAttempt first = First(&dispatcher, true);
+  TestDispatcher dispatcher(TestbedWithRunners(2));
+  const StartAttempt first = StartRequest(&dispatcher, true);
   dispatcher.Ended(first, AttemptOutcome::kNotRun);
-  for (int i = 0; i < 10; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
+  for (int i = 0; i < 10; ++i) REQUIRE(dispatcher.SendRequest("m1") != first.runner_id);
 }
 
 TEST_CASE("a hanging runner is not used once it has been silent for too long", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
+  TestDispatcher dispatcher(TestbedWithRunners(3));
   std::set<std::string> used;
-  const StartAttempt hung = First(&dispatcher, true);
+  const StartAttempt hanging = StartRequest(&dispatcher, true);
   for (int i = 0; i < 40; ++i) {
-    const StartAttempt other = First(&dispatcher, true);
-    if (other.runner_id != hung.runner_id) dispatcher.Ended(other, AttemptOutcome::kServed, true);
-    dispatcher.Wait(50 * kMillisecond);
+    const StartAttempt other = StartRequest(&dispatcher, true);
+    if (other.runner_id != hanging.runner_id) dispatcher.Ended(other, AttemptOutcome::kServed, true);
+    dispatcher.Advance(50 * kMillisecond);
     if (i >= 25) used.insert(other.runner_id);
   }
-  CHECK_FALSE(used.contains(hung.runner_id));
+  CHECK_FALSE(used.contains(hanging.runner_id));
 }
 
 TEST_CASE("a removed runner gets no new requests; its open attempts end normally", "[attempts]") {
-  Testbed testbed = Runners(3);
-  Dispatcher dispatcher(testbed);
-  const StartAttempt first = First(&dispatcher, true);
+  Testbed testbed = TestbedWithRunners(3);
+  TestDispatcher dispatcher(testbed);
+  const StartAttempt first = StartRequest(&dispatcher, true);
   testbed.Remove(first.runner_id);
   CHECK(dispatcher.Install(testbed).empty());
-  const auto second = Only<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken));
+  const auto second = DecisionsOfType<StartAttempt>(dispatcher.Ended(first, AttemptOutcome::kBroken));
   REQUIRE(second.size() == 1);
   CHECK(second[0].runner_id != first.runner_id);
-  for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.Send("m1") != first.runner_id);
+  for (int i = 0; i < 40; ++i) REQUIRE(dispatcher.SendRequest("m1") != first.runner_id);
 }
 
 TEST_CASE("the attempt of a client that disconnects is cancelled", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const StartAttempt first = First(&dispatcher, true);
-  const auto cancelled = Only<CancelAttempt>(dispatcher.Gone(first.request));
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const StartAttempt first = StartRequest(&dispatcher, true);
+  const auto cancelled = DecisionsOfType<CancelAttempt>(dispatcher.Gone(first.request));
   REQUIRE(cancelled.size() == 1);
   CHECK(cancelled[0].attempt == 0);
   CHECK(dispatcher.Ended(first, AttemptOutcome::kCancelled).empty());
@@ -239,12 +239,12 @@
 }
 
 TEST_CASE("a request without an answer fails at its deadline", "[attempts]") {
-  Dispatcher dispatcher(Runners(3));
-  const StartAttempt first = First(&dispatcher, false);
-  const auto end = dispatcher.Wait(12 * kSecond);
-  CHECK(Only<Fail>(end).size() == 1);
-  CHECK(Only<CancelAttempt>(end).size() == 1);
-  CHECK(Only<Refuse>(end).empty());
+  TestDispatcher dispatcher(TestbedWithRunners(3));
+  const StartAttempt first = StartRequest(&dispatcher, false);
+  const auto end = dispatcher.Advance(12 * kSecond);
+  CHECK(DecisionsOfType<Fail>(end).size() == 1);
+  CHECK(DecisionsOfType<CancelAttempt>(end).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(end).empty());
   CHECK(end.size() == 2);
 }
 
--- a/tests/system/routing/held_requests_test.cpp
+++ b/tests/system/routing/held_requests_test.cpp
@@ -7,14 +7,14 @@
 namespace lichenlug::routing {
 namespace {
 
-Testbed OneRunner() {
+Testbed OneRunnerTestbed() {
   Testbed testbed;
   testbed.AddRunner("r1", "pool", 64, {"m1"});
   return testbed;
 }
 
-void Load(Testbed* testbed, Dispatcher* dispatcher, const std::string& adapter,
-          std::vector<Decision>* decisions) {
+void LoadAdapter(Testbed* testbed, TestDispatcher* dispatcher, const std::string& adapter,
+                 std::vector<Decision>* decisions) {
   messages::RunnerRecord& runner = testbed->Runner("r1");
   runner.mutable_models(0)->add_adapters(adapter);
   runner.set_call_count(runner.call_count() + 1);
@@ -22,8 +22,8 @@
 }
 
 // A request whose objective leaves time for a load.
-Arrival Patient(RequestNumber number, Time now, const std::string& model) {
-  Arrival arrival = Asking(number, now, model);
+Arrival MakeArrivalWithLongObjective(RequestNumber number, Time now, const std::string& model) {
+  Arrival arrival = MakeArrival(number, now, model);
   arrival.objective = 4 * kSecond;
   arrival.deadline = now + 20 * kSecond;
   return arrival;
@@ -31,35 +31,36 @@
 
 TEST_CASE("a request whose objective leaves time for the load is held until a runner holds the adapter",
           "[held]") {
-  Testbed testbed = OneRunner();
-  Dispatcher dispatcher(testbed);
-  REQUIRE(dispatcher.Arrived(Patient(1, dispatcher.now, "m1/a1")).empty());
-  REQUIRE(dispatcher.Wait(1200 * kMillisecond).empty());
+  Testbed testbed = OneRunnerTestbed();
+  TestDispatcher dispatcher(testbed);
+  REQUIRE(dispatcher.Arrived(MakeArrivalWithLongObjective(1, dispatcher.now, "m1/a1")).empty());
+  REQUIRE(dispatcher.Advance(1200 * kMillisecond).empty());
   CHECK(dispatcher.decisions.RecentDemand(dispatcher.now)[0].unserved > 0);
   std::vector<Decision> decisions;
-  Load(&testbed, &dispatcher, "a1", &decisions);
-  const auto started = Only<StartAttempt>(decisions);
+  LoadAdapter(&testbed, &dispatcher, "a1", &decisions);
+  const auto started = DecisionsOfType<StartAttempt>(decisions);
   REQUIRE(started.size() == 1);
   CHECK(started[0].request == 1);
   CHECK(started[0].runner_id == "r1");
 }
 
 TEST_CASE("a held request whose load does not end is refused within its objective", "[held]") {
-  Dispatcher dispatcher(OneRunner());
-  REQUIRE(dispatcher.Arrived(Patient(1, dispatcher.now, "m1/a1")).empty());
-  REQUIRE(dispatcher.Wait(3500 * kMillisecond).empty());
-  const auto end = dispatcher.Wait(200 * kMillisecond);
+  TestDispatcher dispatcher(OneRunnerTestbed());
+  REQUIRE(dispatcher.Arrived(MakeArrivalWithLongObjective(1, dispatcher.now, "m1/a1")).empty());
+  REQUIRE(dispatcher.Advance(3500 * kMillisecond).empty());
+  const auto end = dispatcher.Advance(200 * kMillisecond);
   REQUIRE(end.size() == 1);
-  REQUIRE(Only<Refuse>(end).size() == 1);
-  CHECK(Only<Refuse>(end)[0].retry_after > 0);
+  REQUIRE(DecisionsOfType<Refuse>(end).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(end)[0].retry_after > 0);
   CHECK(dispatcher.decisions.NextTimer() == std::nullopt);
 }
 
 TEST_CASE("a request is not held for a load that takes longer than its objective", "[held]") {
-  Dispatcher dispatcher(OneRunner());
-  Arrival arrival = Patient(1, dispatcher.now, "unloaded");  // loads in 2 s, plus the order's overhead
+  TestDispatcher dispatcher(OneRunnerTestbed());
+  Arrival arrival =
+      MakeArrivalWithLongObjective(1, dispatcher.now, "unloaded");  // loads in 2 s, plus the order's overhead
   arrival.objective = 2600 * kMillisecond;
-  CHECK(Only<Refuse>(dispatcher.Arrived(arrival)).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(dispatcher.Arrived(arrival)).size() == 1);
   arrival.request = 2;
   arrival.objective = 3 * kSecond;
   CHECK(dispatcher.Arrived(arrival).empty());
@@ -67,20 +68,20 @@
 
 TEST_CASE("the request of a retrying client is held for a late answer, with time left for the run",
           "[held]") {
-  Testbed testbed = OneRunner();
-  Dispatcher dispatcher(testbed);
-  Arrival arrival = Asking(1, dispatcher.now, "m1/a1");
+  Testbed testbed = OneRunnerTestbed();
+  TestDispatcher dispatcher(testbed);
+  Arrival arrival = MakeArrival(1, dispatcher.now, "m1/a1");
   arrival.came_back = true;
   arrival.deadline = dispatcher.now + 5 * kSecond;
   REQUIRE(dispatcher.Arrived(arrival).empty());
   SECTION("dispatched once the adapter is loaded") {
-    REQUIRE(dispatcher.Wait(1900 * kMillisecond).empty());
+    REQUIRE(dispatcher.Advance(1900 * kMillisecond).empty());
     std::vector<Decision> decisions;
-    Load(&testbed, &dispatcher, "a1", &decisions);
-    CHECK(Only<StartAttempt>(decisions).size() == 1);
+    LoadAdapter(&testbed, &dispatcher, "a1", &decisions);
+    CHECK(DecisionsOfType<StartAttempt>(decisions).size() == 1);
   }
   SECTION("refused before half of its time has passed") {
-    CHECK(Only<Refuse>(dispatcher.Wait(2100 * kMillisecond)).size() == 1);
+    CHECK(DecisionsOfType<Refuse>(dispatcher.Advance(2100 * kMillisecond)).size() == 1);
   }
   SECTION("dropped when its client disconnects") {
     CHECK(dispatcher.Gone(1).empty());
@@ -89,31 +90,33 @@
 }
 
 TEST_CASE("a retrying client's request for a model that is not configured is refused at once", "[held]") {
-  Dispatcher dispatcher(OneRunner());
-  Arrival arrival = Asking(1, dispatcher.now, "nobody's");
+  TestDispatcher dispatcher(OneRunnerTestbed());
+  Arrival arrival = MakeArrival(1, dispatcher.now, "nobody's");
   arrival.came_back = true;
-  CHECK(Only<Refuse>(dispatcher.Arrived(arrival)).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(dispatcher.Arrived(arrival)).size() == 1);
 }
 
 TEST_CASE("the retry time is learned from earlier loads", "[held]") {
-  Testbed testbed = OneRunner();
-  Dispatcher dispatcher(testbed);
+  Testbed testbed = OneRunnerTestbed();
+  TestDispatcher dispatcher(testbed);
   for (int i = 0; i < 20; ++i) {
     const std::string adapter = "a" + std::to_string(i);
-    REQUIRE(
-        Only<Refuse>(dispatcher.Arrived(Asking(dispatcher.next++, dispatcher.now, "m1/" + adapter))).size() ==
-        1);
+    REQUIRE(DecisionsOfType<Refuse>(
+                dispatcher.Arrived(MakeArrival(dispatcher.next_request++, dispatcher.now, "m1/" + adapter)))
+                .size() == 1);
     dispatcher.now += kSecond;
     std::vector<Decision> decisions;
-    Load(&testbed, &dispatcher, adapter, &decisions);
+    LoadAdapter(&testbed, &dispatcher, adapter, &decisions);
   }
-  const auto refused = Only<Refuse>(dispatcher.Arrived(Asking(dispatcher.next++, dispatcher.now, "m1/late")));
+  const auto refused = DecisionsOfType<Refuse>(
+      dispatcher.Arrived(MakeArrival(dispatcher.next_request++, dispatcher.now, "m1/late")));
   REQUIRE(refused.size() == 1);
   CHECK(refused[0].retry_after > kSecond);
   CHECK(refused[0].retry_after < 1500 * kMillisecond);
   // A later request has less time to wait.
   dispatcher.now += 500 * kMillisecond;
-  const auto later = Only<Refuse>(dispatcher.Arrived(Asking(dispatcher.next++, dispatcher.now, "m1/late")));
+  const auto later = DecisionsOfType<Refuse>(
+      dispatcher.Arrived(MakeArrival(dispatcher.next_request++, dispatcher.now, "m1/late")));
   REQUIRE(later.size() == 1);
   CHECK(later[0].retry_after == refused[0].retry_after - 500 * kMillisecond);
 }
@@ -126,14 +129,14 @@
   testbed.bounds.retry_slack = 50;  // of which 40 may be spent
   // The number of requests that get a second attempt.
   const auto second_attempts = [&](bool came_back, AttemptOutcome outcome) {
-    Dispatcher dispatcher(testbed);
+    TestDispatcher dispatcher(testbed);
     int count = 0;
     for (int i = 0; i < 60; ++i) {
-      Arrival arrival = Asking(dispatcher.next++, dispatcher.now, "m1");
+      Arrival arrival = MakeArrival(dispatcher.next_request++, dispatcher.now, "m1");
       arrival.came_back = came_back;
-      const auto first = Only<StartAttempt>(dispatcher.Arrived(arrival));
+      const auto first = DecisionsOfType<StartAttempt>(dispatcher.Arrived(arrival));
       REQUIRE(first.size() == 1);
-      const auto second = Only<StartAttempt>(dispatcher.Ended(first[0], outcome));
+      const auto second = DecisionsOfType<StartAttempt>(dispatcher.Ended(first[0], outcome));
       for (const StartAttempt& attempt : second) dispatcher.Ended(attempt, AttemptOutcome::kServed);
       count += static_cast<int>(second.size());
     }
@@ -145,15 +148,15 @@
 }
 
 TEST_CASE("a newly missing model or adapter is reported once", "[held]") {
-  Dispatcher dispatcher(OneRunner());
+  TestDispatcher dispatcher(OneRunnerTestbed());
   CHECK_FALSE(dispatcher.decisions.TakeNewlyUnserved());
-  dispatcher.Arrived(Asking(1, dispatcher.now, "m1/a1"));
+  dispatcher.Arrived(MakeArrival(1, dispatcher.now, "m1/a1"));
   CHECK(dispatcher.decisions.TakeNewlyUnserved());
-  dispatcher.Arrived(Asking(2, dispatcher.now, "m1/a1"));
+  dispatcher.Arrived(MakeArrival(2, dispatcher.now, "m1/a1"));
   CHECK_FALSE(dispatcher.decisions.TakeNewlyUnserved());
-  dispatcher.Arrived(Asking(3, dispatcher.now, "m1/a2"));
+  dispatcher.Arrived(MakeArrival(3, dispatcher.now, "m1/a2"));
   CHECK(dispatcher.decisions.TakeNewlyUnserved());
-  dispatcher.Arrived(Asking(4, dispatcher.now, "m1"));
+  dispatcher.Arrived(MakeArrival(4, dispatcher.now, "m1"));
   CHECK_FALSE(dispatcher.decisions.TakeNewlyUnserved());
 }
 
@@ -161,12 +164,12 @@
           "[held]") {
   Testbed testbed;
   testbed.runners_known = false;
-  Dispatcher dispatcher(testbed);
-  Arrival arrival = Asking(1, dispatcher.now, "m1");
+  TestDispatcher dispatcher(testbed);
+  Arrival arrival = MakeArrival(1, dispatcher.now, "m1");
   REQUIRE(dispatcher.Arrived(arrival).empty());
   for (const auto& demand : dispatcher.decisions.RecentDemand(dispatcher.now)) CHECK(demand.unserved == 0);
   testbed.AddRunner("r1", "pool", 64, {"m1"});
-  const auto started = Only<StartAttempt>(dispatcher.Install(testbed));
+  const auto started = DecisionsOfType<StartAttempt>(dispatcher.Install(testbed));
   REQUIRE(started.size() == 1);
   CHECK(started[0].runner_id == "r1");
 }
@@ -174,12 +177,12 @@
 TEST_CASE("a request that waits in vain for heartbeats of runners is refused in time for a retry", "[held]") {
   Testbed testbed;
   testbed.runners_known = false;
-  Dispatcher dispatcher(testbed);
-  Arrival arrival = Asking(1, dispatcher.now, "m1");
+  TestDispatcher dispatcher(testbed);
+  Arrival arrival = MakeArrival(1, dispatcher.now, "m1");
   arrival.deadline = dispatcher.now + 2 * kSecond;
   REQUIRE(dispatcher.Arrived(arrival).empty());
-  CHECK(Only<Refuse>(dispatcher.Wait(700 * kMillisecond)).empty());
-  CHECK(Only<Refuse>(dispatcher.Wait(200 * kMillisecond)).size() == 1);
+  CHECK(DecisionsOfType<Refuse>(dispatcher.Advance(700 * kMillisecond)).empty());
+  CHECK(DecisionsOfType<Refuse>(dispatcher.Advance(200 * kMillisecond)).size() == 1);
 }
 
 }  // namespace
--- a/tests/system/routing/load_simulation_test.cpp
+++ b/tests/system/routing/load_simulation_test.cpp
@@ -13,17 +13,17 @@
 constexpr int kDispatchers = 10;
 
 // Simulates dispatchers and runners whose response time grows with their load.
-class Play {
+class LoadSimulation {
  public:
-  Play(const Testbed& testbed, int dispatchers) {
+  LoadSimulation(const Testbed& testbed, int dispatchers) {
     for (int i = 0; i < dispatchers; ++i)
-      dispatchers_.push_back(std::make_unique<Dispatcher>(testbed, i + 1));
+      dispatchers_.push_back(std::make_unique<TestDispatcher>(testbed, i + 1));
   }
 
   // Sends `per_s` requests per second for `span`. Earlier models are more popular, and the dispatchers get
   // unequal shares.
   void Run(double per_s, Time span, const std::vector<std::string>& models, Time run_time) {
-    std::exponential_distribution<double> gap(per_s / kSecond);
+    std::exponential_distribution<double> interarrival_time(per_s / kSecond);
     std::vector<double> model_weights, shares;
     for (std::size_t i = 0; i < models.size(); ++i) model_weights.push_back(1.0 / static_cast<double>(i + 1));
     for (std::size_t i = 0; i < dispatchers_.size(); ++i) shares.push_back(i % 3 == 0 ? 2 : 1);
@@ -32,11 +32,14 @@
     const Time start = dispatchers_[0]->now, end = start + span;
     Time next = start;
     while (next < end) {
-      next += static_cast<Time>(gap(random_)) + 1;
+      next += static_cast<Time>(interarrival_time(random_)) + 1;
       AdvanceTo(next, run_time);
-      const std::size_t which = share(random_);
+      const std::size_t dispatcher_index = share(random_);
       ++arrived;
-      Take(which, dispatchers_[which]->Arrived(Asking(++number_, next, models[model(random_)])), run_time);
+      ProcessDecisions(
+          dispatcher_index,
+          dispatchers_[dispatcher_index]->Arrived(MakeArrival(++last_request_, next, models[model(random_)])),
+          run_time);
       if (next > start + span / 2) Sample();
     }
   }
@@ -44,26 +47,28 @@
   double MeanLoad() const { return samples_ == 0 ? 0 : sum_mean_ / samples_; }
   double MaxLoad() const { return samples_ == 0 ? 0 : sum_max_ / samples_; }
 
-  std::size_t arrived = 0, refused = 0, failed = 0, full = 0;
+  std::size_t arrived = 0, refused = 0, failed = 0, found_full = 0;
   std::map<std::string, int> load;  // by runner
   int slots = 64;
 
  private:
-  struct End {
+  struct Completion {
     Time at;
     std::size_t dispatcher;
     StartAttempt attempt;
-    bool operator>(const End& other) const { return at > other.at; }
+    bool operator>(const Completion& other) const { return at > other.at; }
   };
 
   void AdvanceTo(Time now, Time run_time) {
-    while (!ends_.empty() && ends_.top().at <= now) {
-      const End end = ends_.top();
-      ends_.pop();
-      --load[end.attempt.runner_id];
-      TickAll(end.at, run_time);
-      Take(end.dispatcher, dispatchers_[end.dispatcher]->Ended(end.attempt, AttemptOutcome::kServed, true),
-           run_time);
+    while (!completions_.empty() && completions_.top().at <= now) {
+      const Completion completion = completions_.top();
+      completions_.pop();
+      --load[completion.attempt.runner_id];
+      TickAll(completion.at, run_time);
+      ProcessDecisions(
+          completion.dispatcher,
+          dispatchers_[completion.dispatcher]->Ended(completion.attempt, AttemptOutcome::kServed, true),
+          run_time);
     }
     TickAll(now, run_time);
   }
@@ -72,44 +77,44 @@
     for (std::size_t i = 0; i < dispatchers_.size(); ++i) {
       const std::optional<Time> due = dispatchers_[i]->decisions.NextTimer();
       dispatchers_[i]->now = now;
-      if (due && *due <= now) Take(i, dispatchers_[i]->Wait(0), run_time);
+      if (due && *due <= now) ProcessDecisions(i, dispatchers_[i]->Advance(0), run_time);
     }
   }
 
-  void Take(std::size_t which, std::vector<Decision> decisions, Time run_time) {
+  void ProcessDecisions(std::size_t dispatcher_index, std::vector<Decision> decisions, Time run_time) {
     for (std::size_t i = 0; i < decisions.size(); ++i) {
       refused += std::holds_alternative<Refuse>(decisions[i]) ? 1 : 0;
       failed += std::holds_alternative<Fail>(decisions[i]) ? 1 : 0;
       const auto* started = std::get_if<StartAttempt>(&decisions[i]);
       if (started == nullptr) continue;
       const StartAttempt attempt = *started;
-      Dispatcher& dispatcher = *dispatchers_[which];
+      TestDispatcher& dispatcher = *dispatchers_[dispatcher_index];
       int& running = load[attempt.runner_id];
       if (running >= slots) {
-        ++full;
-        for (Decision& more : dispatcher.Ended(attempt, AttemptOutcome::kNotRun))
-          decisions.push_back(std::move(more));
+        ++found_full;
+        for (Decision& follow_up : dispatcher.Ended(attempt, AttemptOutcome::kNotRun))
+          decisions.push_back(std::move(follow_up));
         continue;
       }
       ++running;
       dispatcher.decisions.FirstEvent(dispatcher.now, attempt.request, attempt.attempt);
-      const double slower = 1 + static_cast<double>(running) / slots;
-      ends_.push(
-          {dispatcher.now + static_cast<Time>(slower * static_cast<double>(run_time)), which, attempt});
+      const double slowdown = 1 + static_cast<double>(running) / slots;
+      completions_.push({dispatcher.now + static_cast<Time>(slowdown * static_cast<double>(run_time)),
+                         dispatcher_index, attempt});
     }
   }
 
   void Sample() {
-    double sum = 0, most = 0;
-    for (const auto& [runner, running] : load) sum += running, most = std::max<double>(most, running);
+    double sum = 0, max_load = 0;
+    for (const auto& [runner, running] : load) sum += running, max_load = std::max<double>(max_load, running);
     ++samples_;
-    sum_mean_ += sum / static_cast<double>(load.size()), sum_max_ += most;
+    sum_mean_ += sum / static_cast<double>(load.size()), sum_max_ += max_load;
   }
 
-  std::vector<std::unique_ptr<Dispatcher>> dispatchers_;
-  std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
+  std::vector<std::unique_ptr<TestDispatcher>> dispatchers_;
+  std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions_;
   std::mt19937_64 random_{5};
-  RequestNumber number_ = 0;
+  RequestNumber last_request_ = 0;
   double samples_ = 0, sum_mean_ = 0, sum_max_ = 0;
 };
 
@@ -119,8 +124,9 @@
   for (int i = 0; i < 9; ++i) {
     std::vector<std::string> held;
     // The first model is on every runner, each further one on fewer runners.
-    for (std::size_t m = 0; m < models.size(); ++m)
-      if (m == 0 || (static_cast<std::size_t>(i) + m) % (m + 1) == 0) held.push_back(models[m]);
+    for (std::size_t model_index = 0; model_index < models.size(); ++model_index)
+      if (model_index == 0 || (static_cast<std::size_t>(i) + model_index) % (model_index + 1) == 0)
+        held.push_back(models[model_index]);
     testbed.AddRunner("r" + std::to_string(i), "pool", 64, held);
   }
   return testbed;
@@ -129,29 +135,31 @@
 TEST_CASE("ten dispatchers spread their load over nine runners", "[simulation]") {
   const std::vector<std::string> models{"m1", "m2", "m3", "m4"};
   for (const double per_s : {60.0, 180.0, 240.0}) {
-    Play play(NineRunnersOfModels(models), kDispatchers);
-    play.Run(per_s, 30 * kSecond, models, 1000 * kMillisecond);
+    LoadSimulation simulation(NineRunnersOfModels(models), kDispatchers);
+    simulation.Run(per_s, 30 * kSecond, models, 1000 * kMillisecond);
     std::printf(
         "simulated %3.0f/s: %zu arrived, %zu refused, %zu failed, %zu found full, load mean %.1f, max %.1f "
         "of "
         "%d (%.2f)\n",
-        per_s, play.arrived, play.refused, play.failed, play.full, play.MeanLoad(), play.MaxLoad(),
-        play.slots, play.MaxLoad() / play.MeanLoad());
-    CHECK(play.failed == 0);
-    CHECK(play.refused < play.arrived / 100);
-    CHECK(play.MaxLoad() / play.MeanLoad() < (per_s < 100 ? 4 : 2));
+        per_s, simulation.arrived, simulation.refused, simulation.failed, simulation.found_full,
+        simulation.MeanLoad(), simulation.MaxLoad(), simulation.slots,
+        simulation.MaxLoad() / simulation.MeanLoad());
+    CHECK(simulation.failed == 0);
+    CHECK(simulation.refused < simulation.arrived / 100);
+    CHECK(simulation.MaxLoad() / simulation.MeanLoad() < (per_s < 100 ? 4 : 2));
   }
 }
 
 TEST_CASE("in overload requests are refused, and the runners stay busy", "[simulation]") {
-  Play play(NineRunnersOfModels({"m1"}), kDispatchers);
-  play.Run(600, 20 * kSecond, {"m1"}, 1000 * kMillisecond);
+  LoadSimulation simulation(NineRunnersOfModels({"m1"}), kDispatchers);
+  simulation.Run(600, 20 * kSecond, {"m1"}, 1000 * kMillisecond);
   std::printf(
       "simulated overload: %zu arrived, %zu refused, %zu failed, %zu found full, load mean %.1f of %d\n",
-      play.arrived, play.refused, play.failed, play.full, play.MeanLoad(), play.slots);
-  CHECK(play.failed == 0);
-  CHECK(play.MeanLoad() > 0.85 * play.slots);
-  CHECK(play.full < play.arrived / 5);
+      simulation.arrived, simulation.refused, simulation.failed, simulation.found_full, simulation.MeanLoad(),
+      simulation.slots);
+  CHECK(simulation.failed == 0);
+  CHECK(simulation.MeanLoad() > 0.85 * simulation.slots);
+  CHECK(simulation.found_full < simulation.arrived / 5);
 }
 
 }  // namespace
--- a/tests/system/routing/mutation_test.cpp
+++ b/tests/system/routing/mutation_test.cpp
@@ -13,7 +13,7 @@
   testbed.AddRunner("d", "desk", 2, {});
   std::mt19937_64 random(3);
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Dispatcher dispatcher(testbed, seed);
+    TestDispatcher dispatcher(testbed, seed);
     Testbed changed = testbed;
     for (int step = 0; step < 3000; ++step) {
       std::vector<Decision> out;
@@ -23,7 +23,7 @@
         case 0:
         case 1: {
           const char* asked[] = {"m1", "m2/a1", "m3", "", "m1/none", "nobody's"};
-          Arrival arrival = Asking(number, dispatcher.now, asked[random() % 6]);
+          Arrival arrival = MakeArrival(number, dispatcher.now, asked[random() % 6]);
           arrival.deadline += static_cast<Time>(random() % 14) * kSecond - 13 * kSecond;
           arrival.tries = static_cast<int>(random() % 5) - 1;
           arrival.precedence = static_cast<int>(random() % 400) - 100;
@@ -56,14 +56,14 @@
           break;
         }
         default:
-          out = dispatcher.Wait(static_cast<Time>(random() % 100) * kMillisecond);
+          out = dispatcher.Advance(static_cast<Time>(random() % 100) * kMillisecond);
       }
       for (const Decision& decision : out)
         if (const auto* start = std::get_if<StartAttempt>(&decision)) REQUIRE_FALSE(start->address.empty());
       dispatcher.decisions.RecentDemand(dispatcher.now);
     }
     // Whatever the events were, all requests have ended after their deadlines.
-    dispatcher.Wait(30 * kSecond);
+    dispatcher.Advance(30 * kSecond);
     for (RequestNumber number = 0; number < 800; ++number) dispatcher.Gone(number);
     for (const Decisions::Demand& demand : dispatcher.decisions.RecentDemand(dispatcher.now))
       CHECK(demand.running == 0);
--- a/tests/system/routing/prompt_home_test.cpp
+++ b/tests/system/routing/prompt_home_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kHolders = 6;
 
-Testbed Holders(int count, int others) {
+Testbed TestbedWithHolders(int count, int others) {
   Testbed testbed;
   for (int i = 0; i < count; ++i) testbed.AddRunner("h" + std::to_string(i), "pool", 64, {"m1"});
   for (int i = 0; i < others; ++i) testbed.AddRunner("o" + std::to_string(i), "pool", 64, {"m2"});
@@ -20,10 +20,10 @@
 }
 
 // Returns the runner that an otherwise idle dispatcher chooses for a request with this prompt.
-std::string RunnerFor(Dispatcher* dispatcher, const std::vector<std::string>& parts) {
-  Arrival arrival = Asking(dispatcher->next++, dispatcher->now, "m1");
+std::string RunnerFor(TestDispatcher* dispatcher, const std::vector<std::string>& parts) {
+  Arrival arrival = MakeArrival(dispatcher->next_request++, dispatcher->now, "m1");
   arrival.prompt_parts = parts;
-  const auto started = Only<StartAttempt>(dispatcher->Arrived(arrival));
+  const auto started = DecisionsOfType<StartAttempt>(dispatcher->Arrived(arrival));
   if (started.empty()) return "";
   dispatcher->Ended(started.front(), AttemptOutcome::kServed, /*final=*/true);
   return started.front().runner_id;
@@ -40,8 +40,8 @@
 }
 
 TEST_CASE("requests that share a prefix go to the same runner from every dispatcher", "[prompt_home]") {
-  const Testbed testbed = Holders(kHolders, 20);
-  Dispatcher first(testbed, 1), second(testbed, 2);
+  const Testbed testbed = TestbedWithHolders(kHolders, 20);
+  TestDispatcher first(testbed, 1), second(testbed, 2);
   for (int group = 0; group < 20; ++group) {
     const std::string shared = "shared-" + std::to_string(group);
     const std::string home = RunnerFor(&first, {"class", shared, "own-1"});
@@ -52,8 +52,8 @@
 }
 
 TEST_CASE("the prompt groups of one model are spread over all its holders", "[prompt_home]") {
-  const Testbed testbed = Holders(kHolders, 20);
-  Dispatcher dispatcher(testbed);
+  const Testbed testbed = TestbedWithHolders(kHolders, 20);
+  TestDispatcher dispatcher(testbed);
   std::map<std::string, int> groups;
   constexpr int kGroups = 300;
   for (int group = 0; group < kGroups; ++group)
@@ -66,8 +66,8 @@
 }
 
 TEST_CASE("a model with one holder among many runners is found from every home", "[prompt_home]") {
-  const Testbed testbed = Holders(1, 120);
-  Dispatcher dispatcher(testbed);
+  const Testbed testbed = TestbedWithHolders(1, 120);
+  TestDispatcher dispatcher(testbed);
   for (int group = 0; group < 300; ++group)
     REQUIRE(RunnerFor(&dispatcher, {"class", "shared-" + std::to_string(group), "own"}) == "h0");
 }
--- a/tests/system/routing/retry_budget_test.cpp
+++ b/tests/system/routing/retry_budget_test.cpp
@@ -10,20 +10,20 @@
 
 constexpr Time kWindow = 10 * kSecond;
 
-int Spend(RetryBudget* budget, Time now, const Bounds& bounds, const DispatcherCount& count) {
-  int repeats = 0;
-  for (; repeats < 1000 && budget->Allows(now, bounds, count); ++repeats) budget->CountRetry(now);
-  return repeats;
+int SpendRetries(RetryBudget* budget, Time now, const Bounds& bounds, const DispatcherCount& count) {
+  int retries = 0;
+  for (; retries < 1000 && budget->Allows(now, bounds, count); ++retries) budget->CountRetry(now);
+  return retries;
 }
 
 TEST_CASE("a restarted dispatcher has no share of the slack in the first window", "[budget]") {
   Bounds bounds;
   RetryBudget budget(kWindow);
   DispatcherCount count(100 * kSecond);
-  CHECK(Spend(&budget, 100 * kSecond, bounds, count) == 0);
+  CHECK(SpendRetries(&budget, 100 * kSecond, bounds, count) == 0);
   count.Set(100 * kSecond, kWindow, 1);
-  CHECK(Spend(&budget, 109 * kSecond, bounds, count) == 0);
-  CHECK(Spend(&budget, 110 * kSecond, bounds, count) == 48);  // 0.8 of 60
+  CHECK(SpendRetries(&budget, 109 * kSecond, bounds, count) == 0);
+  CHECK(SpendRetries(&budget, 110 * kSecond, bounds, count) == 48);  // 0.8 of 60
 }
 
 TEST_CASE("the budget grows with own requests and is restored as the window slides", "[budget]") {
@@ -34,10 +34,10 @@
   count.Set(0, kWindow, 1);
   const Time start = 50 * kSecond;
   for (int i = 0; i < 100; ++i) budget.CountRequest(start);
-  CHECK(Spend(&budget, start, bounds, count) == 17);  // 0.85 x 0.2 x 100
-  CHECK(Spend(&budget, start + 9 * kSecond, bounds, count) == 0);
+  CHECK(SpendRetries(&budget, start, bounds, count) == 17);  // 0.85 x 0.2 x 100
+  CHECK(SpendRetries(&budget, start + 9 * kSecond, bounds, count) == 0);
   for (int i = 0; i < 100; ++i) budget.CountRequest(start + 10 * kSecond + 200 * kMillisecond);
-  CHECK(Spend(&budget, start + 10 * kSecond + 300 * kMillisecond, bounds, count) == 17);
+  CHECK(SpendRetries(&budget, start + 10 * kSecond + 300 * kMillisecond, bounds, count) == 17);
 }
 
 TEST_CASE("an idle budget drops old requests", "[budget]") {
@@ -47,7 +47,7 @@
   DispatcherCount count(0);
   count.Set(0, kWindow, 1);
   for (int i = 0; i < 1000; ++i) budget.CountRequest(50 * kSecond);
-  CHECK(Spend(&budget, 1000 * kSecond, bounds, count) == 0);
+  CHECK(SpendRetries(&budget, 1000 * kSecond, bounds, count) == 0);
 }
 
 TEST_CASE("the share of the slack does not grow at once when others are lost: they may be partitioned",
@@ -79,7 +79,7 @@
   Bounds bounds;
   bounds.retry_budget = false;
   RetryBudget budget(kWindow);
-  CHECK(Spend(&budget, kSecond, bounds, DispatcherCount(0)) == 1000);
+  CHECK(SpendRetries(&budget, kSecond, bounds, DispatcherCount(0)) == 1000);
 }
 
 TEST_CASE("the sliding counter's bounds enclose the true count of the window", "[budget]") {
--- a/tests/system/routing/router_test.cpp
+++ b/tests/system/routing/router_test.cpp
@@ -63,9 +63,9 @@
   CHECK(NameOf(router.Match(" a.example ", "/", "Bearer key-1")) == "root");
   auto configuration = std::make_shared<messages::Configuration>();
   AddRoute(configuration.get(), "six", "[2001:db8::1]", "/");
-  const Router six(configuration);
-  CHECK(NameOf(six.Match("[2001:DB8::1]:80", "/", "")) == "six");
-  CHECK(NameOf(six.Match("[2001:db8::1]", "/", "")) == "six");
+  const Router ipv6(configuration);
+  CHECK(NameOf(ipv6.Match("[2001:DB8::1]:80", "/", "")) == "six");
+  CHECK(NameOf(ipv6.Match("[2001:db8::1]", "/", "")) == "six");
 }
 
 TEST_CASE("a route that is not anonymous requires a known key", "[router]") {
@@ -133,9 +133,9 @@
   route.set_service("one");
   CHECK(Router::ChooseService(route, 0.99) == "one");
   const auto add = [&](const char* service, double weight) {
-    messages::WeightedService* part = route.add_weighted_services();
-    part->set_service(service);
-    part->set_weight(weight);
+    messages::WeightedService* weighted = route.add_weighted_services();
+    weighted->set_service(service);
+    weighted->set_weight(weight);
   };
   add("none", 0);
   add("most", 90);
--- a/tests/system/routing/testbed.cpp
+++ b/tests/system/routing/testbed.cpp
@@ -39,7 +39,7 @@
   return record;
 }
 
-std::shared_ptr<const Snapshot> Testbed::Take() const {
+std::shared_ptr<const Snapshot> Testbed::MakeSnapshot() const {
   auto runners = std::make_shared<std::vector<messages::RunnerRecord>>();
   for (const auto& [id, record] : runners_) runners->push_back(record);
   auto snapshot = std::make_shared<Snapshot>();
@@ -53,7 +53,7 @@
   return snapshot;
 }
 
-Arrival Asking(RequestNumber number, Time now, const std::string& model) {
+Arrival MakeArrival(RequestNumber number, Time now, const std::string& model) {
   const std::size_t slash = model.find('/');
   Arrival arrival;
   arrival.request = number;
@@ -69,46 +69,47 @@
   return arrival;
 }
 
-Dispatcher::Dispatcher(const Testbed& testbed, std::uint64_t seed) : now(kWorldTime), decisions(0, seed) {
+TestDispatcher::TestDispatcher(const Testbed& testbed, std::uint64_t seed)
+    : now(kStartTime), decisions(0, seed) {
   Install(testbed);
 }
 
-Dispatcher::Dispatcher(const Testbed& testbed, std::uint64_t seed, Time started)
+TestDispatcher::TestDispatcher(const Testbed& testbed, std::uint64_t seed, Time started)
     : now(started), decisions(started, seed) {
   Install(testbed);
 }
 
-std::vector<Decision> Dispatcher::Install(const Testbed& testbed) {
+std::vector<Decision> TestDispatcher::Install(const Testbed& testbed) {
   std::vector<Decision> out;
-  decisions.Install(now, testbed.Take(), &out);
+  decisions.Install(now, testbed.MakeSnapshot(), &out);
   return out;
 }
 
-std::vector<Decision> Dispatcher::Arrived(const Arrival& arrival) {
+std::vector<Decision> TestDispatcher::Arrived(const Arrival& arrival) {
   std::vector<Decision> out;
   decisions.Arrived(now, arrival, &out);
   return out;
 }
 
-std::vector<Decision> Dispatcher::Ended(const StartAttempt& attempt, AttemptOutcome outcome, bool final) {
+std::vector<Decision> TestDispatcher::Ended(const StartAttempt& attempt, AttemptOutcome outcome, bool final) {
   std::vector<Decision> out;
   decisions.AttemptEnded(now, attempt.request, attempt.attempt, outcome, final, &out);
   return out;
 }
 
-std::vector<Decision> Dispatcher::Serve(RequestNumber number) {
+std::vector<Decision> TestDispatcher::CompleteFirstAttempt(RequestNumber number) {
   std::vector<Decision> out;
   decisions.AttemptEnded(now, number, 0, AttemptOutcome::kServed, true, &out);
   return out;
 }
 
-std::vector<Decision> Dispatcher::Gone(RequestNumber number) {
+std::vector<Decision> TestDispatcher::Gone(RequestNumber number) {
   std::vector<Decision> out;
   decisions.Gone(now, number, &out);
   return out;
 }
 
-std::vector<Decision> Dispatcher::Wait(Time span) {
+std::vector<Decision> TestDispatcher::Advance(Time span) {
   std::vector<Decision> out;
   const Time until = now + span;
   while (true) {
@@ -121,8 +122,8 @@
   return out;
 }
 
-std::string Dispatcher::Send(const std::string& model) {
-  const auto started = Only<StartAttempt>(Arrived(Asking(next++, now, model)));
+std::string TestDispatcher::SendRequest(const std::string& model) {
+  const auto started = DecisionsOfType<StartAttempt>(Arrived(MakeArrival(next_request++, now, model)));
   return started.empty() ? std::string() : started.front().runner_id;
 }
 
--- a/tests/system/routing/testbed.h
+++ b/tests/system/routing/testbed.h
@@ -22,7 +22,7 @@
   messages::RunnerRecord& Runner(const std::string& id) { return runners_.at(id); }
   void Remove(const std::string& id) { runners_.erase(id); }
 
-  std::shared_ptr<const Snapshot> Take() const;
+  std::shared_ptr<const Snapshot> MakeSnapshot() const;
 
   int live_dispatchers = 1;
   std::string zone = "here";
@@ -35,38 +35,38 @@
 };
 
 // A request to `pool` for `model`, given as MODEL or MODEL/ADAPTER, or a request to `desk` if it is empty.
-Arrival Asking(RequestNumber number, Time now, const std::string& model);
+Arrival MakeArrival(RequestNumber number, Time now, const std::string& model);
 
 template <typename T>
-std::vector<T> Only(const std::vector<Decision>& decisions) {
-  std::vector<T> only;
+std::vector<T> DecisionsOfType(const std::vector<Decision>& decisions) {
+  std::vector<T> matching;
   for (const Decision& decision : decisions)
-    if (const T* item = std::get_if<T>(&decision)) only.push_back(*item);
-  return only;
+    if (const T* item = std::get_if<T>(&decision)) matching.push_back(*item);
+  return matching;
 }
 
-inline constexpr Time kWorldTime = 1000 * kSecond;  // start time of most tests
+inline constexpr Time kStartTime = 1000 * kSecond;  // start time of most tests
 
 // The decisions of one dispatcher with its own clock.
-class Dispatcher {
+class TestDispatcher {
  public:
   // The first constructor makes a dispatcher that has run for a long time, the second one that starts at
   // `started`.
-  explicit Dispatcher(const Testbed& testbed, std::uint64_t seed = 7);
-  Dispatcher(const Testbed& testbed, std::uint64_t seed, Time started);
+  explicit TestDispatcher(const Testbed& testbed, std::uint64_t seed = 7);
+  TestDispatcher(const Testbed& testbed, std::uint64_t seed, Time started);
 
   std::vector<Decision> Install(const Testbed& testbed);
   std::vector<Decision> Arrived(const Arrival& arrival);
   std::vector<Decision> Ended(const StartAttempt& attempt, AttemptOutcome outcome, bool final = false);
-  std::vector<Decision> Serve(RequestNumber number);  // its first attempt succeeds
+  std::vector<Decision> CompleteFirstAttempt(RequestNumber number);  // its first attempt succeeds
   std::vector<Decision> Gone(RequestNumber number);
-  std::vector<Decision> Wait(Time span);  // advances the clock and fires all timers that fall due
+  std::vector<Decision> Advance(Time span);  // advances the clock and fires all timers that fall due
 
   // Sends a request for the model and returns the runner chosen; empty if none was.
-  std::string Send(const std::string& model);
+  std::string SendRequest(const std::string& model);
 
   Time now;
-  RequestNumber next = 1;
+  RequestNumber next_request = 1;
   Decisions decisions;
 };
 
