--- a/tests/system/routing/decisions_test.cpp
+++ b/tests/system/routing/decisions_test.cpp
@@ -190,8 +190,8 @@
         DecisionsOfType<Refuse>(dispatcher.Arrived(MakeArrival(number, dispatcher.now, "unloaded")));
     REQUIRE(refused.size() == 1);
     // The load counts as begun at the first request.
-    const Time gone = static_cast<Time>(number - 1) * 50 * kMillisecond;
-    CHECK(refused[0].retry_after == 2500 * kMillisecond - gone);
+    const Time elapsed = static_cast<Time>(number - 1) * 50 * kMillisecond;
+    CHECK(refused[0].retry_after == 2500 * kMillisecond - elapsed);
     dispatcher.now += 50 * kMillisecond;
   }
   Arrival hasty = MakeArrival(21, dispatcher.now, "unloaded");
--- a/tests/system/routing/mutation_test.cpp
+++ b/tests/system/routing/mutation_test.cpp
@@ -22,8 +22,8 @@
       switch (random() % 8) {
         case 0:
         case 1: {
-          const char* asked[] = {"m1", "m2/a1", "m3", "", "m1/none", "nobody's"};
-          Arrival arrival = MakeArrival(number, dispatcher.now, asked[random() % 6]);
+          const char* requested_models[] = {"m1", "m2/a1", "m3", "", "m1/none", "nobody's"};
+          Arrival arrival = MakeArrival(number, dispatcher.now, requested_models[random() % 6]);
           arrival.deadline += static_cast<Time>(random() % 14) * kSecond - 13 * kSecond;
           arrival.tries = static_cast<int>(random() % 5) - 1;
           arrival.precedence = static_cast<int>(random() % 400) - 100;
