--- a/src/placement/catalog.h
+++ b/src/placement/catalog.h
@@ -1,4 +1,4 @@
-// The models that a service may be asked for and the room of its runners, from the configuration.
+// The models that a service offers and the capacity of its runners, from the configuration.
 #pragma once
 
 #include <map>
@@ -21,11 +21,11 @@
 
   void Assign(const messages::Engine& engine);
 
-  bool Knows(const Key& key) const;  // may be ordered
+  bool Knows(const Key& key) const;  // may appear in an order
   const Model* Find(const std::string& model) const;
   double MegabytesOf(const Key& key) const;
   double MegabytesOf(const HeldSet& held) const;
-  // Whether a runner that holds no more than this may be ordered to load the key.
+  // Whether a runner that holds at most `held` has the capacity to load the key.
   bool Fits(HeldSet held, const Key& key) const;
   Time LoadTime(const Key& key) const;
 
--- a/src/placement/demand_table.h
+++ b/src/placement/demand_table.h
@@ -1,5 +1,5 @@
-// What is asked for, by model and adapter: the sum of the newest reports of all dispatchers. Rises are taken
-// at once, falls slowly, so that a pause moves nothing.
+// Demand by model and adapter: the sum of the latest reports of all dispatchers. Running requests rise at
+// once and decay slowly, so that a short pause in traffic causes no changes of placement.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 
 namespace lichenlug::placement {
 
-// A second, from which the loss of a model's only copy costs more than another copy does.
+// Arrivals per second above which losing a model's only copy costs more than holding a second one.
 inline constexpr double kSafeArrivals = 3;
 
 struct Demand {
@@ -20,7 +20,7 @@
   double running = 0;  // smoothed
   double unserved = 0;
   Time last_asked = 0;
-  Time asked_since = 0;  // of the present stretch of demand
+  Time asked_since = 0;  // start of the current period of demand
 
   bool present() const { return running > 0.5 || arrivals_per_s > 0.02 || unserved > 0; }
 };
@@ -30,9 +30,10 @@
   void Update(Time now, const std::string& service, const std::vector<messages::DemandReport>& reports,
               const Catalog& catalog);
 
-  const std::map<Key, Demand>& keys() const { return keys_; }  // models without an adapter, and adapters
+  // Requests without an adapter are under the key of the model itself.
+  const std::map<Key, Demand>& keys() const { return keys_; }
   const Demand& Of(const Key& key) const;
-  // Of a model with all its adapters.
+  // Total of a model, including all its adapters.
   const Demand& OfModel(const std::string& model) const;
   const std::map<std::string, Demand>& models() const { return models_; }
   double running() const;
--- a/src/placement/eviction.h
+++ b/src/placement/eviction.h
@@ -1,4 +1,4 @@
-// What has to go from a runner before it can load something, and what that costs.
+// Chooses what a runner has to unload before it can load something, and rates the cost.
 #pragma once
 
 #include <limits>
@@ -14,25 +14,25 @@
   const Catalog* catalog = nullptr;
   const DemandTable* demand = nullptr;
   FleetView* view = nullptr;
-  const std::map<Key, Time>* placed = nullptr;       // when what stood nowhere was last assigned to a runner
-  int loads_left = std::numeric_limits<int>::max();  // that the weight store allows and no intent waits for
+  const std::map<Key, Time>* placed = nullptr;       // when a key held by no ready runner was last assigned
+  int loads_left = std::numeric_limits<int>::max();  // model loads the store allows, less waiting intents
 };
 
-// A model's with all its adapters.
+// For a model, the total including all its adapters.
 const Demand& DemandOf(const PlanContext& context, const Key& key);
 
 struct Victims {
-  std::vector<Key> keys;  // empty: there is room already
+  std::vector<Key> keys;  // empty if the target fits already
   double cost = 0;
 };
 
-// The cheapest keys whose unloading makes room for the target; nothing if room can't be made at a value of at
-// most `most` each.
+// The cheapest keys to unload so that the target fits. Returns nullopt if it can't be made to fit by
+// unloading only keys with a value of at most `most` each.
 std::optional<Victims> FindVictims(const PlanContext& context, const RunnerView& runner, const Key& target,
                                    double most);
 
-// The most that unloading may cost for the sake of one more copy of the key: what that copy is worth, on the
-// scale of what has to go for it.
+// The value of one more copy of the key, on the same scale as the value of the keys that may be unloaded for
+// it. Keys with a higher value aren't unloaded for that copy.
 double WorthOfCopy(const PlanContext& context, const Key& key, Urgency urgency);
 
 }  // namespace lichenlug::placement
--- a/src/placement/fleet_scaler.h
+++ b/src/placement/fleet_scaler.h
@@ -1,7 +1,7 @@
-// How many runners a zone should have, for services whose fleets may grow. All models are to fit into the
-// runners' memory, the busy ones in several copies; a zone has its part of the runners that takes. Beyond
-// that a zone grows one runner at a time under lasting overload, and shrinks one at a time when it lies idle.
-// Off unless the settings ask for it.
+// Decides how many runners each zone should have, for services whose fleets are scaled. The fleet is sized so
+// that all models fit into the runners' memory, busy ones in several copies, and the runners are divided
+// among the zones. Beyond that, a zone grows by one runner at a time under sustained overload and shrinks by
+// one at a time when idle. Disabled by default in the settings.
 #pragma once
 
 #include <cstdint>
@@ -23,16 +23,16 @@
 
 class FleetScaler {
  public:
-  void Restart(Time now);  // another epoch
-  // At most one change at a time; to be told how it ended.
+  void Restart(Time now);  // a new epoch has begun
+  // Returns at most one change at a time. No further change is returned until Ended() reports its outcome.
   std::optional<FleetChange> Decide(const PlanContext& context, const messages::Fleet& fleet);
   void Ended(Time now, bool taken);
 
  private:
   struct Zone {
     int runners = 0;
-    int ordered = 0;  // 0: nothing was
-    int wanted = 0;   // for the models
+    int ordered = 0;  // size last accepted by the platform; 0 if none
+    int wanted = 0;   // size that the models need
     double load = 0;
     bool may_lose_one = true;
     Time seen = 0, full_since = 0, idle_since = 0, changed = 0;
@@ -43,7 +43,7 @@
 
   std::map<std::string, Zone> zones_;
   std::optional<FleetChange> in_flight_;
-  Time started_at_ = 0;  // of the epoch
+  Time started_at_ = 0;  // start of the epoch
 };
 
 }  // namespace lichenlug::placement
--- a/src/placement/fleet_view.h
+++ b/src/placement/fleet_view.h
@@ -1,5 +1,5 @@
-// The fleet as the planner sees it at one moment: which runners are ready, what each holds and is about to
-// hold, and how the present demand loads them.
+// Snapshot of the fleet for the planner: the ready runners, what each holds and is expected to hold, and the
+// load that current demand puts on them.
 #pragma once
 
 #include <map>
@@ -15,35 +15,35 @@
 
 namespace lichenlug::placement {
 
-// Why something is to be loaded, the most urgent first.
+// Reason for a load, the most urgent first.
 enum class Urgency {
-  kAsked,     // asked for, and no ready runner holds it
-  kOverload,  // its runners are too few for its demand
-  kRelief,    // its runners are full, others aren't
-  kSpare,     // worth a copy where there is free room
-  kPrefetch,  // stands nowhere and may be asked for, where there is free room
+  kAsked,     // in demand, and no ready runner holds it
+  kOverload,  // its demand exceeds the capacity of its runners
+  kRelief,    // its runners are full while others aren't
+  kSpare,     // worth another copy where capacity is spare
+  kPrefetch,  // held by no runner and not in demand yet; loaded where capacity is spare
 };
 const char* ToText(Urgency urgency);
 
-// What a runner is being brought to hold; room is made first.
+// A planned load on a runner. Other keys are unloaded first if it doesn't fit.
 struct Intent {
   Key target;
   Urgency urgency = Urgency::kAsked;
   Time since = 0;
-  double worth = 0;  // what may be unloaded for it at most
+  double worth = 0;  // maximum value of a key that may be unloaded for it
 };
 
 struct RunnerView {
   std::string id, zone, address;
-  bool available = false;  // may be given an intent
-  HeldSet held;            // as best known
-  HeldSet expected;        // after its order and its intent
-  HeldSet may_hold;
-  double load = 0;  // requests in work, estimated
+  bool available = false;  // can be assigned an intent
+  HeldSet held;            // latest known state
+  HeldSet expected;        // once its order and its intent are complete
+  HeldSet may_hold;        // upper bound, including loads that may still arrive
+  double load = 0;         // estimated number of running requests
 };
 
 struct FleetView {
-  std::vector<RunnerView> runners;                                      // ready ones
+  std::vector<RunnerView> runners;                                      // only ready runners
   std::map<Key, std::vector<std::size_t>> holders;                      // by `expected`
   const std::map<std::string, std::set<std::string>>* disks = nullptr;  // by address: models held before
 
@@ -52,7 +52,7 @@
   bool OnDisk(const std::string& address, const std::string& model) const;
 };
 
-// Shares the running requests of each key out over its holders, more to those with less.
+// Distributes the running requests of each key over its holders, more to those with less load.
 void EstimateLoads(const DemandTable& demand, int slots, FleetView* view);
 
 }  // namespace lichenlug::placement
--- a/src/placement/held_set.h
+++ b/src/placement/held_set.h
@@ -1,4 +1,4 @@
-// What a runner holds: models and, of each, adapters.
+// The set of models and adapters that a runner holds.
 #pragma once
 
 #include <compare>
@@ -43,7 +43,7 @@
     const auto model = models_.find(key.model);
     if (model == models_.end()) return;
     if (key.is_model())
-      models_.erase(model);  // its adapters go with it
+      models_.erase(model);  // with its adapters
     else
       model->second.erase(key.adapter);
   }
@@ -51,7 +51,7 @@
     for (const auto& [model, adapters] : other.models_)
       models_[model].insert(adapters.begin(), adapters.end());
   }
-  // Whether the effect of the order is there.
+  // Whether this set shows the order's effect.
   bool Shows(const Order& order) const { return Holds(order.key) == (order.kind == Order::Kind::kLoad); }
 
   int adapter_count() const {
--- a/src/placement/load_budget.h
+++ b/src/placement/load_budget.h
@@ -1,12 +1,12 @@
-// How many loads may still be taken from the weight store: in every sliding window, over all runners and over
-// changes of the duty's holder.
+// Limits the rate of loads from the weight store: the number of loads in every sliding window, over all
+// runners and across changes of the duty's holder.
 //
-// A load begins at some moment between its order and the order's answer. It is counted from its order until a
-// window after the last moment at which it can begin; then no window holds more loads than are counted at the
-// order of its last one.
+// A load begins at some time between sending its order and receiving the answer. It counts from when its
+// order is sent until one window after the latest time at which it can begin. Hence no window contains more
+// loads than were counted when the last of them was ordered.
 //
-// The holder tells its loads with each renewal of its lease, and how many it may begin until the next one
-// (the allowance). Whoever takes over counts both as its own.
+// With each renewal of its lease the holder publishes its loads and an allowance, the number of loads it may
+// begin until the next renewal. The next holder counts both as its own.
 #pragma once
 
 #include <cstdint>
@@ -23,22 +23,23 @@
   LoadBudget(Time window, double overage, Time lease);
 
   void SetRate(double loads_per_s);
-  // Another holder, which told nothing, may have used up the window.
+  // Assumes that an earlier holder, which published nothing, has used up the window.
   void TakeOver(Time now);
-  // Another holder's loads, as told for the moment `told_at`.
+  // Counts the loads of an earlier holder; their ages in `history` are relative to `told_at`.
   void Inherit(Time told_at, const messages::LoadHistory& history);
-  // From `since` on, so many loads may begin here until the next call; without a limit until the first one.
+  // Limits the loads begun here from `since` until the next call to `loads`. There is no such limit before
+  // the first call.
   void SetAllowance(Time since, int loads);
   void LiftAllowance() { allowance_ = kNoAllowance; }
   bool HasAllowance() const { return allowance_ != kNoAllowance; }
 
-  // What is to be told with a renewal that begins now: begun loads by age, those that may begin yet, the
-  // allowance.
+  // The history to publish with a renewal that begins now: the loads begun, by age, the number that may still
+  // begin, and the allowance.
   messages::LoadHistory History(Time now) const;
 
   int Left(Time now) const;
-  std::uint64_t Begin(Time now);                       // an order is sent; returns the number of the load
-  void Settle(std::uint64_t load, Time latest_begin);  // it has begun by then, or never will
+  std::uint64_t Begin(Time now);  // counts a load whose order is sent now; returns the load's number
+  void Settle(std::uint64_t load, Time latest_begin);  // it began by `latest_begin` or never will
   std::size_t size() const { return loads_.size(); }
   void Expire(Time now);
 
--- a/src/placement/order_codec.h
+++ b/src/placement/order_codec.h
@@ -1,5 +1,5 @@
-// The wire words of calls to runners and to the platform, and of their answers. They stand here and nowhere
-// else.
+// Encodes the calls to runners and to the platform, and decodes their answers. No other code of this library
+// depends on the wire format.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,27 @@
 
 namespace lichenlug::placement {
 
-// What a runner answers when it is asked for its state.
+// A runner's answer to a request for its state.
 struct RunnerReport {
   HeldSet held;
-  bool busy = false;               // an order is under way
-  std::uint64_t orders_taken = 0;  // since it started
+  bool busy = false;               // an order is in progress
+  std::uint64_t orders_taken = 0;  // accepted since the runner started
 };
 
 enum class ReportError {
-  kNoAnswer,      // ask again later
-  kNotRead,       // the body is no JSON object, or too large: ask again later
-  kFieldMissing,  // the body lacks a field, or has it in another type: this runner can't be ordered
+  kNoAnswer,      // retry later
+  kNotRead,       // the body is not a JSON object, or is too large: retry later
+  kFieldMissing,  // a field is missing or of the wrong type: no orders can be sent to this runner
 };
 
 enum class OrderOutcome {
-  kAccepted,     // it is being done
-  kHolds,        // there was nothing to do
-  kConflict,     // another order is under way, or it has taken orders since it was read
-  kFenced,       // a later holder of the duty has acted
-  kInvalid,      // no such order
+  kAccepted,     // accepted and in progress
+  kHolds,        // nothing to do
+  kConflict,     // another order is in progress, or the runner accepted orders since its state was read
+  kFenced,       // a later holder of the duty has sent orders
+  kInvalid,      // rejected as invalid
   kOtherRunner,  // another runner has this address now
-  kUnknown,      // no clear answer: it may have been taken
+  kUnknown,      // no conclusive answer: the order may have been accepted
 };
 
 duties::HttpCall OrderCall(const Order& order, std::uint64_t orders_taken, const std::string& holder,
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,6 +1,6 @@
-// Where each model and adapter stands: demand in, orders to runners and fleet sizes out. Acts only on the
-// holder of the duty of its service. An order with no answer counts as taken until a report proves otherwise.
-// A state machine.
+// Places the models and adapters of one service on its runners: takes demand as input and issues orders to
+// runners and fleet sizes. Acts only on the dispatcher that holds the service's duty. An unanswered order
+// counts as accepted until a report proves otherwise. A state machine without I/O.
 #pragma once
 
 #include <cstdint>
@@ -21,22 +21,22 @@
  public:
   struct Settings {
     std::string service;
-    std::string holder;  // name of this dispatcher, in orders
+    std::string holder;  // name of this dispatcher, sent in orders
     Time origin_window = 5 * kSecond;
     double origin_overage = 1.1;
     Time lease = 3 * kSecond;
-    Time heartbeat = 1200 * kMillisecond;  // how often a runner tells what it holds
-    bool scale = false;                    // order fleet sizes too
+    Time heartbeat = 1200 * kMillisecond;  // interval at which a runner reports what it holds
+    bool scale = false;                    // also order fleet sizes
     std::uint64_t seed = 0;
   };
   struct Input {
-    const messages::Service* service = nullptr;                    // null: not in the configuration any more
+    const messages::Service* service = nullptr;                    // null if no longer configured
     const std::vector<messages::RunnerRecord>* runners = nullptr;  // of all services
-    const std::vector<messages::DemandReport>* demand = nullptr;   // the newest of each dispatcher
+    const std::vector<messages::DemandReport>* demand = nullptr;   // the latest of each dispatcher
     std::uint64_t epoch = 0;
     bool holds = false;
-    // What the duty's register tells of loads from the weight store, for the moment `lease_started_at`; null:
-    // nothing.
+    // Loads from the weight store as recorded in the duty's register, with ages relative to
+    // `lease_started_at`; null if nothing is recorded.
     const messages::LoadHistory* loads = nullptr;
     Time lease_started_at = 0;
   };
@@ -44,16 +44,16 @@
   explicit Placement(Settings settings);
   ~Placement();
 
-  // Calls it wants made now: orders and, rarely, GET /-/report at runners; POST /fleet at the platform.
+  // Appends the calls to make now: orders and, rarely, GET /-/report to runners; POST /fleet to the platform.
   void Act(Time now, const Input& input, std::vector<duties::HttpCall>* calls);
   void Completed(Time now, std::uint64_t tag, const duties::HttpResult& result);
   std::optional<Time> NextTimer() const;
 
-  // What is to be told with a renewal of the lease of this epoch that begins now; none before it has acted in
-  // it. `ends`: the duty is given up, so nothing is loaded after it.
+  // The load history to publish with a renewal of this epoch's lease that begins now; nullopt before the
+  // first Act in that epoch. `ends`: the duty is being released, so no load follows.
   std::optional<messages::LoadHistory> TellLoads(Time now, std::uint64_t epoch, bool ends);
 
-  // Why each model stands where it does, a line each, for the operator.
+  // Explains the placement to the operator, one line for each model or adapter in demand and for each runner.
   std::vector<std::string> Explain(Time now) const;
 
  private:
--- a/src/placement/placement_impl.h
+++ b/src/placement/placement_impl.h
@@ -1,4 +1,4 @@
-// The parts of the placement of one service, put together. Private to this library.
+// Implementation of Placement, which combines the parts of this library. Private to this library.
 #pragma once
 
 #include <map>
@@ -69,14 +69,14 @@
   Planner planner_;
   FleetScaler scaler_;
   std::map<std::string, Runner> runners_;               // by id
-  std::map<std::string, std::set<std::string>> disks_;  // by address: models that were held there
+  std::map<std::string, std::set<std::string>> disks_;  // by address: models held there so far
   std::map<std::uint64_t, PendingCall> calls_;          // by tag
-  FleetView view_;                                      // of the last plan
+  FleetView view_;                                      // as of the last plan
   std::uint64_t next_tag_ = 1;
   std::uint64_t epoch_ = 0;
-  std::uint64_t fenced_epoch_ = 0;  // a later holder has acted: nothing is sent until a higher epoch
-  bool active_ = false;             // held the duty at the last Act, with an engine to place for
-  Time settle_until_ = 0;           // after taking over, records come up to date first
+  std::uint64_t fenced_epoch_ = 0;  // refused because a later holder has acted; only higher epochs send calls
+  bool active_ = false;             // held the duty at the last Act, with an engine configured
+  Time settle_until_ = 0;           // no planning before this time after a takeover, while records catch up
   Time next_plan_ = 0;
   std::optional<Time> next_timer_;
 };
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -1,6 +1,5 @@
-// Decides what ready runners are to hold beside what they hold: a model or adapter that is asked for and
-// stands nowhere first, then copies that follow demand. A copy goes only where its room is needed for another
-// one.
+// Decides what ready runners should load: first models and adapters that are in demand and held by no runner,
+// then further copies according to demand. A copy is unloaded only when its space is needed for another key.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +12,7 @@
 namespace lichenlug::placement {
 
 struct Assignment {
-  std::size_t runner = 0;  // of the view
+  std::size_t runner = 0;  // index in FleetView::runners
   Intent intent;
 };
 
@@ -21,19 +20,19 @@
  public:
   explicit Planner(std::uint64_t seed) : seed_(seed) {}
 
-  // Keys that a runner refused as invalid are left out until then.
+  // Ignores a key that a runner refused as invalid until the given time.
   void Refuse(const Key& key, Time until);
 
   std::vector<Assignment> Plan(PlanContext context);
   const std::map<Key, Time>& placed() const { return placed_; }
 
-  // How many runners were wanted for each key at the last plan, and what hinders, for the operator.
+  // The number of copies wanted of a key at the last plan and what prevents them, for the operator.
   struct Wish {
     std::size_t copies = 0;
     Urgency urgency = Urgency::kAsked;
-    double max_fill = 0;  // of a runner that is worth a copy: its load over its slots
+    double max_fill = 0;  // maximum ratio of load to slots of a runner that may get a copy
     const char* hindrance = "";
-    bool flooded = false;  // more requests than its runners have slots for
+    bool flooded = false;  // more running requests than its runners have slots
   };
   const std::map<Key, Wish>& wishes() const { return wishes_; }
 
@@ -41,8 +40,8 @@
   struct Pass {
     const PlanContext* context;
     std::vector<Assignment>* assignments;
-    std::size_t optional_left;  // copies that aren't urgent, in work at once
-    int* loads_left;            // of models: one that has to wait would keep its runner from adapters
+    std::size_t optional_left;  // number of copies that aren't urgent that may still be assigned
+    int* loads_left;            // of models; a load that waits would keep its runner from loading adapters
   };
   bool Refused(Time now, const Key& key) const;
   bool Place(const Pass& pass, const Key& key, Urgency urgency, double max_fill);
@@ -51,17 +50,17 @@
   Wish WishFor(const PlanContext& context, const Key& key, const Demand& demand, double fill) const;
   bool Ripe(Time now, const Key& key, const Wish& wish, std::size_t copies);
   void NoteCrowded(const PlanContext& context);
-  // Only what is worth so much at least.
+  // Only keys whose copy is worth at least `min_worth`.
   void PlaceMissing(const Pass& pass, double min_worth);
   void Prefetch(Pass* pass);
   void PlaceCopies(Pass* pass, double min_worth);
 
   std::uint64_t seed_;
   std::map<Key, Wish> wishes_;
-  std::map<Key, Time> short_since_;  // of copies
+  std::map<Key, Time> short_since_;  // since when a key has had too few copies
   std::map<Key, Time> refused_;
-  std::map<Key, Time> placed_;                  // what stood nowhere, when it was last assigned
-  std::map<std::string, std::size_t> crowded_;  // by model: the copies that its adapters in demand need
+  std::map<Key, Time> placed_;                  // when a key held by no runner was last assigned
+  std::map<std::string, std::size_t> crowded_;  // by model: copies that its adapters in demand need
 };
 
 }  // namespace lichenlug::placement
--- a/src/placement/runner_ledger.h
+++ b/src/placement/runner_ledger.h
@@ -1,9 +1,10 @@
-// What one runner may hold, and the order that it is carrying out.
+// Tracks what one runner may hold and the order that it is executing.
 //
-// Every order names the number of orders that the runner had taken when its state was read, and the runner
-// takes it only if that number still holds. So an order is decided on the very state that it meets, whoever
-// else has sent orders and however late they arrive; of two orders with one number at most one is taken. A
-// runner whose number isn't known is read before it is ordered.
+// Every order carries the number of orders that the runner had accepted when its state was read, and the
+// runner accepts the order only if that number is still current (compare-and-set). So an order is always
+// applied to the state on which it was decided, no matter who else sends orders or how late they arrive, and
+// at most one of several orders with the same number is accepted. If the number isn't known, the runner's
+// state is read before an order is sent.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +21,24 @@
 class RunnerLedger {
  public:
   enum class Phase {
-    kUnread,   // its state has to be read before an order
-    kReading,  // a report is asked for
-    kIdle,     // state and number are known, nothing is under way
-    kOrdered,  // an order is sent, its answer is due
-    kWorking,  // an order was taken and is not seen done
+    kUnread,   // the state has to be read before an order is sent
+    kReading,  // a report was requested
+    kIdle,     // state and number are known, no order is in progress
+    kOrdered,  // an order was sent and not answered yet
+    kWorking,  // an order was accepted and isn't known to be complete
   };
 
-  bool Observe(Time now, const messages::RunnerRecord& record);  // whether it told anything new
-  void Restart();  // another epoch: whatever was known of orders may have changed
+  bool Observe(Time now, const messages::RunnerRecord& record);  // returns whether the record is new
+  void Restart();  // a new epoch has begun: earlier knowledge of orders may be outdated
 
-  bool NeedsReport(Time now, bool wanted) const;  // `wanted`: there is something to order
+  bool NeedsReport(Time now, bool wanted) const;  // `wanted`: there is an intent
   bool CanOrder(Time now) const;
 
   void ReportSent(Time now);
   void ReportAnswered(Time now, const std::variant<RunnerReport, ReportError>& report);
-  // `load` is its number in the budget of the weight store; 0: it doesn't count. A load that may still begin
-  // keeps its number for orders that name the same number of orders taken, as only one of them can be taken.
+  // `load` is the load's number in the weight store's budget, or 0 if the order doesn't count there. A load
+  // that may still begin shares its number with later orders that carry the same number of accepted orders,
+  // as only one of them can be accepted.
   void OrderSent(Time now, const Order& order, Time work_time, std::uint64_t load);
   void OrderAnswered(Time now, OrderOutcome outcome);
 
@@ -44,16 +46,16 @@
   Phase phase() const { return phase_; }
   std::uint64_t orders_taken() const { return orders_taken_; }
   Time last_seen() const { return last_seen_; }
-  int failures() const { return failures_; }  // calls in a row that were not taken
-  // May soon be given an order: nothing that takes long is under way.
+  int failures() const { return failures_; }  // consecutive calls that failed or were refused
+  // Whether an order can be sent soon: nothing long-running is in progress.
   bool Available(Time now) const;
 
-  const HeldSet& held() const;  // as best known
-  HeldSet MayHold() const;      // with what may be or come, and all that isn't seen gone
-  HeldSet Expected() const;     // after the order under way
+  const HeldSet& held() const;  // latest known state
+  HeldSet MayHold() const;      // upper bound: with loads that may still arrive and unloads not confirmed
+  HeldSet Expected() const;     // once the order in progress is complete
   const std::optional<Order>& in_flight() const { return in_flight_; }
   std::uint64_t unsettled_load() const { return load_; }
-  // The number of a load that can't begin any more since the last call, if any.
+  // Returns, once, the number of a load that can no longer begin, if there is one.
   std::optional<std::uint64_t> TakeSettledLoad();
 
  private:
@@ -63,17 +65,17 @@
   void DropUnanswered();
 
   messages::RunnerRecord record_;
-  HeldSet told_;       // by the record
-  HeldSet confirmed_;  // at `orders_taken_`, with nothing under way
+  HeldSet told_;       // according to the latest record
+  HeldSet confirmed_;  // as of `orders_taken_` accepted orders, with none in progress
   Phase phase_ = Phase::kUnread;
   std::uint64_t orders_taken_ = 0;
-  std::optional<Order> in_flight_;  // sent, and not known to be done or refused
+  std::optional<Order> in_flight_;  // sent, and not known to be complete or refused
   HeldSet unanswered_;         // loads that may still arrive while the runner's number is `orders_taken_`
-  bool record_tells_ = false;  // a heartbeat can show that the order under way is done
+  bool record_tells_ = false;  // a heartbeat can show that the order in progress is complete
   bool awaits_report_ = false;
   std::uint64_t load_ = 0;
   std::uint64_t settled_load_ = 0;
-  std::uint64_t record_at_order_ = 0;  // heartbeat number
+  std::uint64_t record_at_order_ = 0;  // number of the latest heartbeat when the order was sent
   Time last_seen_ = 0;
   Time ordered_at_ = 0;
   Time work_time_ = 0;
