--- a/src/placement/explain.cpp
+++ b/src/placement/explain.cpp
@@ -1,4 +1,4 @@
-// Tells the operator why each model stands where it does.
+// Explains the current placement to the operator.
 #include <cstdio>
 
 #include "placement/placement_impl.h"
@@ -19,10 +19,11 @@
 std::vector<std::string> Placement::Impl::Explain(Time now) const {
   std::vector<std::string> lines;
   if (!active_)
-    return {settings_.service + ": another dispatcher places its models, or nothing is to be placed"};
+    return {settings_.service +
+            ": this dispatcher doesn't hold the placement duty, or no engine is configured"};
   lines.push_back(settings_.service + ": epoch " + std::to_string(epoch_) + ", " +
                   std::to_string(budget_.Left(now)) + " loads left in this window" +
-                  (now < settle_until_ ? ", waiting for the runners' records after taking over" : ""));
+                  (now < settle_until_ ? ", waiting for runner records after a takeover" : ""));
   for (const auto& [model, demand] : demand_.models())
     if (demand.present()) lines.push_back(ExplainKey(now, {model, ""}, demand));
   for (const auto& [key, demand] : demand_.keys())
@@ -47,7 +48,7 @@
   }
   for (const auto& [id, runner] : runners_)
     if (runner.intent && runner.intent->target == key)
-      line += "; next to " + id + ": " + ToText(runner.intent->urgency) + ", " +
+      line += "; assigned to " + id + ": " + ToText(runner.intent->urgency) + ", " +
               Number(static_cast<double>(now - runner.intent->since) / kSecond) + " s";
   return line;
 }
@@ -56,7 +57,7 @@
   std::string line = "runner " + runner.id + " in " + runner.zone + ": " +
                      Number(catalog_.capacity_mb() - catalog_.MegabytesOf(runner.may_hold)) + " MB and " +
                      std::to_string(catalog_.adapter_slots() - runner.may_hold.adapter_count()) +
-                     " adapter places free, about " + Number(runner.load) + " requests; holds";
+                     " adapter slots free, about " + Number(runner.load) + " running requests; holds";
   for (const auto& [model, adapters] : runner.held.models()) {
     line += ' ' + model;
     for (const std::string& adapter : adapters) line += '/' + adapter;
--- a/src/placement/fleet_view.cpp
+++ b/src/placement/fleet_view.cpp
@@ -14,15 +14,15 @@
 const char* ToText(Urgency urgency) {
   switch (urgency) {
     case Urgency::kAsked:
-      return "asked for and held by no ready runner";
+      return "in demand and held by no ready runner";
     case Urgency::kOverload:
-      return "too few runners for its demand";
+      return "demand exceeds the capacity of its runners";
     case Urgency::kRelief:
-      return "its runners are full, others aren't";
+      return "its runners are full while others are not";
     case Urgency::kSpare:
-      return "busy, and there is free room";
+      return "busy, and there is spare capacity";
     case Urgency::kPrefetch:
-      return "held by no runner, and there is free room";
+      return "held by no runner, and there is spare capacity";
   }
   return "";
 }
@@ -56,7 +56,7 @@
       for (std::size_t runner : holders) sum += weight(runner);
       for (std::size_t runner : holders) next[runner] += entry.running * weight(runner) / sum;
     }
-    // Half way at a time: shares that all move at once would swing.
+    // Damped by half in each round: undamped, the shares would oscillate.
     for (std::size_t i = 0; i < load.size(); ++i) load[i] = round == 0 ? next[i] : (load[i] + next[i]) / 2;
   }
   for (std::size_t i = 0; i < load.size(); ++i) view->runners[i].load = load[i];
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -10,18 +10,18 @@
 namespace {
 
 constexpr double kFull = 0.6, kBusy = 0.3, kAim = 0.5;  // shares of a runner's slots
-constexpr double kFlooded = 1;       // requests queue at the holders: no wait to see whether it lasts
-constexpr double kLargeShare = 0.1;  // a key with less of a runner's slots isn't worth another copy
-constexpr double kLess = 0.8, kClearlyLess = 0.5;  // another runner's load against that of the holders
+constexpr double kFlooded = 1;       // from here requests queue at the holders, and copies are added at once
+constexpr double kLargeShare = 0.1;  // a key that uses less of a runner's slots isn't worth another copy
+constexpr double kLess = 0.8, kClearlyLess = 0.5;  // another runner's load relative to that of the holders
 constexpr double kAnyFill = std::numeric_limits<double>::infinity();
-constexpr double kBusyArrivals = 1;  // a second, from which a model is worth the free room of idle runners
-constexpr double kUrgentWorth = 25;  // of a copy that goes before any load of a seldom asked model
-constexpr double kMissedArrivals = 0.2;  // a second, from which a missing key needs no refused request
+constexpr double kBusyArrivals = 1;      // per second, from which a model may use spare capacity
+constexpr double kUrgentWorth = 25;      // of a copy that comes before loads of rarely requested models
+constexpr double kMissedArrivals = 0.2;  // per second, from which a key is missing even with none unserved
 constexpr Time kUrgentAfter = 500 * kMillisecond, kOptionalAfter = 3 * kSecond;
 constexpr Time kRememberPlaced = 60 * kSecond;
 constexpr std::size_t kRunnersPerOptional = 8;
 constexpr std::size_t kMaxRefused = 1000;
-constexpr int kLoadsKept = 2;  // that the weight store allows, for what is asked for
+constexpr int kLoadsKept = 2;  // loads of the weight store's budget reserved for keys in demand
 constexpr double kFillCost = 3, kColdCost = 1, kZoneCost = 0.3, kAdapterCost = 0.05, kOrderCost = 0.1;
 
 bool Missing(const Demand& demand) { return demand.unserved > 0 || demand.arrivals_per_s > kMissedArrivals; }
@@ -32,7 +32,7 @@
   return holders.empty() ? 0 : sum / static_cast<double>(holders.size()) / context.catalog->slots();
 }
 
-// Models first, then adapters, the most wanted first.
+// Models before adapters, each by descending demand.
 std::vector<Key> KeysInDemand(const PlanContext& context) {
   std::vector<Key> keys;
   for (const auto& [model, demand] : context.demand->models())
@@ -79,8 +79,8 @@
   return assignments;
 }
 
-// Models that stand nowhere, one at a time, into room that nothing else wants. Loads are kept for what is
-// asked for.
+// Loads models that no runner holds, a few at a time, where capacity is spare. Some loads of the weight
+// store's budget are reserved for keys in demand.
 void Planner::Prefetch(Pass* pass) {
   const PlanContext& context = *pass->context;
   for (const auto& [model, entry] : context.catalog->models()) {
@@ -91,7 +91,7 @@
   }
 }
 
-// Models whose runners have too few places for the adapters that are asked for.
+// Records the models whose runners have too few adapter slots for the adapters in demand.
 void Planner::NoteCrowded(const PlanContext& context) {
   crowded_.clear();
   const auto places = static_cast<std::size_t>(std::max(1, context.catalog->adapter_slots()));
@@ -113,11 +113,11 @@
     if (WorthOfCopy(context, key, Urgency::kAsked) < min_worth) continue;
     Wish& wish = wishes_[key] = {1, Urgency::kAsked, kAnyFill, ""};
     if (Refused(context.now, key)) {
-      wish.hindrance = "a runner refused the order as invalid";
+      wish.hindrance = "a runner rejected the order as invalid";
       continue;
     }
     if (Place(pass, key, Urgency::kAsked, kAnyFill)) continue;
-    wish.hindrance = "no runner is free, all hold what is in demand, or the weight store's turn comes later";
+    wish.hindrance = "no runner is available, all hold keys in demand, or the load limit is reached";
   }
 }
 
@@ -134,7 +134,7 @@
     for (std::size_t copies = holders.size(); copies < wish.copies; ++copies) {
       if (!urgent && pass->optional_left == 0) break;
       if (!Place(*pass, key, wish.urgency, wish.max_fill)) {
-        wishes_[key].hindrance = "no runner with less load has room, or the weight store's turn comes later";
+        wishes_[key].hindrance = "no runner with less load has capacity, or the load limit is reached";
         break;
       }
       if (!urgent) --pass->optional_left;
@@ -158,14 +158,14 @@
   if (fill > kBusy && share > kLargeShare) return {copies + 1, Urgency::kSpare, fill * kClearlyLess, ""};
   if (copies == 1 && demand.arrivals_per_s > kSafeArrivals) return {2, Urgency::kSpare, kFull, ""};
   if (key.is_model() && demand.arrivals_per_s >= kBusyArrivals) {
-    // For runners that came back empty.
+    // Fills runners that restarted empty.
     const double mean = context.demand->running() / slots / static_cast<double>(context.view->runners.size());
     return {copies + 1, Urgency::kSpare, mean * kClearlyLess, ""};
   }
   return {copies, Urgency::kSpare, 0, ""};
 }
 
-// A wish has to last before it is followed.
+// Whether copies have been missing for long enough to add some.
 bool Planner::Ripe(Time now, const Key& key, const Wish& wish, std::size_t copies) {
   if (wish.copies <= copies) {
     short_since_.erase(key);
@@ -185,7 +185,7 @@
   for (std::size_t i = 0; i < context.view->runners.size(); ++i) {
     const RunnerView& runner = context.view->runners[i];
     if (!runner.available || runner.expected.Holds(key)) continue;
-    const Key model{key.model, ""};  // held, and not about to go
+    const Key model{key.model, ""};  // must be held and not about to be unloaded
     if (!key.is_model() && !(runner.held.Holds(model) && runner.expected.Holds(model))) continue;
     if (runner.load / context.catalog->slots() > max_fill) continue;
     const auto victims = FindVictims(context, runner, key, worth);
@@ -215,7 +215,7 @@
   if (key.is_model() && !context.view->OnDisk(runner.address, key.model)) cost += kColdCost;
   const Catalog::Model* model = context.catalog->Find(key.model);
   if (model && model->adapters > 0) cost += kAdapterCost * runner.expected.adapter_count();
-  // Among equals another one for each key and seed.
+  // Breaks ties differently for each key and seed.
   const std::size_t hash =
       std::hash<std::string>()(runner.id + '/' + ToText(key)) ^ seed_ * 0x9e3779b97f4a7c15u;
   return cost + static_cast<double>(hash % 1000) * 1e-6;
--- a/tests/system/placement/explain_test.cpp
+++ b/tests/system/placement/explain_test.cpp
@@ -6,7 +6,7 @@
 namespace lichenlug::placement {
 namespace {
 
-TEST_CASE("the operator is told where models stand, what is wanted and why") {
+TEST_CASE("Explain lists where models are held, which loads are planned and why") {
   SimulatedFleet fleet({});
   fleet.Ask({"m0", ""}, 20);
   fleet.Ask({"m29", ""}, 1);
@@ -19,9 +19,9 @@
   };
   CHECK(line("llm: epoch 1").find("loads left") != std::string::npos);
   CHECK(line("m0: 20.0/s").find("; on r") != std::string::npos);
-  CHECK(line("m29: 1.0/s").find("next to r") != std::string::npos);
+  CHECK(line("m29: 1.0/s").find("assigned to r") != std::string::npos);
   CHECK(line("m29: ").find("held by no ready runner") != std::string::npos);
-  CHECK(line("runner r0 in z0").find("MB and 8 adapter places free") != std::string::npos);
+  CHECK(line("runner r0 in z0").find("MB and 8 adapter slots free") != std::string::npos);
   fleet.FailOver(3 * kSecond);
   fleet.Run(kSecond);
   CHECK(fleet.placement().Explain(fleet.now()).size() == 1);
