--- a/src/placement/catalog.cpp
+++ b/src/placement/catalog.cpp
@@ -44,7 +44,7 @@
   return model && (key.is_model() || IsAdapterName(key.adapter, model->adapters));
 }
 
-// A model that the configuration no longer names may be of any size.
+// A model that is no longer configured may be of any size, so it counts as a runner's full capacity.
 double Catalog::MegabytesOf(const Key& key) const {
   const Model* model = Find(key.model);
   if (!model) return capacity_mb_;
--- a/src/placement/demand_table.cpp
+++ b/src/placement/demand_table.cpp
@@ -6,10 +6,10 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr Time kStale = 10 * kSecond;         // a report that is never replaced counts this long
-constexpr Time kForgetAfter = 120 * kSecond;  // a key that nobody asks for
-constexpr Time kForgetSource = 30 * kSecond;  // a dispatcher that is gone
-constexpr double kFallTime = 5.0 * kSecond;   // to 1/e
+constexpr Time kStale = 10 * kSecond;         // lifetime of a report that isn't replaced
+constexpr Time kForgetAfter = 120 * kSecond;  // for a key without demand
+constexpr Time kForgetSource = 30 * kSecond;  // for a dispatcher that no longer reports
+constexpr double kFallTime = 5.0 * kSecond;   // time constant of the decay, to 1/e
 constexpr std::size_t kMaxKeys = 20000;
 
 const Demand kNone;
--- a/src/placement/eviction.cpp
+++ b/src/placement/eviction.cpp
@@ -8,26 +8,26 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kUnknownModel = 0.05;  // the configuration names it no more
-constexpr double kIdleCopy = 0.1;       // another runner holds it, nobody asks
+constexpr double kUnknownModel = 0.05;  // no longer configured
+constexpr double kIdleCopy = 0.1;       // no demand, and another runner holds it
 constexpr double kIdleLast = 1, kJustIdleLast = 3;
 constexpr double kIdleFade = 20.0 * kSecond;
-constexpr double kBusySpareCopy = 1.5, kBusySpareShare = 0.2;  // the others bear its demand
+constexpr double kBusySpareCopy = 1.5, kBusySpareShare = 0.2;  // the other copies can serve its demand
 constexpr double kBusyCopy = 10;
-constexpr double kRareLast = 15, kRareArrival = 10;  // the only copy of one that is seldom asked for
-constexpr double kNewRareLast = 30;  // of late brought for requests: it gives way to what is overloaded alone
-constexpr double kSecondCopy = 12;   // of one whose loss would cost more than a load
-constexpr double kAskedMargin = 5;   // over a seldom asked one that stands, so that such models take turns
-constexpr Time kMinStay = 15 * kSecond;        // from its assignment, so that they take turns slowly
-constexpr Time kMinAdapterStay = 3 * kSecond;  // an adapter is there again in some ms
-constexpr double kAdapter = 2, kAdapterArrival = 2, kAdapterRunning = 5;  // the only copy, in demand
-constexpr double kLastAdapter = 5;  // for each that the unload of a model's copy would leave nowhere
+constexpr double kRareLast = 15, kRareArrival = 10;  // only copy of a rarely requested key
+constexpr double kNewRareLast = 30;  // the same, loaded recently: unloaded only for overloaded keys
+constexpr double kSecondCopy = 12;   // of a model whose loss would cost more than a load
+constexpr double kAskedMargin = 5;   // over the rarely requested keys that are held, so that keys alternate
+constexpr Time kMinStay = 15 * kSecond;        // from the assignment on; keeps such keys from thrashing
+constexpr Time kMinAdapterStay = 3 * kSecond;  // shorter, as an adapter is reloaded within milliseconds
+constexpr double kAdapter = 2, kAdapterArrival = 2, kAdapterRunning = 5;  // only copy of an adapter in demand
+constexpr double kLastAdapter = 5;  // for each adapter whose only copy would be unloaded with the model
 constexpr double kSparedFill = 0.5;
-constexpr double kOverloadPart = 0.8;  // of its share of the running requests is what another copy is worth
+constexpr double kOverloadPart = 0.8;  // fraction of its share of running requests that another copy is worth
 constexpr double kReliefWorth = 2;
-constexpr double kSecondCopyWorth = 4.5;  // of a busy model: more than any idle one
-constexpr double kStillUnserved = 0.5;    // requests; what remains of the count fades, and never ends
-constexpr double kBusyArrivals = 0.3;     // a second: its only copy is never unloaded
+constexpr double kSecondCopyWorth = 4.5;  // of a busy model; exceeds the value of any idle one
+constexpr double kStillUnserved = 0.5;    // requests; the count decays and never reaches zero
+constexpr double kBusyArrivals = 0.3;     // per second, from which the only copy is never unloaded
 
 double IdleTime(const PlanContext& context, const Demand& demand) {
   return demand.last_asked == 0 ? 1e12 : static_cast<double>(context.now - demand.last_asked);
@@ -39,7 +39,7 @@
   return placed != context.placed->end() && context.now - placed->second < min_stay;
 }
 
-// The only copy of an adapter that is asked for. Such adapters take turns, as their loads are short.
+// The only copy of an adapter in demand. Such adapters may replace each other, as they load quickly.
 double ValueOfLastAdapter(const PlanContext& context, const Key& key, const Demand& demand) {
   if (IsNew(context, key, kMinAdapterStay)) return kNever;
   return kAdapter + kAdapterArrival * demand.arrivals_per_s + kAdapterRunning * demand.running;
@@ -65,7 +65,7 @@
   return kIdleLast + kJustIdleLast * std::exp(-IdleTime(context, demand) / kIdleFade);
 }
 
-// Adapters go with their model.
+// The value of adapters whose only copy would be unloaded together with their model.
 double ValueOfLastAdapters(const PlanContext& context, const RunnerView& runner, const Key& key) {
   if (!key.is_model()) return 0;
   double value = 0;
@@ -128,7 +128,8 @@
   while (taken < candidates.size() && !context.catalog->Fits(left, target))
     left.Remove(candidates[taken++].second);
   if (!context.catalog->Fits(left, target)) return std::nullopt;
-  // What went first may be too small to matter once a larger one had to go: the dearest such are kept.
+  // A key chosen early may turn out unnecessary once a larger one is chosen. Keeps such keys, the most
+  // valuable first.
   for (std::size_t i = taken; i-- > 0;) {
     HeldSet kept = left;
     const Key& key = candidates[i].second;
--- a/src/placement/fleet_scaler.cpp
+++ b/src/placement/fleet_scaler.cpp
@@ -9,11 +9,11 @@
 constexpr double kFullShare = 0.75, kIdleShare = 0.25;  // of a zone's slots
 constexpr Time kFullFor = 5 * kSecond, kIdleFor = 30 * kSecond;
 constexpr Time kForgetZone = 120 * kSecond;
-constexpr Time kRunnersHeardAfter = 4 * kSecond;  // since the epoch began; heartbeats come more often
-// Models differ in size, so a part of each runner's memory stays free.
+constexpr Time kRunnersHeardAfter = 4 * kSecond;  // since the epoch began; several heartbeat periods
+// Models differ in size, so a fraction of each runner's memory stays unused.
 constexpr double kPacking = 0.95;
-constexpr double kCopyFill = 0.4;           // of a runner's slots that a copy of a busy model is to bear
-constexpr int kMinStep = 2, kStepPart = 3;  // a zone grows by so many, or by that part, at a time
+constexpr double kCopyFill = 0.4;           // target fraction of a runner's slots per copy of a busy model
+constexpr int kMinStep = 2, kStepPart = 3;  // a zone grows by this many, or by 1/kStepPart, at a time
 constexpr std::size_t kMaxZones = 1000;
 
 void Stretch(Time now, bool holds, Time* since) {
@@ -23,7 +23,7 @@
     *since = now;
 }
 
-// Whether each model in demand that the runner holds is held in another zone too.
+// Whether every model in demand on the runner is also held in another zone.
 bool HeldElsewhere(const PlanContext& context, const RunnerView& runner) {
   for (const auto& [model, adapters] : runner.expected.models()) {
     if (!context.demand->OfModel(model).present()) continue;
@@ -41,7 +41,7 @@
   return std::max(copies, demand.arrivals_per_s > kSafeArrivals ? 2.0 : 1.0);
 }
 
-// So many runners have room for all models in as many copies as their demand asks for.
+// The number of runners whose memory fits all models, each in as many copies as its demand needs.
 int RunnersForModels(const PlanContext& context) {
   if (context.catalog->capacity_mb() <= 0) return 0;
   double megabytes = 0;
@@ -76,7 +76,8 @@
   std::erase_if(zones_, [&](const auto& entry) { return context.now - entry.second.seen > kForgetZone; });
 }
 
-// Even parts; a zone that has more than its part keeps it, and the others share the rest.
+// Divides the runners evenly among the zones. A zone that has more than an even share keeps its runners, and
+// the others share the rest.
 void FleetScaler::ShareOut(int runners, int maximum) {
   for (auto& [name, zone] : zones_) zone.wanted = std::min(std::max(zone.ordered, zone.runners), maximum);
   int missing = runners;
--- a/src/placement/load_budget.cpp
+++ b/src/placement/load_budget.cpp
@@ -8,12 +8,12 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr int kBurst = 3;      // the store bears as many more in a window
-constexpr int kUsedBurst = 1;  // of these are used, the others are a margin
+constexpr int kBurst = 3;      // extra loads that the store tolerates in a window
+constexpr int kUsedBurst = 1;  // extra loads that are used; the rest is a safety margin
 constexpr Time kArrivalMargin = 500 * kMillisecond;
-constexpr Time kAgeStep = 100 * kMillisecond;  // ages are told in steps, rounded down
+constexpr Time kAgeStep = 100 * kMillisecond;  // granularity of published ages, which are rounded down
 constexpr int kMinAllowance = 2;
-constexpr std::uint32_t kMaxInherited = 10'000;  // of one entry: more than any store gives in a window
+constexpr std::uint32_t kMaxInherited = 10'000;  // per entry; more than any store serves in a window
 
 }  // namespace
 
@@ -26,7 +26,8 @@
   for (int i = 0; i < Limit(); ++i) loads_[next_++] = Load{true, now, now, false};
 }
 
-// What this dispatcher itself loaded in an earlier epoch is in the history too, unless it isn't settled.
+// The history includes the loads of this dispatcher from earlier epochs, except those not settled yet. Hence
+// settled loads are dropped before the history is added.
 void LoadBudget::Inherit(Time told_at, const messages::LoadHistory& history) {
   std::erase_if(loads_, [](const auto& entry) { return entry.second.settled; });
   for (const messages::LoadsBegun& begun : history.begun()) {
@@ -64,7 +65,7 @@
   }
   const double seconds = static_cast<double>(lease_) / kSecond / duties::kRenewalsInLease;
   const int usual = std::max(kMinAllowance, static_cast<int>(std::ceil(loads_per_s_ * seconds)) + 1);
-  // Never less than what is in force: until this renewal is known to be chosen, that may be used.
+  // Never less than the allowance in force, which may still be used until this renewal is known to be chosen.
   history.set_allowance(static_cast<std::uint32_t>(HasAllowance() ? std::max(usual, allowance_) : usual));
   return history;
 }
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Time kForgetRunner = 30 * kSecond;
-constexpr Time kAnswerMargin = 2 * kSecond;  // a call whose end isn't told this long after it had to end
-// Every dispatcher hears of the runners all along; and an order meets the state that it was decided on, or
-// isn't taken.
+constexpr Time kAnswerMargin = 2 * kSecond;  // after a call's deadline, until it counts as failed
+// Short, because every dispatcher receives runner records continuously, and a runner refuses an order that
+// was decided on outdated state.
 constexpr Time kSettleAfterTakeOver = 300 * kMillisecond;
 constexpr Time kRefuseFor = 10 * kSecond;
-constexpr std::size_t kPromptFleet = 200;  // so few runners are planned for after each answer
+constexpr std::size_t kPromptFleet = 200;  // up to this many runners, each answer triggers a plan
 constexpr std::size_t kMaxDisks = 40000, kMaxRunners = 20000;
 
 }  // namespace
@@ -58,7 +58,8 @@
   }
 }
 
-// Runners that are gone, some time after: one whose heartbeats were only late is known again.
+// Forgets runners only some time after their last record, so that the state of a runner whose heartbeats were
+// merely late is kept.
 void Placement::Impl::Forget(Time now) {
   for (auto it = runners_.begin(); it != runners_.end();) {
     RunnerLedger& ledger = it->second.ledger;
@@ -104,7 +105,7 @@
   calls_.erase(it);
   next_timer_ = now;
   if (runners_.size() <= kPromptFleet)
-    next_plan_ = std::max(settle_until_, std::min(next_plan_, now));  // its runner may be free again
+    next_plan_ = std::max(settle_until_, std::min(next_plan_, now));  // its runner may be available again
   if (call.kind == PendingCall::Kind::kFleet) {
     if (call.epoch == epoch_) scaler_.Ended(now, FleetSizeTaken(result));
     if (FleetSizeFenced(result)) fenced_epoch_ = std::max(fenced_epoch_, call.epoch);
@@ -135,7 +136,8 @@
 std::optional<messages::LoadHistory> Placement::Impl::TellLoads(Time now, std::uint64_t epoch, bool ends) {
   if (epoch != epoch_) return std::nullopt;
   messages::LoadHistory history = budget_.History(now);
-  // From its first telling on this holder keeps to it: it may be chosen without being known here.
+  // The allowance applies from its first publication on: the renewal may be chosen without this holder
+  // learning of it.
   if (!budget_.HasAllowance()) budget_.SetAllowance(now, static_cast<int>(history.allowance()));
   history.set_service(settings_.service);
   if (ends) history.set_allowance(0);
--- a/src/placement/runner_ledger.cpp
+++ b/src/placement/runner_ledger.cpp
@@ -8,11 +8,11 @@
 
 constexpr Time kFirstBackOff = 300 * kMillisecond;
 constexpr int kMaxDoublings = 5;
-constexpr Time kReportLag = 150 * kMillisecond;  // a report shows the state of some time ago
+constexpr Time kReportLag = 150 * kMillisecond;  // a report may show a slightly older state
 constexpr Time kMaxBusyWait = 2 * kSecond, kOtherRunnerWait = 2 * kSecond, kUnusableWait = 5 * kSecond;
 constexpr Time kShortWork = 100 * kMillisecond;
-constexpr int kEarlyAsks = 5;        // before the heartbeats are left to tell
-constexpr int kMaxStaleReports = 3;  // in a row, before they are believed
+constexpr int kEarlyAsks = 5;        // reports requested before relying on heartbeats alone
+constexpr int kMaxStaleReports = 3;  // consecutive ones that are ignored before one is accepted
 constexpr Time kLatePollInterval = 3 * kSecond;
 constexpr int kWorkTimeFactor = 3;
 constexpr Time kWorkTimeSlack = 3 * kSecond;
@@ -36,13 +36,13 @@
   record_ = record;
   told_ = ToldBy(record);
   if (phase_ == Phase::kWorking) Finish();
-  // What it says differs from what is known although nothing was ordered: it has to be read again.
+  // The record differs from the known state although nothing was ordered: the state has to be read again.
   else if (phase_ == Phase::kIdle && told_ != confirmed_)
     phase_ = Phase::kUnread;
   return true;
 }
 
-// The load under way is done if a heartbeat after it shows so.
+// Completes the load in progress if a heartbeat after its order shows it.
 void RunnerLedger::Finish() {
   if (!record_tells_ || record_.call_count() <= record_at_order_ || !told_.Shows(*in_flight_)) return;
   HeldSet held = confirmed_;
@@ -89,7 +89,7 @@
       BackOff(now, std::get<ReportError>(answer) == ReportError::kFieldMissing ? kUnusableWait : 0);
     return;
   }
-  if (report->orders_taken < orders_taken_ && ++stale_reports_ <= kMaxStaleReports) {  // of before the order
+  if (report->orders_taken < orders_taken_ && ++stale_reports_ <= kMaxStaleReports) {  // predates the order
     if (!working) not_before_ = now + kFirstBackOff;
     return;
   }
@@ -97,7 +97,8 @@
     if (!working) not_before_ = now + std::clamp(work_time_ / 2, kFirstBackOff, kMaxBusyWait);
     return;
   }
-  // A load with no answer that wasn't taken may still arrive, until an order with its number is taken.
+  // An unanswered load that wasn't accepted may still arrive, until another order with its number is
+  // accepted.
   if (report->orders_taken != orders_taken_) DropUnanswered();
   orders_taken_ = report->orders_taken;
   Confirm(report->held);
@@ -110,7 +111,7 @@
   ordered_at_ = now;
   work_time_ = work_time;
   record_at_order_ = record_.call_count();
-  // That an unload is done, and not only begun, a report alone tells.
+  // A heartbeat can show that an unload has begun; only a report shows that it is complete.
   record_tells_ = order.kind == Order::Kind::kLoad && !told_.Shows(order);
   asks_ = 0;
   asked_at_ = 0;
--- a/src/placement/steps.cpp
+++ b/src/placement/steps.cpp
@@ -1,5 +1,5 @@
-// From a plan to calls: intents are carried out a step at a time, each decided on what the runner may hold
-// then.
+// Turns plans into calls: intents are executed step by step, and each step is decided on what the runner may
+// hold at that time.
 #include <algorithm>
 
 #include "placement/placement_impl.h"
@@ -11,7 +11,7 @@
 constexpr std::size_t kLargeFleet = 1000;
 constexpr Time kIntentLasts = 15 * kSecond;
 constexpr int kMaxFailures = 3;
-constexpr std::size_t kMinPrepared = 2, kRunnersPerPrepared = 4;  // make room before the store's turn comes
+constexpr std::size_t kMinPrepared = 2, kRunnersPerPrepared = 4;  // unload ahead of the store's budget
 constexpr Time kStepInterval = 50 * kMillisecond;
 
 }  // namespace
@@ -37,7 +37,7 @@
   Send(now, pending, FleetCall(settings_.service, change->zone, change->size, epoch_), calls);
 }
 
-// Intents whose load has not begun have a claim on the weight store already.
+// Intents whose load has not been ordered already claim a part of the weight store's budget.
 int Placement::Impl::LoadsLeft(Time now) const {
   const auto waiting = std::count_if(runners_.begin(), runners_.end(), [](const auto& entry) {
     const auto& [id, runner] = entry;
@@ -86,7 +86,7 @@
 }
 
 void Placement::Impl::Execute(Time now, Calls* calls) {
-  std::vector<std::pair<double, const std::string*>> order;  // by what an intent is worth
+  std::vector<std::pair<double, const std::string*>> order;  // by the intent's worth, descending
   bool waiting = false;
   for (auto& [id, runner] : runners_) {
     const RunnerLedger::Phase phase = runner.ledger.phase();
@@ -121,7 +121,7 @@
   }
   if (catalog_.Fits(ledger.MayHold(), target)) {
     const bool counted = target.is_model() && ledger.unsettled_load() == 0;
-    if (counted && budget_.Left(now) == 0) return;  // the weight store's turn comes
+    if (counted && budget_.Left(now) == 0) return;  // waits for the weight store's budget
     return SendOrder(now, id, runner, {Order::Kind::kLoad, target}, calls);
   }
   RunnerView view;
