--- a/tests/system/placement/adapters_test.cpp
+++ b/tests/system/placement/adapters_test.cpp
@@ -1,4 +1,4 @@
-// Adapters of one model that many ask for, against many models that few ask for.
+// Many requested adapters of one model, competing with many rarely requested models.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -7,9 +7,9 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr int kAdapters = 30;  // more than the places of three runners
+constexpr int kAdapters = 30;  // more than the adapter slots of three runners
 
-// Which of the adapters stood at some time while all are asked for.
+// The adapters that a ready runner held at some time during `span`.
 std::set<std::string> AdaptersServed(SimulatedFleet* fleet, const std::string& model, Time span) {
   std::set<std::string> served;
   for (const Time until = fleet->now() + span; fleet->now() < until;) {
@@ -22,7 +22,7 @@
   return served;
 }
 
-TEST_CASE("adapters in demand get enough copies of their model, although all others are asked for too") {
+TEST_CASE("adapters in demand get enough copies of their model while all other models are in demand too") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("adapters without a place bring as many copies of their model as they need, not one at each plan") {
+TEST_CASE("adapters without a slot add as many copies of their model as they need, not one per plan") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
--- a/tests/system/placement/faults_test.cpp
+++ b/tests/system/placement/faults_test.cpp
@@ -1,4 +1,5 @@
-// Placement under crashes, silence, lost and late orders and changes of the holder, from seeds.
+// Seeded runs of placement under crashes, silent runners, lost and late orders, and changes of the duty's
+// holder.
 #include <catch2/catch.hpp>
 #include <random>
 #include <set>
@@ -13,7 +14,7 @@
   REQUIRE((fleet.broken().empty() ? std::string() : fleet.broken().front()) == "");
 }
 
-// Something happens about every two seconds.
+// Injects one random fault or change of demand.
 void Trouble(SimulatedFleet* fleet, std::mt19937_64* random, bool failovers) {
   const auto below = [&](std::uint64_t most) { return static_cast<std::size_t>((*random)() % most); };
   const std::size_t runner = below(fleet->runners().size());
@@ -24,7 +25,7 @@
     case 1:
       return fleet->AskZipf(60 + static_cast<double>(below(400)), static_cast<int>(below(30)), 30);
     case 2:
-    case 3: {  // rare models are asked for at once
+    case 3: {  // several rare models come into demand at once
       for (int i = 0; i < 6; ++i) fleet->Ask({fleet->ModelName(static_cast<int>(below(models))), ""}, 0.5);
       return;
     }
@@ -41,7 +42,7 @@
   }
 }
 
-TEST_CASE("limits hold through every trouble") {
+TEST_CASE("limits hold under random faults and changes of demand") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -60,8 +61,8 @@
   }
 }
 
-// Room is short, so that each order that comes late meets a runner that is filled otherwise.
-TEST_CASE("limits hold when many orders come late and room is short") {
+// Memory is scarce, so that an order that arrives late finds its runner filled with other models.
+TEST_CASE("limits hold when many orders arrive late and memory is scarce") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -84,8 +85,8 @@
   }
 }
 
-// The shortest times between changes of the holder, each of which loads as much as it may.
-TEST_CASE("the ceiling of loads holds across changes of the holder") {
+// The holder changes as often as possible, and each holder loads as much as it may.
+TEST_CASE("the load limit holds across changes of the holder") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -105,7 +106,7 @@
   }
 }
 
-TEST_CASE("a model lost by a crash stands again soon") {
+TEST_CASE("a model lost in a crash is soon loaded again") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -122,7 +123,7 @@
   }
 }
 
-TEST_CASE("a runner that comes back empty gets busy models, one at a time") {
+TEST_CASE("a runner that restarts empty gets busy models, one at a time") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -140,7 +141,7 @@
   }
 }
 
-TEST_CASE("a shift of demand and a burst of rare models are followed") {
+TEST_CASE("placement follows a shift of demand and a burst of rare models") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -162,7 +163,7 @@
   }
 }
 
-// More models than there is room for: they take turns, at a bounded number of loads.
+// More models are in demand than fit: they replace each other, with a bounded number of loads.
 TEST_CASE("no model starves when not all in demand fit") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
@@ -179,7 +180,7 @@
     }
     INFO("seed " << seed << " orders " << fleet.orders() << " loads " << fleet.loads());
     CHECK(stood.size() == 30);
-    CHECK(fleet.loads() <= 72);  // 27 places, each taken anew every 15 s at most
+    CHECK(fleet.loads() <= 72);  // 27 places, each refilled at most once per 15 s
     RequireUnbroken(fleet, seed);
   }
 }
@@ -202,7 +203,7 @@
   }
 }
 
-TEST_CASE("adapters that are asked for are loaded, and give way to others when idle") {
+TEST_CASE("adapters in demand are loaded, and idle ones are replaced") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
--- a/tests/system/placement/fleet_scaler_test.cpp
+++ b/tests/system/placement/fleet_scaler_test.cpp
@@ -42,8 +42,7 @@
   Time now = 1000 * kSecond;
 };
 
-TEST_CASE(
-    "a zone grows by one after five seconds of overload, once in the time that a runner takes to start") {
+TEST_CASE("a zone grows by one after five seconds of overload, at most once per runner start time") {
   Zones zones;
   zones.Load(5, 8);
   CHECK_FALSE(zones.Run(5 * kSecond));
@@ -52,10 +51,10 @@
   CHECK(change->zone == "b");
   CHECK(change->size == 3);
   zones.scaler.Ended(zones.now, true);
-  CHECK_FALSE(zones.Run(60 * kSecond));  // three is the most
+  CHECK_FALSE(zones.Run(60 * kSecond));  // three is the maximum
 }
 
-TEST_CASE("a short peak orders nothing") {
+TEST_CASE("a short peak causes no change") {
   Zones zones;
   for (int i = 0; i < 10; ++i) {
     zones.Load(9, 9);
@@ -65,7 +64,7 @@
   }
 }
 
-TEST_CASE("a zone shrinks after half a minute of idleness, never below the least") {
+TEST_CASE("a zone shrinks after half a minute of idleness, never below the minimum") {
   Zones zones;
   zones.Load(1, 5);
   CHECK_FALSE(zones.Run(29 * kSecond));
@@ -79,7 +78,7 @@
   CHECK_FALSE(zones.Run(60 * kSecond));
 }
 
-TEST_CASE("a zone whose model in demand stands nowhere else keeps its runners") {
+TEST_CASE("a zone that alone holds a model in demand keeps its runners") {
   Zones zones;
   zones.Load(1, 5);
   zones.view.holders[{"m1", ""}] = {0, 1};
@@ -92,7 +91,7 @@
   CHECK_FALSE(zones.Run(60 * kSecond));
 }
 
-// Four runners of 100 MB in two zones, at most `maximum` a zone, and `models` models of 30 MB each.
+// Four runners of 100 MB in two zones, at most `maximum` per zone, and `models` models of 30 MB each.
 struct ZonesOfModels : Zones {
   explicit ZonesOfModels(int models, int maximum = 10) {
     messages::Engine engine;
@@ -116,7 +115,8 @@
     entry.set_running(running);
     demand.Update(now, "llm", reports, catalog);
   }
-  // Carries out what is ordered until nothing is for a minute; the sizes of the zones then.
+  // Applies fleet changes until none is ordered for a minute. Returns the resulting sizes of the changed
+  // zones.
   std::map<std::string, int> Settle() {
     std::map<std::string, int> sizes;
     while (const auto change = Run(60 * kSecond)) {
@@ -137,41 +137,41 @@
   std::uint64_t number = 0;
 };
 
-TEST_CASE("runners are ordered until all models fit, in even parts") {
+TEST_CASE("runners are ordered until all models fit, evenly among the zones") {
   ZonesOfModels zones(25);  // 750 MB at 0.95 of 100 MB each: eight runners
   CHECK(zones.Settle() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
 }
 
-TEST_CASE("a fleet that has room for all models orders nothing") {
+TEST_CASE("a fleet that fits all models stays unchanged") {
   ZonesOfModels zones(11);  // 330 MB: four runners
   CHECK(zones.Settle().empty());
 }
 
-TEST_CASE("a busy model counts in as many copies as its demand needs") {
+TEST_CASE("a busy model counts with as many copies as its demand needs") {
   ZonesOfModels zones(11);
   zones.Ask("m3", 20, 50);  // at 0.4 of 10 slots each: thirteen copies, so 690 MB
   CHECK(zones.Settle() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
 }
 
-TEST_CASE("a model that many ask for counts twice") {
+TEST_CASE("a frequently requested model counts twice") {
   ZonesOfModels zones(12);
   zones.Ask("m3", 4, 0.5);  // 390 MB: five runners
   CHECK(zones.Settle() == std::map<std::string, int>{{"a", 3}});
 }
 
-TEST_CASE("no zone is ordered more than its most") {
+TEST_CASE("no zone is scaled beyond its maximum") {
   ZonesOfModels zones(1000, 5);
   CHECK(zones.Settle() == std::map<std::string, int>{{"a", 5}, {"b", 5}});
 }
 
-TEST_CASE("a new epoch orders nothing until the runners have been heard") {
+TEST_CASE("a new epoch orders nothing until runner records have arrived") {
   ZonesOfModels zones(25);
   zones.scaler.Restart(zones.now);
   CHECK_FALSE(zones.Run(3900 * kMillisecond));
   CHECK(zones.Run(kSecond));
 }
 
-TEST_CASE("runners that the models need stay when they are idle") {
+TEST_CASE("idle runners that the models need are kept") {
   ZonesOfModels zones(11);
   zones.fleet.set_minimum(1);
   zones.Load(0, 0);
--- a/tests/system/placement/load_budget_test.cpp
+++ b/tests/system/placement/load_budget_test.cpp
@@ -23,8 +23,7 @@
   return most;
 }
 
-TEST_CASE(
-    "no sliding window holds more loads than the store allows, at any rate and over changes of holder") {
+TEST_CASE("no sliding window exceeds the store's load limit, at any rate and across changes of the holder") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const double rate = 0.05 * static_cast<double>(1 + random() % 200);
@@ -38,7 +37,7 @@
       for (; now < end; now += 10 * kMillisecond) {
         if (random() % 3 != 0 || budget.Left(now) == 0) continue;
         const std::uint64_t load = budget.Begin(now);
-        // Begins at some time before its answer, at the latest as the holder's lease ends.
+        // The load begins before its answer, and no later than the holder's lease ends.
         const Time answered = std::min(end, now + static_cast<Time>(random() % 900) * kMillisecond);
         begun.push_back(now + static_cast<Time>(random() % 1000) * (answered - now) / 1000);
         budget.Settle(load, answered);
@@ -50,7 +49,7 @@
   }
 }
 
-TEST_CASE("a load that may still begin counts until it is settled, and a window longer") {
+TEST_CASE("a load that may still begin counts until one window after it is settled") {
   LoadBudget budget(kWindow, 1.1, kLease);
   budget.SetRate(1);
   const int before = budget.Left(0);
@@ -63,7 +62,7 @@
   CHECK(budget.size() == 0);
 }
 
-// One holder's life: renews its lease each second, tells its loads with it, and ends at any moment.
+// One holder at a time renews its lease every second, publishes its loads with it, and ends at a random time.
 struct Register {
   std::optional<messages::LoadHistory> told;
   Time renewed_at = 0;
@@ -89,7 +88,7 @@
     }
     if ((*random)() % 3 != 0 || budget.Left(*now) == 0) continue;
     const std::uint64_t load = budget.Begin(*now);
-    // Begins at some time before its answer; what isn't answered before the end begins until then.
+    // The load begins before its answer, or before the holder ends if that is earlier.
     const Time answered = *now + static_cast<Time>((*random)() % 900) * kMillisecond;
     const Time latest = std::min(end, answered);
     begun->push_back(*now + static_cast<Time>((*random)() % 1000) * (latest - *now) / 1000);
@@ -97,7 +96,7 @@
   }
 }
 
-TEST_CASE("a holder that inherits what was told keeps the ceiling, whenever the one before ended") {
+TEST_CASE("a holder that inherits the published loads keeps the limit, whenever its predecessor ended") {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const double rate = 0.05 * static_cast<double>(1 + random() % 200);
@@ -114,7 +113,7 @@
   }
 }
 
-TEST_CASE("a holder that takes over some seconds after the last load may load nearly as much as ever") {
+TEST_CASE("a holder that takes over seconds after the last load has nearly its full budget") {
   LoadBudget before(kWindow, 1.1, kLease);
   before.SetRate(5.7);
   while (before.Left(0) > 0) before.Settle(before.Begin(0), 0);
@@ -127,7 +126,7 @@
   CHECK(after.Left(7 * kSecond) == 29 - 7);
 }
 
-TEST_CASE("no more begins than was told with the last renewal") {
+TEST_CASE("no more loads begin than the last renewal allowed") {
   LoadBudget budget(kWindow, 1.1, kLease);
   budget.SetRate(5.7);
   budget.SetAllowance(0, 0);
--- a/tests/system/placement/mutation_test.cpp
+++ b/tests/system/placement/mutation_test.cpp
@@ -1,5 +1,5 @@
-// One answer or one message is another than it should be: nothing breaks, and the model is served all the
-// same.
+// Replaces a single answer or record by a wrong one: no limit is violated, and after a wrong answer all
+// requested models are still loaded.
 #include <catch2/catch.hpp>
 
 #include "simulated_fleet.h"
@@ -38,7 +38,7 @@
   return mutations;
 }
 
-TEST_CASE("any one answer may be another") {
+TEST_CASE("any single wrong answer is tolerated") {
   for (const Mutation& mutation : Mutations())
     for (int number = 0; number < 14; ++number) {
       SimulationOptions options;
@@ -61,7 +61,7 @@
     }
 }
 
-TEST_CASE("a refusal of the epoch ends all calls until a higher one") {
+TEST_CASE("after a runner refuses the epoch, nothing is sent until a higher epoch") {
   SimulatedFleet fleet({});
   bool refuse = true, sent_after = false;
   int fenced = 0;
@@ -81,8 +81,8 @@
   CHECK(sent_after);
 }
 
-// Records are hints: what a runner may be ordered is decided on its own report.
-TEST_CASE("any one record may tell another thing") {
+// Records are only hints: orders are decided on the runner's own report.
+TEST_CASE("any single wrong record is tolerated") {
   const std::vector<std::function<void(messages::RunnerRecord*)>> changes = {
       [](messages::RunnerRecord* record) { record->clear_models(); },
       [](messages::RunnerRecord* record) { record->mutable_models(0)->set_name("m29"); },
@@ -113,7 +113,7 @@
     }
 }
 
-TEST_CASE("demand of any value breaks nothing") {
+TEST_CASE("demand of any value is tolerated") {
   for (double value : {-1.0, 1e300, std::numeric_limits<double>::infinity(), std::nan("")}) {
     SimulatedFleet fleet({});
     fleet.Ask({"m3", ""}, value);
--- a/tests/system/placement/order_codec_test.cpp
+++ b/tests/system/placement/order_codec_test.cpp
@@ -19,7 +19,7 @@
   return std::get<ReportError>(answer);
 }
 
-TEST_CASE("an order in the runners' words") {
+TEST_CASE("orders are encoded for runners") {
   const duties::HttpCall load = OrderCall({Order::Kind::kLoad, {"m1", "a3"}}, 2, "node-7", 41);
   CHECK(load.method == "POST");
   CHECK(load.path == "/-/order");
@@ -31,7 +31,7 @@
         json::parse(R"({"order":"unload","model":"m1","if_revision":0,"holder":"node-7","fence":41})"));
 }
 
-TEST_CASE("a fleet size in the platform's words") {
+TEST_CASE("fleet sizes are encoded for the platform") {
   const duties::HttpCall call = FleetCall("llm", "z1", 6, 12);
   CHECK(call.method == "POST");
   CHECK(call.path == "/fleet");
@@ -42,7 +42,7 @@
   CHECK_FALSE(FleetSizeTaken({429, ""}));
 }
 
-TEST_CASE("a runner's report is read") {
+TEST_CASE("a runner's report is decoded") {
   const auto answer = ReadReport({200, kReport});
   REQUIRE(std::holds_alternative<RunnerReport>(answer));
   const RunnerReport& report = std::get<RunnerReport>(answer);
@@ -53,7 +53,7 @@
   CHECK(report.held.adapter_count() == 2);
 }
 
-TEST_CASE("a report with one field gone or of another type is not taken") {
+TEST_CASE("a report with a field missing or of the wrong type is rejected") {
   for (const char* field : {"models", "busy", "call_count"}) {
     json body = json::parse(kReport);
     body.erase(field);
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("a report that is cut short, too large or no answer is not taken") {
+TEST_CASE("a report that is truncated, too large or not an answer is rejected") {
   const std::string whole = kReport;
   for (std::size_t length = 0; length < whole.size(); ++length)
     CHECK(ErrorOf(whole.substr(0, length)) == ReportError::kNotRead);
@@ -81,7 +81,7 @@
     CHECK(std::get<ReportError>(ReadReport({status, kReport})) == ReportError::kNoAnswer);
 }
 
-TEST_CASE("any one byte of a report may be another") {
+TEST_CASE("a report with any single wrong byte is decoded without a crash") {
   for (std::size_t i = 0; i + 1 < sizeof kReport; ++i)
     for (const char other : {'\0', '"', '{', ']', '9', '\xff'}) {
       std::string body = kReport;
@@ -91,7 +91,7 @@
   SUCCEED();
 }
 
-TEST_CASE("the outcome of an order by its status") {
+TEST_CASE("the status of an answer determines the outcome of an order") {
   CHECK(ReadOrderOutcome({202, ""}) == OrderOutcome::kAccepted);
   CHECK(ReadOrderOutcome({200, ""}) == OrderOutcome::kHolds);
   CHECK(ReadOrderOutcome({409, ""}) == OrderOutcome::kConflict);
--- a/tests/system/placement/placement_test.cpp
+++ b/tests/system/placement/placement_test.cpp
@@ -1,4 +1,4 @@
-// Placement on a simulated fleet: what must never happen, and how soon what is asked for is served.
+// Placement on a simulated fleet: invariants, and how soon requested models are loaded.
 #include <catch2/catch.hpp>
 
 #include "simulated_fleet.h"
@@ -31,14 +31,14 @@
   REQUIRE((fleet.broken().empty() ? std::string() : fleet.broken().front()) == "");
 }
 
-TEST_CASE("nothing asked for: nothing ordered") {
+TEST_CASE("nothing is ordered without demand") {
   SimulatedFleet fleet({});
   fleet.Run(30 * kSecond);
   CHECK(fleet.orders() == 0);
   CHECK(fleet.probes() == 0);
 }
 
-TEST_CASE("models that stand nowhere are brought into free room, and push nothing out") {
+TEST_CASE("models that no runner holds are loaded into spare capacity, without unloading others") {
   SimulationOptions options;
   options.models = 20;
   options.filled = false;
@@ -53,7 +53,7 @@
   RequireUnbroken(fleet);
 }
 
-TEST_CASE("a model that many ask for gets a second copy in the room of an idle one") {
+TEST_CASE("a frequently requested model gets a second copy in place of an idle model") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("a model that stands nowhere is served within its load time and a second and a half") {
+TEST_CASE("a model that no runner holds is loaded within its load time plus 1.5 seconds") {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_CASE("steady demand moves nothing") {
+TEST_CASE("steady demand causes no orders") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -97,13 +97,13 @@
   }
 }
 
-// More models are asked for now and then than there is room for.
+// Puts more models into occasional demand than fit.
 void AskForRareModels(SimulatedFleet* fleet, int first, double requests_per_s) {
   for (int i = first; i < fleet->service().engine().models_size(); ++i)
     fleet->Ask({fleet->ModelName(i), ""}, requests_per_s);
 }
 
-TEST_CASE("a busy model keeps the copies it needs while many others are asked for now and then") {
+TEST_CASE("a busy model keeps the copies it needs while many others are requested occasionally") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
@@ -124,7 +124,7 @@
   }
 }
 
-TEST_CASE("a model that becomes busy gets its copies although all room is taken by others asked for") {
+TEST_CASE("a model that becomes busy gets its copies although models in demand take all memory") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationOptions options;
     options.seed = seed;
--- a/tests/system/placement/runner_ledger_test.cpp
+++ b/tests/system/placement/runner_ledger_test.cpp
@@ -36,7 +36,7 @@
   return ledger;
 }
 
-TEST_CASE("a runner is read before its first order, and only if there is one") {
+TEST_CASE("a runner's state is read before its first order, and only if there is one") {
   RunnerLedger ledger;
   ledger.Observe(0, Record(5, {}));
   CHECK_FALSE(ledger.CanOrder(0));
@@ -44,12 +44,12 @@
   CHECK(ledger.NeedsReport(0, true));
   ledger.ReportSent(0);
   CHECK_FALSE(ledger.NeedsReport(0, true));
-  ledger.ReportAnswered(0, Report(3, true, {}));  // another holder's order is under way
+  ledger.ReportAnswered(0, Report(3, true, {}));  // another holder's order is in progress
   CHECK_FALSE(ledger.CanOrder(0));
   CHECK(ledger.NeedsReport(kSecond, true));
 }
 
-TEST_CASE("a load counts from its order on, answered or not") {
+TEST_CASE("a load counts from when its order is sent, answered or not") {
   RunnerLedger ledger = IdleLedger({"m1"});
   ledger.OrderSent(0, {Order::Kind::kLoad, kSecondKey}, kLoadTime, 9);
   CHECK(ledger.MayHold().Holds(kSecondKey));
@@ -57,13 +57,13 @@
   CHECK(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.unsettled_load() == 9);
   CHECK_FALSE(ledger.TakeSettledLoad());
-  // Not taken so far, which doesn't mean that it won't arrive.
+  // Not accepted so far, but the order may still arrive.
   ledger.ReportSent(2 * kSecond);
   ledger.ReportAnswered(2 * kSecond, Report(3, false, {"m1"}));
   CHECK(ledger.CanOrder(2 * kSecond));
   CHECK(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.unsettled_load() == 9);
-  // An order with its number is taken: it never will.
+  // Another order with the same number is accepted: from now on it would be refused.
   ledger.OrderSent(2 * kSecond, {Order::Kind::kUnload, kFirst}, 0, 0);
   ledger.OrderAnswered(2 * kSecond, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.MayHold().Holds(kSecondKey));
@@ -71,7 +71,7 @@
   CHECK(ledger.orders_taken() == 4);
 }
 
-TEST_CASE("an unanswered load still counts after the epoch changed") {
+TEST_CASE("an unanswered load still counts after a change of epoch") {
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
   ledger.Restart();
@@ -81,16 +81,16 @@
   CHECK(ledger.unsettled_load() == 9);
 }
 
-TEST_CASE("what is unloaded counts until a report shows it gone and nothing under way") {
+TEST_CASE("an unloaded model counts until a report without it shows no order in progress") {
   RunnerLedger ledger = IdleLedger({"m1"});
   ledger.OrderSent(0, {Order::Kind::kUnload, kFirst}, 0, 0);
   ledger.OrderAnswered(0, OrderOutcome::kAccepted);
-  ledger.Observe(kSecond, Record(6, {}));  // it may have only begun
+  ledger.Observe(kSecond, Record(6, {}));  // the unload may only have begun
   CHECK(ledger.MayHold().Holds(kFirst));
   CHECK_FALSE(ledger.CanOrder(kSecond));
   CHECK(ledger.NeedsReport(kSecond, false));
   ledger.ReportSent(kSecond);
-  ledger.ReportAnswered(kSecond, Report(3, false, {}));  // of before the order
+  ledger.ReportAnswered(kSecond, Report(3, false, {}));  // predates the order
   CHECK(ledger.MayHold().Holds(kFirst));
   ledger.ReportSent(2 * kSecond);
   ledger.ReportAnswered(2 * kSecond, Report(4, true, {}));
@@ -101,7 +101,7 @@
   CHECK(ledger.CanOrder(3 * kSecond));
 }
 
-TEST_CASE("a load is done when a heartbeat after its order shows it") {
+TEST_CASE("a load is complete when a heartbeat after its order shows it") {
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
   ledger.OrderAnswered(0, OrderOutcome::kAccepted);
@@ -113,7 +113,7 @@
   CHECK(ledger.held().Holds(kFirst));
 }
 
-TEST_CASE("a heartbeat may come before the answer to the order that it shows done") {
+TEST_CASE("a heartbeat that shows an order complete may precede the order's answer") {
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
   ledger.Observe(kSecond, Record(6, {"m1"}));
@@ -121,7 +121,7 @@
   CHECK(ledger.phase() == Phase::kIdle);
 }
 
-TEST_CASE("an order that is never seen done is asked after") {
+TEST_CASE("a report is requested if an order is never seen complete") {
   RunnerLedger ledger = IdleLedger({});
   ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
   ledger.OrderAnswered(0, OrderOutcome::kAccepted);
@@ -133,7 +133,7 @@
   CHECK(ledger.NeedsReport(12 * kSecond, false));
 }
 
-TEST_CASE("each refusal makes the runner be read again, later each time") {
+TEST_CASE("after each order that isn't accepted the runner's state is read again, with backoff") {
   for (OrderOutcome outcome : {OrderOutcome::kHolds, OrderOutcome::kConflict, OrderOutcome::kInvalid,
                                OrderOutcome::kOtherRunner, OrderOutcome::kUnknown}) {
     RunnerLedger ledger = IdleLedger({});
@@ -146,7 +146,7 @@
   }
 }
 
-TEST_CASE("a runner that holds another thing than is known is read again") {
+TEST_CASE("a runner's state is read again if its record differs from the known state") {
   RunnerLedger ledger = IdleLedger({"m1"});
   ledger.Observe(kSecond, Record(6, {"m1", "m2"}));
   CHECK(ledger.phase() == Phase::kUnread);
--- a/tests/system/placement/simulated_fleet.cpp
+++ b/tests/system/placement/simulated_fleet.cpp
@@ -86,7 +86,7 @@
   }
 }
 
-// Reaches the holder only if it tells something new.
+// The record reaches the holder only if it contains something new.
 void SimulatedFleet::Heartbeat(SimulatedRunner* runner) {
   runner->next_heartbeat = now_ + kHeartbeat;
   messages::RunnerRecord record;
@@ -203,7 +203,7 @@
   placement_ = NewHolder();
 }
 
-// Chosen at once, as a holder that waits for it has the allowance of the renewal before.
+// A renewal is chosen at once here. A holder that had to wait would keep the allowance of the previous one.
 void SimulatedFleet::RenewLease() {
   if (!holds_ || now_ < lease_started_at_ + kRenewInterval) return;
   if (auto told = placement_->TellLoads(now_, epoch_, false)) told_loads_ = std::move(told);
@@ -228,7 +228,7 @@
   input.lease_started_at = lease_started_at_;
   std::vector<duties::HttpCall> calls;
   placement_->Act(now_, input, &calls);
-  if (!holds_ && !calls.empty()) broken_.push_back("ONE: calls without the duty");
+  if (!holds_ && !calls.empty()) broken_.push_back("calls sent without holding the duty");
   for (const duties::HttpCall& call : calls) Send(call);
 }
 
--- a/tests/system/placement/simulated_fleet.h
+++ b/tests/system/placement/simulated_fleet.h
@@ -1,6 +1,6 @@
-// Runners that carry out orders as the runners' interface says, dispatchers that hold the duty in turn, a
-// network that loses and delays, and clients that ask for models; with a judge of what must never happen.
-// Time is stepped.
+// Simulates runners that execute orders according to their interface, dispatchers that hold the duty one
+// after another, a network that loses and delays messages, and clients that request models. Checks invariants
+// on every order. Time advances in fixed steps.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,7 @@
   std::uint64_t orders_taken = 0, fence = 0, heartbeats = 0;
   Time next_heartbeat = 0;
   bool draining = false;
-  bool silent = false;  // no heartbeat and no answer leaves it
+  bool silent = false;  // sends neither heartbeats nor answers
 };
 
 struct SimulationOptions {
@@ -32,13 +32,13 @@
   int zones = 3;
   int models = 30;
   int slots = 64;
-  int adapters = 12;  // of each third model
+  int adapters = 12;  // of every third model
   double loads_per_s = 2.6;
   double lost_request = 0, lost_answer = 0, late_request = 0;
-  Time latest = 4 * kSecond;                    // of late requests
-  Time settle_heartbeat = 1200 * kMillisecond;  // what the holders take for the period of heartbeats
+  Time latest = 4 * kSecond;                    // maximum delay of late requests
+  Time settle_heartbeat = 1200 * kMillisecond;  // heartbeat period that the holders assume
   bool fences_checked = true;
-  bool filled = true;  // each model stands somewhere at the start, as far as there is room
+  bool filled = true;  // each model is held by a runner at the start, as far as capacity allows
   std::uint64_t seed = 1;
 };
 
@@ -47,35 +47,35 @@
   explicit SimulatedFleet(SimulationOptions options);
 
   void Run(Time span);
-  void Ask(const Key& key, double requests_per_s, double work_s = 1);  // 0: no more
+  void Ask(const Key& key, double requests_per_s, double work_s = 1);  // a rate of 0 ends the demand
   void AskZipf(double requests_per_s, int first_model, int models);
-  void Crash(std::size_t runner, Time away);  // comes back empty
+  void Crash(std::size_t runner, Time away);  // restarts empty
   void Drain(std::size_t runner) { runners_[runner].draining = true; }
   void Silence(std::size_t runner, bool silent) { runners_[runner].silent = silent; }
-  void FailOver(Time pause);  // another holder, with nothing known, after the pause
+  void FailOver(Time pause);  // a new holder without any state takes over after the pause
 
-  bool Stands(const Key& key) const;  // at a ready runner
+  bool Stands(const Key& key) const;  // whether a ready runner holds the key
   double unserved_share() const { return unserved_ / std::max(1.0, asked_); }
   void ResetCounts() { orders_ = loads_ = probes_ = 0, unserved_ = asked_ = 0; }
   int orders() const { return orders_; }
   int loads() const { return loads_; }
   int probes() const { return probes_; }
-  const std::vector<std::string>& broken() const { return broken_; }  // by the judge
+  const std::vector<std::string>& broken() const { return broken_; }  // violations of invariants
   Time now() const { return now_; }
   const messages::Service& service() const { return service_; }
   std::vector<SimulatedRunner>& runners() { return runners_; }
   Placement& placement() { return *placement_; }
   std::string ModelName(int number) const { return "m" + std::to_string(number); }
-  // Changes an answer before it is told.
+  // Changes an answer before it is delivered.
   std::function<void(duties::HttpResult*)> mutate;
-  // Changes a record before it is told.
+  // Changes a record before it is delivered.
   std::function<void(messages::RunnerRecord*)> mutate_record;
   std::function<void(const duties::HttpCall&)> on_call;
 
  private:
   struct Asked {
     double per_s = 0, work_s = 1;
-    double unserved = 0;  // of late
+    double unserved = 0;  // recently, decaying
   };
   struct Event {
     Time at;
@@ -114,7 +114,7 @@
   std::priority_queue<Event> events_;
   std::uint64_t event_number_ = 0, report_number_ = 0;
   std::unique_ptr<Placement> placement_;
-  std::optional<messages::LoadHistory> told_loads_;  // in the duty's register
+  std::optional<messages::LoadHistory> told_loads_;  // as stored in the duty's register
   Time lease_started_at_ = 0;
   std::uint64_t epoch_ = 1;
   int starts_ = 0, holders_ = 0;
--- a/tests/system/placement/simulated_runner.cpp
+++ b/tests/system/placement/simulated_runner.cpp
@@ -1,4 +1,4 @@
-// The runners' side of the simulated fleet, and the judge.
+// The runner side of the simulated fleet, and the checks of invariants.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -12,7 +12,7 @@
 constexpr Time kOriginWindow = 5 * kSecond;
 constexpr double kOverage = 1.1;
 constexpr int kBurst = 3;
-constexpr double kWarmLoad = 0.15;  // of the time of a load from the weight store
+constexpr double kWarmLoad = 0.15;  // load time from local disk relative to the weight store
 
 }  // namespace
 
@@ -72,21 +72,22 @@
   if (order.kind != Order::Kind::kLoad) return;
   HeldSet held = runner.held;
   if (runner.doing && runner.doing->kind == Order::Kind::kLoad) held.Add(runner.doing->key);
-  // A late one that is refused changes nothing; any other order must fit, taken or not.
+  // A late order that is refused has no effect. Any other order must fit, whether it is accepted or not.
   if ((taken || !late) && !held.Holds(order.key) && !catalog_.Fits(held, order.key))
-    broken_.push_back("LIMIT: " + ToText(order.key) + " at " + runner.id);
+    broken_.push_back("runner limits exceeded by " + ToText(order.key) + " at " + runner.id);
   if (!taken || !order.key.is_model() || runner.held.Holds(order.key)) return;
   ++loads_;
   loads_begun_.push_back(now_);
   const auto in_window = std::count_if(loads_begun_.begin(), loads_begun_.end(),
                                        [&](Time at) { return at > now_ - kOriginWindow; });
   const double most = options_.loads_per_s * 5 * kOverage + kBurst;
-  if (static_cast<double>(in_window) > most) broken_.push_back("CEILING: " + std::to_string(in_window));
+  if (static_cast<double>(in_window) > most)
+    broken_.push_back("too many loads in a window: " + std::to_string(in_window));
 }
 
 void SimulatedFleet::JudgeHolder(const std::string& runner, const std::string& holder, std::uint64_t epoch) {
   const std::string& first = holder_of_epoch_.try_emplace(epoch, holder).first->second;
-  if (first != holder) broken_.push_back("ONE: two holders with one epoch at " + runner);
+  if (first != holder) broken_.push_back("two holders with the same epoch at " + runner);
 }
 
 }  // namespace lichenlug::placement
