--- a/tests/system/placement/runner_ledger_test.cpp
+++ b/tests/system/placement/runner_ledger_test.cpp
@@ -63,7 +63,7 @@
   CHECK(ledger.CanOrder(2 * kSecond));
   CHECK(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.unsettled_load() == 9);
-  // Another order with the same number is accepted: from now on it would be refused.
+  // Once another order with the same number is accepted, the unanswered one would be refused.
   ledger.OrderSent(2 * kSecond, {Order::Kind::kUnload, kFirst}, 0, 0);
   ledger.OrderAnswered(2 * kSecond, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.MayHold().Holds(kSecondKey));
