--- a/src/placement/demand_table.cpp
+++ b/src/placement/demand_table.cpp
@@ -6,7 +6,7 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr Time kStale = 10 * kSecond;         // lifetime of a report that isn't replaced
+constexpr Time kStale = 10 * kSecond;         // for a report that isn't replaced
 constexpr Time kForgetAfter = 120 * kSecond;  // for a key without demand
 constexpr Time kForgetSource = 30 * kSecond;  // for a dispatcher that no longer reports
 constexpr double kFallTime = 5.0 * kSecond;   // time constant of the decay, to 1/e
--- a/src/placement/eviction.cpp
+++ b/src/placement/eviction.cpp
@@ -12,7 +12,7 @@
 constexpr double kIdleCopy = 0.1;       // no demand, and another runner holds it
 constexpr double kIdleLast = 1, kJustIdleLast = 3;
 constexpr double kIdleFade = 20.0 * kSecond;
-constexpr double kBusySpareCopy = 1.5, kBusySpareShare = 0.2;  // the other copies can serve its demand
+constexpr double kBusySpareCopy = 1.5, kBusySpareShare = 0.2;  // the others can serve its demand
 constexpr double kBusyCopy = 10;
 constexpr double kRareLast = 15, kRareArrival = 10;  // only copy of a rarely requested key
 constexpr double kNewRareLast = 30;  // the same, loaded recently: unloaded only for overloaded keys
@@ -20,10 +20,10 @@
 constexpr double kAskedMargin = 5;   // over the rarely requested keys that are held, so that keys alternate
 constexpr Time kMinStay = 15 * kSecond;        // from the assignment on; keeps such keys from thrashing
 constexpr Time kMinAdapterStay = 3 * kSecond;  // shorter, as an adapter is reloaded within milliseconds
-constexpr double kAdapter = 2, kAdapterArrival = 2, kAdapterRunning = 5;  // only copy of an adapter in demand
+constexpr double kAdapter = 2, kAdapterArrival = 2, kAdapterRunning = 5;  // only copy
 constexpr double kLastAdapter = 5;  // for each adapter whose only copy would be unloaded with the model
 constexpr double kSparedFill = 0.5;
-constexpr double kOverloadPart = 0.8;  // fraction of its share of running requests that another copy is worth
+constexpr double kOverloadPart = 0.8;  // of its share of the running requests
 constexpr double kReliefWorth = 2;
 constexpr double kSecondCopyWorth = 4.5;  // of a busy model; exceeds the value of any idle one
 constexpr double kStillUnserved = 0.5;    // requests; the count decays and never reaches zero
