--- a/src/placement/fleet_view.h
+++ b/src/placement/fleet_view.h
@@ -20,7 +20,7 @@
   kAsked,     // in demand, and no ready runner holds it
   kOverload,  // its demand exceeds the capacity of its runners
   kRelief,    // its runners are full while others aren't
-  kSpare,     // worth another copy where capacity is spare
+  kSpare,     // busy; gets another copy where capacity is spare
   kPrefetch,  // held by no runner and not in demand yet; loaded where capacity is spare
 };
 const char* ToText(Urgency urgency);
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr double kFull = 0.6, kBusy = 0.3, kAim = 0.5;  // shares of a runner's slots
-constexpr double kFlooded = 1;       // from here requests queue at the holders, and copies are added at once
+constexpr double kFlooded = 1;       // requests queue at the holders, so copies are added at once
 constexpr double kLargeShare = 0.1;  // a key that uses less of a runner's slots isn't worth another copy
-constexpr double kLess = 0.8, kClearlyLess = 0.5;  // another runner's load relative to that of the holders
+constexpr double kLess = 0.8, kClearlyLess = 0.5;  // another runner's load relative to the holders'
 constexpr double kAnyFill = std::numeric_limits<double>::infinity();
 constexpr double kBusyArrivals = 1;      // per second, from which a model may use spare capacity
 constexpr double kUrgentWorth = 25;      // of a copy that comes before loads of rarely requested models
-constexpr double kMissedArrivals = 0.2;  // per second, from which a key is missing even with none unserved
+constexpr double kMissedArrivals = 0.2;  // per second; missing even with none unserved
 constexpr Time kUrgentAfter = 500 * kMillisecond, kOptionalAfter = 3 * kSecond;
 constexpr Time kRememberPlaced = 60 * kSecond;
 constexpr std::size_t kRunnersPerOptional = 8;
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -60,7 +60,7 @@
   std::map<Key, Time> short_since_;  // since when a key has had too few copies
   std::map<Key, Time> refused_;
   std::map<Key, Time> placed_;                  // when a key held by no runner was last assigned
-  std::map<std::string, std::size_t> crowded_;  // by model: copies that its adapters in demand need
+  std::map<std::string, std::size_t> crowded_;  // by model: copies its adapters in demand need
 };
 
 }  // namespace lichenlug::placement
