--- a/src/placement/steps.cpp
+++ b/src/placement/steps.cpp
@@ -86,7 +86,7 @@
 }
 
 void Placement::Impl::Execute(Time now, Calls* calls) {
-  std::vector<std::pair<double, const std::string*>> order;  // by the intent's value, descending
+  std::vector<std::pair<double, const std::string*>> order;  // by the intent's worth, descending
   bool waiting = false;
   for (auto& [id, runner] : runners_) {
     const RunnerLedger::Phase phase = runner.ledger.phase();
