--- a/src/node/duty_service.cpp
+++ b/src/node/duty_service.cpp
@@ -43,7 +43,8 @@
   if (!ownership) {
     auto own = OwnershipSettingsFor(register_name, settings_, identity_);
     own.tell_loads = [this, register_name](Time now) {
-      return placements_.TellLoads(now, register_name, OwnershipOf(register_name).epoch(), resigned_);
+      return placements_.LoadHistoryForRenewal(now, register_name, OwnershipOf(register_name).epoch(),
+                                               resigned_);
     };
     ownership = std::make_unique<duties::Ownership>(std::move(own));
   }
--- a/src/node/service_placements.cpp
+++ b/src/node/service_placements.cpp
@@ -68,12 +68,15 @@
   return next;
 }
 
-std::vector<messages::LoadHistory> ServicePlacements::TellLoads(Time now, const std::string& register_name,
-                                                                std::uint64_t epoch, bool resigned) const {
+std::vector<messages::LoadHistory> ServicePlacements::LoadHistoryForRenewal(Time now,
+                                                                            const std::string& register_name,
+                                                                            std::uint64_t epoch,
+                                                                            bool resigned) const {
   std::vector<messages::LoadHistory> loads;
   for (const auto& [service, placement] : placements_) {
     if (ShardRegister(service) != register_name) continue;
-    if (auto history = placement->TellLoads(now, epoch, resigned)) loads.push_back(std::move(*history));
+    if (auto history = placement->LoadHistoryForRenewal(now, epoch, resigned))
+      loads.push_back(std::move(*history));
   }
   return loads;
 }
--- a/src/node/service_placements.h
+++ b/src/node/service_placements.h
@@ -36,8 +36,8 @@
   std::optional<Time> NextTimer() const;
 
   // What the placements of this shard may have loaded of late, to be kept with its owner's renewals.
-  std::vector<messages::LoadHistory> TellLoads(Time now, const std::string& register_name,
-                                               std::uint64_t epoch, bool resigned) const;
+  std::vector<messages::LoadHistory> LoadHistoryForRenewal(Time now, const std::string& register_name,
+                                                           std::uint64_t epoch, bool resigned) const;
   std::vector<std::string> Explain(Time now) const;  // lines for the operator
 
  private:
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -133,7 +133,8 @@
   if (const auto load = ledger->TakeSettledLoad()) budget_.Settle(*load, now);
 }
 
-std::optional<messages::LoadHistory> Placement::Impl::TellLoads(Time now, std::uint64_t epoch, bool ends) {
+std::optional<messages::LoadHistory> Placement::Impl::LoadHistoryForRenewal(Time now, std::uint64_t epoch,
+                                                                            bool ends) {
   if (epoch != epoch_) return std::nullopt;
   messages::LoadHistory history = budget_.History(now);
   // The allowance applies from its first publication on: the renewal may be chosen without this holder
@@ -157,8 +158,9 @@
   impl_->Completed(now, tag, result);
 }
 std::optional<Time> Placement::NextTimer() const { return impl_->NextTimer(); }
-std::optional<messages::LoadHistory> Placement::TellLoads(Time now, std::uint64_t epoch, bool ends) {
-  return impl_->TellLoads(now, epoch, ends);
+std::optional<messages::LoadHistory> Placement::LoadHistoryForRenewal(Time now, std::uint64_t epoch,
+                                                                      bool ends) {
+  return impl_->LoadHistoryForRenewal(now, epoch, ends);
 }
 std::vector<std::string> Placement::Explain(Time now) const { return impl_->Explain(now); }
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -51,7 +51,7 @@
 
   // The load history to publish with a renewal of this epoch's lease that begins now; nullopt before the
   // first Act in that epoch. `ends`: the duty is being released, so no load follows.
-  std::optional<messages::LoadHistory> TellLoads(Time now, std::uint64_t epoch, bool ends);
+  std::optional<messages::LoadHistory> LoadHistoryForRenewal(Time now, std::uint64_t epoch, bool ends);
 
   // Explains the placement to the operator, one line for each model or adapter in demand and for each runner.
   std::vector<std::string> Explain(Time now) const;
--- a/tests/system/placement/simulated_fleet.cpp
+++ b/tests/system/placement/simulated_fleet.cpp
@@ -206,7 +206,7 @@
 // A renewal is chosen at once here. A holder that had to wait would keep the allowance of the previous one.
 void SimulatedFleet::RenewLease() {
   if (!holds_ || now_ < lease_started_at_ + kRenewInterval) return;
-  if (auto told = placement_->TellLoads(now_, epoch_, false)) told_loads_ = std::move(told);
+  if (auto told = placement_->LoadHistoryForRenewal(now_, epoch_, false)) told_loads_ = std::move(told);
   lease_started_at_ = now_;
   input_changed_ = true;
 }
