--- a/src/placement/catalog.cpp
+++ b/src/placement/catalog.cpp
@@ -39,7 +39,7 @@
   return it == models_.end() ? nullptr : &it->second;
 }
 
-bool Catalog::Knows(const Key& key) const {
+bool Catalog::Contains(const Key& key) const {
   const Model* model = Find(key.model);
   return model && (key.is_model() || IsAdapterName(key.adapter, model->adapters));
 }
--- a/src/placement/catalog.h
+++ b/src/placement/catalog.h
@@ -21,7 +21,7 @@
 
   void Assign(const messages::Engine& engine);
 
-  bool Knows(const Key& key) const;  // may appear in an order
+  bool Contains(const Key& key) const;  // may appear in an order
   const Model* Find(const std::string& model) const;
   double MegabytesOf(const Key& key) const;
   double MegabytesOf(const HeldSet& held) const;
--- a/src/placement/demand_table.h
+++ b/src/placement/demand_table.h
@@ -13,14 +13,14 @@
 namespace lichenlug::placement {
 
 // Arrivals per second above which losing a model's only copy costs more than holding a second one.
-inline constexpr double kSafeArrivals = 3;
+inline constexpr double kSecondCopyArrivalsPerS = 3;
 
 struct Demand {
   double arrivals_per_s = 0;
   double running = 0;  // smoothed
   double unserved = 0;
-  Time last_asked = 0;
-  Time asked_since = 0;  // start of the current period of demand
+  Time last_requested = 0;
+  Time requested_since = 0;  // start of the current period of demand
 
   bool present() const { return running > 0.5 || arrivals_per_s > 0.02 || unserved > 0; }
 };
@@ -42,10 +42,10 @@
   struct Source {
     std::uint64_t incarnation = 0;
     std::uint64_t number = 0;
-    Time changed = 0;
-    Time seen = 0;
+    Time last_changed = 0;
+    Time last_seen = 0;
   };
-  bool Fresh(Time now, const messages::DemandReport& report);
+  bool IsFresh(Time now, const messages::DemandReport& report);
 
   std::map<std::string, Source> sources_;  // by dispatcher
   std::map<Key, Demand> keys_;
--- a/src/placement/eviction.h
+++ b/src/placement/eviction.h
@@ -27,9 +27,9 @@
 };
 
 // The cheapest keys to unload so that the target fits. Returns nullopt if it can't be made to fit by
-// unloading only keys with a value of at most `most` each.
+// unloading only keys with a value of at most `max_value` each.
 std::optional<Victims> FindVictims(const PlanContext& context, const RunnerView& runner, const Key& target,
-                                   double most);
+                                   double max_value);
 
 // The value of one more copy of the key, on the same scale as the value of the keys that may be unloaded for
 // it. Keys with a higher value aren't unloaded for that copy.
--- a/src/placement/explain.cpp
+++ b/src/placement/explain.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxNames = 8;
 
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f", value);
   return text;
@@ -22,7 +22,7 @@
     return {settings_.service +
             ": this dispatcher doesn't hold the placement duty, or no engine is configured"};
   lines.push_back(settings_.service + ": epoch " + std::to_string(epoch_) + ", " +
-                  std::to_string(budget_.Left(now)) + " loads left in this window" +
+                  std::to_string(budget_.Remaining(now)) + " loads left in this window" +
                   (now < settle_until_ ? ", waiting for runner records after a takeover" : ""));
   for (const auto& [model, demand] : demand_.models())
     if (demand.present()) lines.push_back(ExplainKey(now, {model, ""}, demand));
@@ -33,31 +33,32 @@
 }
 
 std::string Placement::Impl::ExplainKey(Time now, const Key& key, const Demand& demand) const {
-  std::string line = ToText(key) + ": " + Number(demand.arrivals_per_s) + "/s, " + Number(demand.running) +
-                     " running, " + Number(demand.unserved) + " unserved; on";
+  std::string line = ToText(key) + ": " + FormatNumber(demand.arrivals_per_s) + "/s, " +
+                     FormatNumber(demand.running) + " running, " + FormatNumber(demand.unserved) +
+                     " unserved; on";
   std::size_t named = 0;
   const auto& holders = view_.HoldersOf(key);
   for (std::size_t holder : holders)
     if (named++ < kMaxNames) line += ' ' + view_.runners[holder].id;
   if (holders.empty()) line += " no runner";
   if (named > kMaxNames) line += " and " + std::to_string(named - kMaxNames) + " more";
-  const auto wish = planner_.wishes().find(key);
-  if (wish != planner_.wishes().end()) {
-    line += "; wants " + std::to_string(wish->second.copies);
-    if (*wish->second.hindrance) line += std::string(" (") + wish->second.hindrance + ')';
+  const auto goal = planner_.copy_goals().find(key);
+  if (goal != planner_.copy_goals().end()) {
+    line += "; wants " + std::to_string(goal->second.copies);
+    if (*goal->second.blocked_reason) line += std::string(" (") + goal->second.blocked_reason + ')';
   }
   for (const auto& [id, runner] : runners_)
     if (runner.intent && runner.intent->target == key)
       line += "; assigned to " + id + ": " + ToText(runner.intent->urgency) + ", " +
-              Number(static_cast<double>(now - runner.intent->since) / kSecond) + " s";
+              FormatNumber(static_cast<double>(now - runner.intent->since) / kSecond) + " s";
   return line;
 }
 
 std::string Placement::Impl::ExplainRunner(const RunnerView& runner) const {
   std::string line = "runner " + runner.id + " in " + runner.zone + ": " +
-                     Number(catalog_.capacity_mb() - catalog_.MegabytesOf(runner.may_hold)) + " MB and " +
-                     std::to_string(catalog_.adapter_slots() - runner.may_hold.adapter_count()) +
-                     " adapter slots free, about " + Number(runner.load) + " running requests; holds";
+                     FormatNumber(catalog_.capacity_mb() - catalog_.MegabytesOf(runner.may_hold)) +
+                     " MB and " + std::to_string(catalog_.adapter_slots() - runner.may_hold.adapter_count()) +
+                     " adapter slots free, about " + FormatNumber(runner.load) + " running requests; holds";
   for (const auto& [model, adapters] : runner.held.models()) {
     line += ' ' + model;
     for (const std::string& adapter : adapters) line += '/' + adapter;
--- a/src/placement/fleet_scaler.h
+++ b/src/placement/fleet_scaler.h
@@ -24,9 +24,10 @@
 class FleetScaler {
  public:
   void Restart(Time now);  // a new epoch has begun
-  // Returns at most one change at a time. No further change is returned until Ended() reports its outcome.
+  // Returns at most one change at a time. No further change is returned until ChangeCompleted() reports its
+  // outcome.
   std::optional<FleetChange> Decide(const PlanContext& context, const messages::Fleet& fleet);
-  void Ended(Time now, bool taken);
+  void ChangeCompleted(Time now, bool accepted);
 
  private:
   struct Zone {
@@ -34,12 +35,12 @@
     int ordered = 0;  // size last accepted by the platform; 0 if none
     int wanted = 0;   // size that the models need
     double load = 0;
-    bool may_lose_one = true;
-    Time seen = 0, full_since = 0, idle_since = 0, changed = 0;
+    bool can_shrink = true;
+    Time last_seen = 0, overloaded_since = 0, idle_since = 0, last_changed = 0;
   };
   void Measure(const PlanContext& context);
-  void ShareOut(int runners, int maximum);
-  static int SizeFor(const PlanContext& context, const Zone& zone, const messages::Fleet& fleet);
+  void DistributeRunners(int runners, int maximum);
+  static int TargetSize(const PlanContext& context, const Zone& zone, const messages::Fleet& fleet);
 
   std::map<std::string, Zone> zones_;
   std::optional<FleetChange> in_flight_;
--- a/src/placement/fleet_view.cpp
+++ b/src/placement/fleet_view.cpp
@@ -5,15 +5,15 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr int kRounds = 4;
+constexpr int kIterations = 4;
 constexpr double kMinWeight = 0.05;
-const std::vector<std::size_t> kNobody;
+const std::vector<std::size_t> kNoHolders;
 
 }  // namespace
 
 const char* ToText(Urgency urgency) {
   switch (urgency) {
-    case Urgency::kAsked:
+    case Urgency::kMissing:
       return "in demand and held by no ready runner";
     case Urgency::kOverload:
       return "demand exceeds the capacity of its runners";
@@ -29,10 +29,10 @@
 
 const std::vector<std::size_t>& FleetView::HoldersOf(const Key& key) const {
   const auto it = holders.find(key);
-  return it == holders.end() ? kNobody : it->second;
+  return it == holders.end() ? kNoHolders : it->second;
 }
 
-void FleetView::Expect(std::size_t runner, const Key& key) {
+void FleetView::AddExpected(std::size_t runner, const Key& key) {
   RunnerView& view = runners[runner];
   if (view.expected.Holds(key)) return;
   view.expected.Add(key);
@@ -47,7 +47,7 @@
 
 void EstimateLoads(const DemandTable& demand, int slots, FleetView* view) {
   std::vector<double> load(view->runners.size(), 0.0);
-  for (int round = 0; round < kRounds; ++round) {
+  for (int round = 0; round < kIterations; ++round) {
     std::vector<double> next(load.size(), 0.0);
     for (const auto& [key, entry] : demand.keys()) {
       const std::vector<std::size_t>& holders = view->HoldersOf(key);
--- a/src/placement/fleet_view.h
+++ b/src/placement/fleet_view.h
@@ -17,7 +17,7 @@
 
 // Reason for a load, the most urgent first.
 enum class Urgency {
-  kAsked,     // in demand, and no ready runner holds it
+  kMissing,   // in demand, and no ready runner holds it
   kOverload,  // its demand exceeds the capacity of its runners
   kRelief,    // its runners are full while others aren't
   kSpare,     // busy; gets another copy where capacity is spare
@@ -28,7 +28,7 @@
 // A planned load on a runner. Other keys are unloaded first if it doesn't fit.
 struct Intent {
   Key target;
-  Urgency urgency = Urgency::kAsked;
+  Urgency urgency = Urgency::kMissing;
   Time since = 0;
   double worth = 0;  // maximum value of a key that may be unloaded for it
 };
@@ -48,7 +48,7 @@
   const std::map<std::string, std::set<std::string>>* disks = nullptr;  // by address: models held before
 
   const std::vector<std::size_t>& HoldersOf(const Key& key) const;
-  void Expect(std::size_t runner, const Key& key);
+  void AddExpected(std::size_t runner, const Key& key);
   bool OnDisk(const std::string& address, const std::string& model) const;
 };
 
--- a/src/placement/held_set.h
+++ b/src/placement/held_set.h
@@ -52,7 +52,7 @@
       models_[model].insert(adapters.begin(), adapters.end());
   }
   // Whether this set shows the order's effect.
-  bool Shows(const Order& order) const { return Holds(order.key) == (order.kind == Order::Kind::kLoad); }
+  bool Reflects(const Order& order) const { return Holds(order.key) == (order.kind == Order::Kind::kLoad); }
 
   int adapter_count() const {
     int count = 0;
--- a/src/placement/load_budget.cpp
+++ b/src/placement/load_budget.cpp
@@ -23,23 +23,24 @@
 void LoadBudget::SetRate(double loads_per_s) { loads_per_s_ = loads_per_s; }
 
 void LoadBudget::TakeOver(Time now) {
-  for (int i = 0; i < Limit(); ++i) loads_[next_++] = Load{true, now, now, false};
+  for (int i = 0; i < Limit(); ++i) loads_[next_number_++] = Load{true, now, now, false};
 }
 
 // The history includes the loads of this dispatcher from earlier epochs, except those not settled yet. Hence
 // settled loads are dropped before the history is added.
-void LoadBudget::Inherit(Time told_at, const messages::LoadHistory& history) {
+void LoadBudget::Inherit(Time published_at, const messages::LoadHistory& history) {
   std::erase_if(loads_, [](const auto& entry) { return entry.second.settled; });
   for (const messages::LoadsBegun& begun : history.begun()) {
-    const Time latest = told_at - static_cast<Time>(std::min<std::uint64_t>(begun.age_us(), 3600 * kSecond));
+    const Time latest =
+        published_at - static_cast<Time>(std::min<std::uint64_t>(begun.age_us(), 3600 * kSecond));
     for (std::uint32_t i = 0; i < std::min(begun.loads(), kMaxInherited); ++i)
-      loads_[next_++] = Load{true, latest, latest, false};
+      loads_[next_number_++] = Load{true, latest, latest, false};
   }
 }
 
 void LoadBudget::SetAllowance(Time since, int loads) {
   allowance_ = loads;
-  begun_of_allowance_ = static_cast<int>(std::count_if(loads_.begin(), loads_.end(), [&](const auto& entry) {
+  allowance_used_ = static_cast<int>(std::count_if(loads_.begin(), loads_.end(), [&](const auto& entry) {
     return entry.second.own && entry.second.ordered_at >= since;
   }));
 }
@@ -64,33 +65,34 @@
     begun->set_loads(loads);
   }
   const double seconds = static_cast<double>(lease_) / kSecond / duties::kRenewalsInLease;
-  const int usual = std::max(kMinAllowance, static_cast<int>(std::ceil(loads_per_s_ * seconds)) + 1);
+  const int expected = std::max(kMinAllowance, static_cast<int>(std::ceil(loads_per_s_ * seconds)) + 1);
   // Never less than the allowance in force, which may still be used until this renewal is known to be chosen.
-  history.set_allowance(static_cast<std::uint32_t>(HasAllowance() ? std::max(usual, allowance_) : usual));
+  history.set_allowance(
+      static_cast<std::uint32_t>(HasAllowance() ? std::max(expected, allowance_) : expected));
   return history;
 }
 
 int LoadBudget::Limit() const {
   const double rated = loads_per_s_ * static_cast<double>(window_) / static_cast<double>(kSecond);
-  const int most = static_cast<int>(rated * overage_) + kBurst;
-  return std::min(most, std::max(1, static_cast<int>(rated) + kUsedBurst));
+  const int max_loads = static_cast<int>(rated * overage_) + kBurst;
+  return std::min(max_loads, std::max(1, static_cast<int>(rated) + kUsedBurst));
 }
 
 bool LoadBudget::Counts(Time now, const Load& load) const {
   return !load.settled || load.latest_begin > now - window_ - kArrivalMargin;
 }
 
-int LoadBudget::Left(Time now) const {
+int LoadBudget::Remaining(Time now) const {
   const auto counted = static_cast<int>(std::count_if(
       loads_.begin(), loads_.end(), [&](const auto& entry) { return Counts(now, entry.second); }));
-  return std::max(0, std::min(Limit() - counted, allowance_ - begun_of_allowance_));
+  return std::max(0, std::min(Limit() - counted, allowance_ - allowance_used_));
 }
 
 std::uint64_t LoadBudget::Begin(Time now) {
   Expire(now);
-  ++begun_of_allowance_;
-  loads_[next_] = Load{false, now, now, true};
-  return next_++;
+  ++allowance_used_;
+  loads_[next_number_] = Load{false, now, now, true};
+  return next_number_++;
 }
 
 void LoadBudget::Settle(std::uint64_t load, Time latest_begin) {
--- a/src/placement/load_budget.h
+++ b/src/placement/load_budget.h
@@ -25,19 +25,19 @@
   void SetRate(double loads_per_s);
   // Assumes that an earlier holder, which published nothing, has used up the window.
   void TakeOver(Time now);
-  // Counts the loads of an earlier holder; their ages in `history` are relative to `told_at`.
-  void Inherit(Time told_at, const messages::LoadHistory& history);
+  // Counts the loads of an earlier holder; their ages in `history` are relative to `published_at`.
+  void Inherit(Time published_at, const messages::LoadHistory& history);
   // Limits the loads begun here from `since` until the next call to `loads`. There is no such limit before
   // the first call.
   void SetAllowance(Time since, int loads);
-  void LiftAllowance() { allowance_ = kNoAllowance; }
+  void ClearAllowance() { allowance_ = kNoAllowance; }
   bool HasAllowance() const { return allowance_ != kNoAllowance; }
 
   // The history to publish with a renewal that begins now: the loads begun, by age, the number that may still
   // begin, and the allowance.
   messages::LoadHistory History(Time now) const;
 
-  int Left(Time now) const;
+  int Remaining(Time now) const;
   std::uint64_t Begin(Time now);  // counts a load whose order is sent now; returns the load's number
   void Settle(std::uint64_t load, Time latest_begin);  // it began by `latest_begin` or never will
   std::size_t size() const { return loads_.size(); }
@@ -59,8 +59,8 @@
   double loads_per_s_ = 0;
   static constexpr int kNoAllowance = std::numeric_limits<int>::max();
   int allowance_ = kNoAllowance;
-  int begun_of_allowance_ = 0;
-  std::uint64_t next_ = 1;
+  int allowance_used_ = 0;
+  std::uint64_t next_number_ = 1;
   std::map<std::uint64_t, Load> loads_;
 };
 
--- a/src/placement/order_codec.cpp
+++ b/src/placement/order_codec.cpp
@@ -8,14 +8,14 @@
 using nlohmann::json;
 
 constexpr std::size_t kMaxReportBytes = 256 * 1024;
-constexpr Time kOrderGiveUp = kSecond, kReportGiveUp = 800 * kMillisecond, kFleetGiveUp = 2 * kSecond;
+constexpr Time kOrderTimeout = kSecond, kReportTimeout = 800 * kMillisecond, kFleetTimeout = 2 * kSecond;
 
 const json* Field(const json& object, const char* name) {
   const auto it = object.find(name);
   return it == object.end() ? nullptr : &*it;
 }
 
-bool ReadHeld(const json& models, HeldSet* held) {
+bool ParseHeldSet(const json& models, HeldSet* held) {
   if (!models.is_array()) return false;
   for (const json& model : models) {
     if (!model.is_object()) return false;
@@ -35,65 +35,65 @@
 
 }  // namespace
 
-duties::HttpCall OrderCall(const Order& order, std::uint64_t orders_taken, const std::string& holder,
-                           std::uint64_t epoch) {
+duties::HttpCall MakeOrderCall(const Order& order, std::uint64_t orders_accepted, const std::string& holder,
+                               std::uint64_t epoch) {
   json body;
   body["order"] = order.kind == Order::Kind::kLoad ? "load" : "unload";
   body["model"] = order.key.model;
   if (!order.key.is_model()) body["adapter"] = order.key.adapter;
-  body["if_revision"] = orders_taken;
+  body["if_revision"] = orders_accepted;
   body["holder"] = holder;
   body["fence"] = epoch;
   duties::HttpCall call;
   call.method = "POST";
   call.path = "/-/order";
   call.body = body.dump(-1, ' ', false, json::error_handler_t::replace);
-  call.timeout = kOrderGiveUp;
+  call.timeout = kOrderTimeout;
   return call;
 }
 
-duties::HttpCall ReportCall() {
+duties::HttpCall MakeReportCall() {
   duties::HttpCall call;
   call.method = "GET";
   call.path = "/-/report";
-  call.timeout = kReportGiveUp;
+  call.timeout = kReportTimeout;
   return call;
 }
 
-duties::HttpCall FleetCall(const std::string& service, const std::string& zone, int size,
-                           std::uint64_t epoch) {
+duties::HttpCall MakeFleetCall(const std::string& service, const std::string& zone, int size,
+                               std::uint64_t epoch) {
   duties::HttpCall call;
   call.method = "POST";
   call.path = "/fleet";
   call.body = json{{"line", service}, {"zone", zone}, {"fleet_size", size}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
   call.fence = epoch;
-  call.timeout = kFleetGiveUp;
+  call.timeout = kFleetTimeout;
   return call;
 }
 
-std::variant<RunnerReport, ReportError> ReadReport(const duties::HttpResult& result) {
+std::variant<RunnerReport, ReportError> ParseReport(const duties::HttpResult& result) {
   if (result.status != 200) return ReportError::kNoAnswer;
-  if (result.body.size() > kMaxReportBytes) return ReportError::kNotRead;
+  if (result.body.size() > kMaxReportBytes) return ReportError::kMalformed;
   const json body = json::parse(result.body, nullptr, false);
-  if (!body.is_object()) return ReportError::kNotRead;
+  if (!body.is_object()) return ReportError::kMalformed;
   const json* models = Field(body, "models");
   const json* busy = Field(body, "busy");
-  const json* taken = Field(body, "call_count");
-  if (!models || !busy || !busy->is_boolean() || !taken || !taken->is_number_integer())
+  const json* accepted = Field(body, "call_count");
+  if (!models || !busy || !busy->is_boolean() || !accepted || !accepted->is_number_integer())
     return ReportError::kFieldMissing;
-  if (taken->get<std::int64_t>() < 0) return ReportError::kFieldMissing;
+  if (accepted->get<std::int64_t>() < 0) return ReportError::kFieldMissing;
   RunnerReport report;
-  if (!ReadHeld(*models, &report.held)) return ReportError::kFieldMissing;
+  if (!ParseHeldSet(*models, &report.held)) return ReportError::kFieldMissing;
   report.busy = busy->get<bool>();
-  report.orders_taken = taken->get<std::uint64_t>();
+  report.orders_accepted = accepted->get<std::uint64_t>();
   return report;
 }
 
-OrderOutcome ReadOrderOutcome(const duties::HttpResult& result) {
+OrderOutcome ParseOrderOutcome(const duties::HttpResult& result) {
   switch (result.status) {
     case 200:
-      return OrderOutcome::kHolds;
+      return OrderOutcome::kAlreadyDone;
     case 202:
       return OrderOutcome::kAccepted;
     case 400:
@@ -109,7 +109,7 @@
   }
 }
 
-bool FleetSizeTaken(const duties::HttpResult& result) { return result.status == 200; }
+bool FleetSizeAccepted(const duties::HttpResult& result) { return result.status == 200; }
 bool FleetSizeFenced(const duties::HttpResult& result) { return result.status == 409; }
 
 }  // namespace lichenlug::placement
--- a/src/placement/order_codec.h
+++ b/src/placement/order_codec.h
@@ -16,19 +16,19 @@
 // A runner's answer to a request for its state.
 struct RunnerReport {
   HeldSet held;
-  bool busy = false;               // an order is in progress
-  std::uint64_t orders_taken = 0;  // accepted since the runner started
+  bool busy = false;                  // an order is in progress
+  std::uint64_t orders_accepted = 0;  // accepted since the runner started
 };
 
 enum class ReportError {
   kNoAnswer,      // retry later
-  kNotRead,       // the body is not a JSON object, or is too large: retry later
+  kMalformed,     // the body is not a JSON object, or is too large: retry later
   kFieldMissing,  // a field is missing or of the wrong type: no orders can be sent to this runner
 };
 
 enum class OrderOutcome {
   kAccepted,     // accepted and in progress
-  kHolds,        // nothing to do
+  kAlreadyDone,  // nothing to do
   kConflict,     // another order is in progress, or the runner accepted orders since its state was read
   kFenced,       // a later holder of the duty has sent orders
   kInvalid,      // rejected as invalid
@@ -36,15 +36,15 @@
   kUnknown,      // no conclusive answer: the order may have been accepted
 };
 
-duties::HttpCall OrderCall(const Order& order, std::uint64_t orders_taken, const std::string& holder,
-                           std::uint64_t epoch);
-duties::HttpCall ReportCall();
-duties::HttpCall FleetCall(const std::string& service, const std::string& zone, int size,
-                           std::uint64_t epoch);
+duties::HttpCall MakeOrderCall(const Order& order, std::uint64_t orders_accepted, const std::string& holder,
+                               std::uint64_t epoch);
+duties::HttpCall MakeReportCall();
+duties::HttpCall MakeFleetCall(const std::string& service, const std::string& zone, int size,
+                               std::uint64_t epoch);
 
-std::variant<RunnerReport, ReportError> ReadReport(const duties::HttpResult& result);
-OrderOutcome ReadOrderOutcome(const duties::HttpResult& result);
-bool FleetSizeTaken(const duties::HttpResult& result);
+std::variant<RunnerReport, ReportError> ParseReport(const duties::HttpResult& result);
+OrderOutcome ParseOrderOutcome(const duties::HttpResult& result);
+bool FleetSizeAccepted(const duties::HttpResult& result);
 bool FleetSizeFenced(const duties::HttpResult& result);
 
 }  // namespace lichenlug::placement
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -7,13 +7,13 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr Time kForgetRunner = 30 * kSecond;
+constexpr Time kRunnerLifetime = 30 * kSecond;
 constexpr Time kAnswerMargin = 2 * kSecond;  // after a call's deadline, until it counts as failed
 // Short, because every dispatcher receives runner records continuously, and a runner refuses an order that
 // was decided on outdated state.
 constexpr Time kSettleAfterTakeOver = 300 * kMillisecond;
-constexpr Time kRefuseFor = 10 * kSecond;
-constexpr std::size_t kPromptFleet = 200;  // up to this many runners, each answer triggers a plan
+constexpr Time kRefusalDuration = 10 * kSecond;
+constexpr std::size_t kMaxPromptFleet = 200;  // up to this many runners, each answer triggers a plan
 constexpr std::size_t kMaxDisks = 40000, kMaxRunners = 20000;
 
 }  // namespace
@@ -63,7 +63,7 @@
 void Placement::Impl::Forget(Time now) {
   for (auto it = runners_.begin(); it != runners_.end();) {
     RunnerLedger& ledger = it->second.ledger;
-    if (now - ledger.last_seen() <= kForgetRunner) {
+    if (now - ledger.last_seen() <= kRunnerLifetime) {
       ++it;
       continue;
     }
@@ -77,7 +77,7 @@
   const bool first = input.epoch <= 1;  // nobody held the duty before
   epoch_ = input.epoch;
   budget_.SetRate(input.service->engine().loads_per_s());
-  budget_.LiftAllowance();
+  budget_.ClearAllowance();
   if (input.loads)
     budget_.Inherit(input.lease_started_at, *input.loads);
   else if (!first)
@@ -104,24 +104,24 @@
   const PendingCall call = it->second;
   calls_.erase(it);
   next_timer_ = now;
-  if (runners_.size() <= kPromptFleet)
+  if (runners_.size() <= kMaxPromptFleet)
     next_plan_ = std::max(settle_until_, std::min(next_plan_, now));  // its runner may be available again
   if (call.kind == PendingCall::Kind::kFleet) {
-    if (call.epoch == epoch_) scaler_.Ended(now, FleetSizeTaken(result));
+    if (call.epoch == epoch_) scaler_.ChangeCompleted(now, FleetSizeAccepted(result));
     if (FleetSizeFenced(result)) fenced_epoch_ = std::max(fenced_epoch_, call.epoch);
     return;
   }
   if (call.kind == PendingCall::Kind::kOrder) return CompletedOrder(now, call, result);
   const auto runner = runners_.find(call.runner_id);
   if (runner == runners_.end()) return;
-  if (call.epoch == epoch_) runner->second.ledger.ReportAnswered(now, ReadReport(result));
+  if (call.epoch == epoch_) runner->second.ledger.ReportAnswered(now, ParseReport(result));
   SettleLoad(now, &runner->second.ledger);
 }
 
 void Placement::Impl::CompletedOrder(Time now, const PendingCall& call, const duties::HttpResult& result) {
-  const OrderOutcome outcome = ReadOrderOutcome(result);
+  const OrderOutcome outcome = ParseOrderOutcome(result);
   if (outcome == OrderOutcome::kFenced) fenced_epoch_ = std::max(fenced_epoch_, call.epoch);
-  if (outcome == OrderOutcome::kInvalid) planner_.Refuse(call.key, now + kRefuseFor);
+  if (outcome == OrderOutcome::kInvalid) planner_.Refuse(call.key, now + kRefusalDuration);
   const auto runner = runners_.find(call.runner_id);
   if (runner == runners_.end()) return;
   if (outcome == OrderOutcome::kInvalid) runner->second.intent.reset();
@@ -134,14 +134,14 @@
 }
 
 std::optional<messages::LoadHistory> Placement::Impl::LoadHistoryForRenewal(Time now, std::uint64_t epoch,
-                                                                            bool ends) {
+                                                                            bool releasing) {
   if (epoch != epoch_) return std::nullopt;
   messages::LoadHistory history = budget_.History(now);
   // The allowance applies from its first publication on: the renewal may be chosen without this holder
   // learning of it.
   if (!budget_.HasAllowance()) budget_.SetAllowance(now, static_cast<int>(history.allowance()));
   history.set_service(settings_.service);
-  if (ends) history.set_allowance(0);
+  if (releasing) history.set_allowance(0);
   return history;
 }
 
@@ -159,8 +159,8 @@
 }
 std::optional<Time> Placement::NextTimer() const { return impl_->NextTimer(); }
 std::optional<messages::LoadHistory> Placement::LoadHistoryForRenewal(Time now, std::uint64_t epoch,
-                                                                      bool ends) {
-  return impl_->LoadHistoryForRenewal(now, epoch, ends);
+                                                                      bool releasing) {
+  return impl_->LoadHistoryForRenewal(now, epoch, releasing);
 }
 std::vector<std::string> Placement::Explain(Time now) const { return impl_->Explain(now); }
 
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -50,8 +50,8 @@
   std::optional<Time> NextTimer() const;
 
   // The load history to publish with a renewal of this epoch's lease that begins now; nullopt before the
-  // first Act in that epoch. `ends`: the duty is being released, so no load follows.
-  std::optional<messages::LoadHistory> LoadHistoryForRenewal(Time now, std::uint64_t epoch, bool ends);
+  // first Act in that epoch. `releasing`: the duty is being released, so no load follows.
+  std::optional<messages::LoadHistory> LoadHistoryForRenewal(Time now, std::uint64_t epoch, bool releasing);
 
   // Explains the placement to the operator, one line for each model or adapter in demand and for each runner.
   std::vector<std::string> Explain(Time now) const;
--- a/src/placement/placement_impl.h
+++ b/src/placement/placement_impl.h
@@ -20,7 +20,7 @@
   void Act(Time now, const Input& input, std::vector<duties::HttpCall>* calls);
   void Completed(Time now, std::uint64_t tag, const duties::HttpResult& result);
   std::optional<Time> NextTimer() const;
-  std::optional<messages::LoadHistory> LoadHistoryForRenewal(Time now, std::uint64_t epoch, bool ends);
+  std::optional<messages::LoadHistory> LoadHistoryForRenewal(Time now, std::uint64_t epoch, bool releasing);
   std::vector<std::string> Explain(Time now) const;
 
  private:
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -9,22 +9,24 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr double kFull = 0.6, kBusy = 0.3, kAim = 0.5;  // shares of a runner's slots
-constexpr double kFlooded = 1;       // requests queue at the holders, so copies are added at once
-constexpr double kLargeShare = 0.1;  // a key that uses less of a runner's slots isn't worth another copy
-constexpr double kLess = 0.8, kClearlyLess = 0.5;  // another runner's load relative to the holders'
+constexpr double kFullShare = 0.6, kBusyShare = 0.3, kTargetShare = 0.5;  // shares of a runner's slots
+constexpr double kSaturatedShare = 1;  // requests queue at the holders, so copies are added at once
+constexpr double kMinCopyShare = 0.1;  // a key that uses less of a runner's slots isn't worth another copy
+constexpr double kLowerLoad = 0.8, kMuchLowerLoad = 0.5;  // another runner's load relative to the holders'
 constexpr double kAnyFill = std::numeric_limits<double>::infinity();
-constexpr double kBusyArrivals = 1;      // per second, from which a model may use spare capacity
-constexpr double kUrgentWorth = 25;      // of a copy that comes before loads of rarely requested models
-constexpr double kMissedArrivals = 0.2;  // per second; missing even with none unserved
-constexpr Time kUrgentAfter = 500 * kMillisecond, kOptionalAfter = 3 * kSecond;
-constexpr Time kRememberPlaced = 60 * kSecond;
-constexpr std::size_t kRunnersPerOptional = 8;
+constexpr double kSpareCopyArrivalsPerS = 1;  // per second, from which a model may use spare capacity
+constexpr double kUrgentWorth = 25;           // of a copy that comes before loads of rarely requested models
+constexpr double kMissingArrivalsPerS = 0.2;  // per second; missing even with none unserved
+constexpr Time kUrgentDelay = 500 * kMillisecond, kOptionalDelay = 3 * kSecond;
+constexpr Time kPlacedLifetime = 60 * kSecond;
+constexpr std::size_t kRunnersPerOptionalCopy = 8;
 constexpr std::size_t kMaxRefused = 1000;
-constexpr int kLoadsKept = 2;  // loads of the weight store's budget reserved for keys in demand
+constexpr int kReservedLoads = 2;  // loads of the weight store's budget reserved for keys in demand
 constexpr double kFillCost = 3, kColdCost = 1, kZoneCost = 0.3, kAdapterCost = 0.05, kOrderCost = 0.1;
 
-bool Missing(const Demand& demand) { return demand.unserved > 0 || demand.arrivals_per_s > kMissedArrivals; }
+bool IsMissing(const Demand& demand) {
+  return demand.unserved > 0 || demand.arrivals_per_s > kMissingArrivalsPerS;
+}
 
 double FillOf(const PlanContext& context, const std::vector<std::size_t>& holders) {
   double sum = 0;
@@ -61,20 +63,21 @@
 
 std::vector<Assignment> Planner::Plan(PlanContext context) {
   context.placed = &placed_;
-  std::erase_if(placed_, [&](const auto& entry) { return context.now - entry.second > kRememberPlaced; });
+  std::erase_if(placed_, [&](const auto& entry) { return context.now - entry.second > kPlacedLifetime; });
   std::vector<Assignment> assignments;
-  wishes_.clear();
+  copy_goals_.clear();
   std::size_t pending = 0;
   for (const RunnerView& runner : context.view->runners) pending += runner.expected != runner.held ? 1 : 0;
-  const std::size_t most = std::max<std::size_t>(1, context.view->runners.size() / kRunnersPerOptional);
+  const std::size_t max_optional =
+      std::max<std::size_t>(1, context.view->runners.size() / kRunnersPerOptionalCopy);
   int loads_left = context.loads_left;
-  Pass pass{&context, &assignments, most > pending ? most - pending : 0, &loads_left};
-  NoteCrowded(context);
+  Pass pass{&context, &assignments, max_optional > pending ? max_optional - pending : 0, &loads_left};
+  FindCrowdedModels(context);
   for (const double min_worth : {kUrgentWorth, 0.0}) {
     PlaceMissing(pass, min_worth);
     PlaceCopies(&pass, min_worth);
   }
-  std::erase_if(short_since_, [&](const auto& entry) { return !wishes_.count(entry.first); });
+  std::erase_if(short_since_, [&](const auto& entry) { return !copy_goals_.count(entry.first); });
   Prefetch(&pass);
   return assignments;
 }
@@ -85,39 +88,40 @@
   const PlanContext& context = *pass->context;
   for (const auto& [model, entry] : context.catalog->models()) {
     const Key key{model, ""};
-    if (pass->optional_left == 0 || *pass->loads_left <= kLoadsKept) return;
+    if (pass->optional_left == 0 || *pass->loads_left <= kReservedLoads) return;
     if (!context.view->HoldersOf(key).empty() || Refused(context.now, key)) continue;
     if (Place(*pass, key, Urgency::kPrefetch, kAnyFill)) --pass->optional_left;
   }
 }
 
 // Records the models whose runners have too few adapter slots for the adapters in demand.
-void Planner::NoteCrowded(const PlanContext& context) {
-  crowded_.clear();
-  const auto places = static_cast<std::size_t>(std::max(1, context.catalog->adapter_slots()));
+void Planner::FindCrowdedModels(const PlanContext& context) {
+  crowded_models_.clear();
+  const auto slots_per_runner = static_cast<std::size_t>(std::max(1, context.catalog->adapter_slots()));
   std::map<std::string, std::size_t> adapters;  // in demand, by model
-  std::set<std::string> homeless;
+  std::set<std::string> unplaced;
   for (const auto& [key, demand] : context.demand->keys()) {
     if (key.is_model() || !demand.present()) continue;
     ++adapters[key.model];
-    if (context.view->HoldersOf(key).empty() && Missing(demand)) homeless.insert(key.model);
+    if (context.view->HoldersOf(key).empty() && IsMissing(demand)) unplaced.insert(key.model);
   }
-  for (const std::string& model : homeless) crowded_[model] = (adapters[model] + places - 1) / places;
+  for (const std::string& model : unplaced)
+    crowded_models_[model] = (adapters[model] + slots_per_runner - 1) / slots_per_runner;
 }
 
 void Planner::PlaceMissing(const Pass& pass, double min_worth) {
   const PlanContext& context = *pass.context;
   for (const Key& key : KeysInDemand(context)) {
     const Demand& demand = DemandOf(context, key);
-    if (!context.view->HoldersOf(key).empty() || !Missing(demand)) continue;
-    if (WorthOfCopy(context, key, Urgency::kAsked) < min_worth) continue;
-    Wish& wish = wishes_[key] = {1, Urgency::kAsked, kAnyFill, ""};
+    if (!context.view->HoldersOf(key).empty() || !IsMissing(demand)) continue;
+    if (WorthOfCopy(context, key, Urgency::kMissing) < min_worth) continue;
+    CopyGoal& goal = copy_goals_[key] = {1, Urgency::kMissing, kAnyFill, ""};
     if (Refused(context.now, key)) {
-      wish.hindrance = "a runner rejected the order as invalid";
+      goal.blocked_reason = "a runner rejected the order as invalid";
       continue;
     }
-    if (Place(pass, key, Urgency::kAsked, kAnyFill)) continue;
-    wish.hindrance = "no runner is available, all hold keys in demand, or the load limit is reached";
+    if (Place(pass, key, Urgency::kMissing, kAnyFill)) continue;
+    goal.blocked_reason = "no runner is available, all hold keys in demand, or the load limit is reached";
   }
 }
 
@@ -127,14 +131,15 @@
     const std::vector<std::size_t> holders = context.view->HoldersOf(key);
     if (holders.empty() || Refused(context.now, key)) continue;
     const double fill = FillOf(context, holders);
-    const Wish wish = wishes_[key] = WishFor(context, key, DemandOf(context, key), fill);
-    if (!Ripe(context.now, key, wish, holders.size())) continue;
-    if (WorthOfCopy(context, key, wish.urgency) < min_worth) continue;
-    const bool urgent = wish.urgency <= Urgency::kOverload;
-    for (std::size_t copies = holders.size(); copies < wish.copies; ++copies) {
+    const CopyGoal goal = copy_goals_[key] = CopyGoalFor(context, key, DemandOf(context, key), fill);
+    if (!IsDue(context.now, key, goal, holders.size())) continue;
+    if (WorthOfCopy(context, key, goal.urgency) < min_worth) continue;
+    const bool urgent = goal.urgency <= Urgency::kOverload;
+    for (std::size_t copies = holders.size(); copies < goal.copies; ++copies) {
       if (!urgent && pass->optional_left == 0) break;
-      if (!Place(*pass, key, wish.urgency, wish.max_fill)) {
-        wishes_[key].hindrance = "no runner with less load has capacity, or the load limit is reached";
+      if (!Place(*pass, key, goal.urgency, goal.max_fill)) {
+        copy_goals_[key].blocked_reason =
+            "no runner with less load has capacity, or the load limit is reached";
         break;
       }
       if (!urgent) --pass->optional_left;
@@ -142,38 +147,41 @@
   }
 }
 
-Planner::Wish Planner::WishFor(const PlanContext& context, const Key& key, const Demand& demand,
-                               double fill) const {
+Planner::CopyGoal Planner::CopyGoalFor(const PlanContext& context, const Key& key, const Demand& demand,
+                                       double fill) const {
   const std::size_t copies = context.view->HoldersOf(key).size();
   const double slots = context.catalog->slots();
   const double share = demand.running / static_cast<double>(copies) / slots;
-  if (share > kFull) {
-    const auto wanted = static_cast<std::size_t>(std::ceil(demand.running / (kAim * slots)));
-    return {std::max(copies + 1, wanted), Urgency::kOverload, fill * kLess, "", share > kFlooded};
+  if (share > kFullShare) {
+    const auto wanted = static_cast<std::size_t>(std::ceil(demand.running / (kTargetShare * slots)));
+    return {std::max(copies + 1, wanted), Urgency::kOverload, fill * kLowerLoad, "", share > kSaturatedShare};
   }
-  const auto crowded = crowded_.find(key.model);
-  if (key.is_model() && crowded != crowded_.end() && crowded->second > copies)
-    return {crowded->second, Urgency::kAsked, kAnyFill, ""};
-  if (fill > kFull && share > kLargeShare) return {copies + 1, Urgency::kRelief, fill * kClearlyLess, ""};
-  if (fill > kBusy && share > kLargeShare) return {copies + 1, Urgency::kSpare, fill * kClearlyLess, ""};
-  if (copies == 1 && demand.arrivals_per_s > kSafeArrivals) return {2, Urgency::kSpare, kFull, ""};
-  if (key.is_model() && demand.arrivals_per_s >= kBusyArrivals) {
+  const auto crowded = crowded_models_.find(key.model);
+  if (key.is_model() && crowded != crowded_models_.end() && crowded->second > copies)
+    return {crowded->second, Urgency::kMissing, kAnyFill, ""};
+  if (fill > kFullShare && share > kMinCopyShare)
+    return {copies + 1, Urgency::kRelief, fill * kMuchLowerLoad, ""};
+  if (fill > kBusyShare && share > kMinCopyShare)
+    return {copies + 1, Urgency::kSpare, fill * kMuchLowerLoad, ""};
+  if (copies == 1 && demand.arrivals_per_s > kSecondCopyArrivalsPerS)
+    return {2, Urgency::kSpare, kFullShare, ""};
+  if (key.is_model() && demand.arrivals_per_s >= kSpareCopyArrivalsPerS) {
     // Fills runners that restarted empty.
     const double mean = context.demand->running() / slots / static_cast<double>(context.view->runners.size());
-    return {copies + 1, Urgency::kSpare, mean * kClearlyLess, ""};
+    return {copies + 1, Urgency::kSpare, mean * kMuchLowerLoad, ""};
   }
   return {copies, Urgency::kSpare, 0, ""};
 }
 
 // Whether copies have been missing for long enough to add some.
-bool Planner::Ripe(Time now, const Key& key, const Wish& wish, std::size_t copies) {
-  if (wish.copies <= copies) {
+bool Planner::IsDue(Time now, const Key& key, const CopyGoal& goal, std::size_t copies) {
+  if (goal.copies <= copies) {
     short_since_.erase(key);
     return false;
   }
   const Time since = short_since_.try_emplace(key, now).first->second;
-  if (wish.flooded) return true;
-  return now - since >= (wish.urgency == Urgency::kSpare ? kOptionalAfter : kUrgentAfter);
+  if (goal.saturated) return true;
+  return now - since >= (goal.urgency == Urgency::kSpare ? kOptionalDelay : kUrgentDelay);
 }
 
 bool Planner::Place(const Pass& pass, const Key& key, Urgency urgency, double max_fill) {
@@ -199,8 +207,8 @@
   if (!best) return false;
   if (key.is_model()) --*pass.loads_left;
   context.view->runners[*best].available = false;
-  context.view->Expect(*best, key);
-  if (urgency == Urgency::kAsked) placed_[key] = context.now;
+  context.view->AddExpected(*best, key);
+  if (urgency == Urgency::kMissing) placed_[key] = context.now;
   pass.assignments->push_back({*best, {key, urgency, context.now, worth}});
   return true;
 }
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -27,14 +27,14 @@
   const std::map<Key, Time>& placed() const { return placed_; }
 
   // The number of copies wanted of a key at the last plan and what prevents them, for the operator.
-  struct Wish {
+  struct CopyGoal {
     std::size_t copies = 0;
-    Urgency urgency = Urgency::kAsked;
+    Urgency urgency = Urgency::kMissing;
     double max_fill = 0;  // maximum ratio of load to slots of a runner that may get a copy
-    const char* hindrance = "";
-    bool flooded = false;  // more running requests than its runners have slots
+    const char* blocked_reason = "";
+    bool saturated = false;  // more running requests than its runners have slots
   };
-  const std::map<Key, Wish>& wishes() const { return wishes_; }
+  const std::map<Key, CopyGoal>& copy_goals() const { return copy_goals_; }
 
  private:
   struct Pass {
@@ -47,20 +47,20 @@
   bool Place(const Pass& pass, const Key& key, Urgency urgency, double max_fill);
   double CostOf(const PlanContext& context, const RunnerView& runner, const Key& key,
                 double victims_cost) const;
-  Wish WishFor(const PlanContext& context, const Key& key, const Demand& demand, double fill) const;
-  bool Ripe(Time now, const Key& key, const Wish& wish, std::size_t copies);
-  void NoteCrowded(const PlanContext& context);
+  CopyGoal CopyGoalFor(const PlanContext& context, const Key& key, const Demand& demand, double fill) const;
+  bool IsDue(Time now, const Key& key, const CopyGoal& goal, std::size_t copies);
+  void FindCrowdedModels(const PlanContext& context);
   // Only keys whose copy is worth at least `min_worth`.
   void PlaceMissing(const Pass& pass, double min_worth);
   void Prefetch(Pass* pass);
   void PlaceCopies(Pass* pass, double min_worth);
 
   std::uint64_t seed_;
-  std::map<Key, Wish> wishes_;
+  std::map<Key, CopyGoal> copy_goals_;
   std::map<Key, Time> short_since_;  // since when a key has had too few copies
   std::map<Key, Time> refused_;
-  std::map<Key, Time> placed_;                  // when a key held by no runner was last assigned
-  std::map<std::string, std::size_t> crowded_;  // by model: copies its adapters in demand need
+  std::map<Key, Time> placed_;                         // when a key held by no runner was last assigned
+  std::map<std::string, std::size_t> crowded_models_;  // by model: copies its adapters in demand need
 };
 
 }  // namespace lichenlug::placement
--- a/src/placement/runner_ledger.cpp
+++ b/src/placement/runner_ledger.cpp
@@ -6,18 +6,18 @@
 namespace lichenlug::placement {
 namespace {
 
-constexpr Time kFirstBackOff = 300 * kMillisecond;
+constexpr Time kInitialBackoff = 300 * kMillisecond;
 constexpr int kMaxDoublings = 5;
 constexpr Time kReportLag = 150 * kMillisecond;  // a report may show a slightly older state
 constexpr Time kMaxBusyWait = 2 * kSecond, kOtherRunnerWait = 2 * kSecond, kUnusableWait = 5 * kSecond;
 constexpr Time kShortWork = 100 * kMillisecond;
-constexpr int kEarlyAsks = 5;        // reports requested before relying on heartbeats alone
+constexpr int kMaxEarlyReports = 5;  // reports requested before relying on heartbeats alone
 constexpr int kMaxStaleReports = 3;  // consecutive ones that are ignored before one is accepted
 constexpr Time kLatePollInterval = 3 * kSecond;
 constexpr int kWorkTimeFactor = 3;
 constexpr Time kWorkTimeSlack = 3 * kSecond;
 
-HeldSet ToldBy(const messages::RunnerRecord& record) {
+HeldSet HeldByRecord(const messages::RunnerRecord& record) {
   HeldSet held;
   for (const messages::HeldModel& model : record.models()) {
     held.Add({model.name(), ""});
@@ -34,17 +34,18 @@
   if (!first && record.call_count() <= record_.call_count() && record.state() == record_.state())
     return false;
   record_ = record;
-  told_ = ToldBy(record);
+  reported_ = HeldByRecord(record);
   if (phase_ == Phase::kWorking) Finish();
   // The record differs from the known state although nothing was ordered: the state has to be read again.
-  else if (phase_ == Phase::kIdle && told_ != confirmed_)
+  else if (phase_ == Phase::kIdle && reported_ != confirmed_)
     phase_ = Phase::kUnread;
   return true;
 }
 
 // Completes the load in progress if a heartbeat after its order shows it.
 void RunnerLedger::Finish() {
-  if (!record_tells_ || record_.call_count() <= record_at_order_ || !told_.Shows(*in_flight_)) return;
+  if (!record_confirms_ || record_.call_count() <= record_at_order_ || !reported_.Reflects(*in_flight_))
+    return;
   HeldSet held = confirmed_;
   held.Add(in_flight_->key);
   Confirm(held);
@@ -53,33 +54,34 @@
 void RunnerLedger::Restart() {
   if (phase_ == Phase::kOrdered && in_flight_->kind == Order::Kind::kLoad) unanswered_.Add(in_flight_->key);
   in_flight_.reset();
-  awaits_report_ = false;
+  report_pending_ = false;
   phase_ = Phase::kUnread;
-  asks_ = failures_ = stale_reports_ = 0;
+  report_requests_ = failures_ = stale_reports_ = 0;
   not_before_ = 0;
 }
 
 bool RunnerLedger::NeedsReport(Time now, bool wanted) const {
-  if (now < not_before_ || awaits_report_) return false;
+  if (now < not_before_ || report_pending_) return false;
   if (phase_ == Phase::kUnread) return wanted;
   if (phase_ != Phase::kWorking) return false;
   if (now >= ordered_at_ + work_time_ * kWorkTimeFactor + kWorkTimeSlack)
-    return now >= asked_at_ + kLatePollInterval;
-  const Time due = std::max(ordered_at_ + work_time_, asked_at_) + (kReportLag << asks_);
-  return (wanted || !record_tells_) && asks_ < kEarlyAsks && now >= due;
+    return now >= report_requested_at_ + kLatePollInterval;
+  const Time due =
+      std::max(ordered_at_ + work_time_, report_requested_at_) + (kReportLag << report_requests_);
+  return (wanted || !record_confirms_) && report_requests_ < kMaxEarlyReports && now >= due;
 }
 
 bool RunnerLedger::CanOrder(Time now) const { return phase_ == Phase::kIdle && now >= not_before_; }
 
 void RunnerLedger::ReportSent(Time now) {
-  asked_at_ = now;
-  awaits_report_ = true;
-  ++asks_;
+  report_requested_at_ = now;
+  report_pending_ = true;
+  ++report_requests_;
   if (phase_ == Phase::kUnread) phase_ = Phase::kReading;
 }
 
 void RunnerLedger::ReportAnswered(Time now, const std::variant<RunnerReport, ReportError>& answer) {
-  awaits_report_ = false;
+  report_pending_ = false;
   if (phase_ != Phase::kReading && phase_ != Phase::kWorking) return;
   const bool working = phase_ == Phase::kWorking;
   if (!working) phase_ = Phase::kUnread;
@@ -89,32 +91,33 @@
       BackOff(now, std::get<ReportError>(answer) == ReportError::kFieldMissing ? kUnusableWait : 0);
     return;
   }
-  if (report->orders_taken < orders_taken_ && ++stale_reports_ <= kMaxStaleReports) {  // predates the order
-    if (!working) not_before_ = now + kFirstBackOff;
+  if (report->orders_accepted < orders_accepted_ &&
+      ++stale_reports_ <= kMaxStaleReports) {  // predates the order
+    if (!working) not_before_ = now + kInitialBackoff;
     return;
   }
   if (report->busy) {
-    if (!working) not_before_ = now + std::clamp(work_time_ / 2, kFirstBackOff, kMaxBusyWait);
+    if (!working) not_before_ = now + std::clamp(work_time_ / 2, kInitialBackoff, kMaxBusyWait);
     return;
   }
   // An unanswered load that wasn't accepted may still arrive, until another order with its number is
   // accepted.
-  if (report->orders_taken != orders_taken_) DropUnanswered();
-  orders_taken_ = report->orders_taken;
+  if (report->orders_accepted != orders_accepted_) DropUnanswered();
+  orders_accepted_ = report->orders_accepted;
   Confirm(report->held);
 }
 
 void RunnerLedger::OrderSent(Time now, const Order& order, Time work_time, std::uint64_t load) {
   in_flight_ = order;
-  if (load != 0) load_ = load;
+  if (load != 0) unsettled_load_ = load;
   phase_ = Phase::kOrdered;
   ordered_at_ = now;
   work_time_ = work_time;
   record_at_order_ = record_.call_count();
   // A heartbeat can show that an unload has begun; only a report shows that it is complete.
-  record_tells_ = order.kind == Order::Kind::kLoad && !told_.Shows(order);
-  asks_ = 0;
-  asked_at_ = 0;
+  record_confirms_ = order.kind == Order::Kind::kLoad && !reported_.Reflects(order);
+  report_requests_ = 0;
+  report_requested_at_ = 0;
 }
 
 void RunnerLedger::OrderAnswered(Time now, OrderOutcome outcome) {
@@ -122,7 +125,7 @@
   switch (outcome) {
     case OrderOutcome::kAccepted:
       phase_ = Phase::kWorking;
-      ++orders_taken_;
+      ++orders_accepted_;
       failures_ = 0;
       DropUnanswered();
       Finish();
@@ -134,7 +137,7 @@
     case OrderOutcome::kOtherRunner:
       DropUnanswered();
       break;
-    case OrderOutcome::kHolds:
+    case OrderOutcome::kAlreadyDone:
     case OrderOutcome::kFenced:
     case OrderOutcome::kInvalid:
       if (unanswered_.models().empty()) DropUnanswered();
@@ -147,7 +150,7 @@
 
 const HeldSet& RunnerLedger::held() const {
   const bool known = phase_ == Phase::kIdle || phase_ == Phase::kOrdered || phase_ == Phase::kWorking;
-  return known ? confirmed_ : told_;
+  return known ? confirmed_ : reported_;
 }
 
 bool RunnerLedger::Available(Time now) const {
@@ -182,17 +185,17 @@
   confirmed_ = held;
   in_flight_.reset();
   phase_ = Phase::kIdle;
-  failures_ = asks_ = stale_reports_ = 0;
+  failures_ = report_requests_ = stale_reports_ = 0;
   not_before_ = 0;
 }
 
-void RunnerLedger::BackOff(Time now, Time least) {
-  not_before_ = now + std::max(least, kFirstBackOff << std::min(failures_, kMaxDoublings));
+void RunnerLedger::BackOff(Time now, Time min_delay) {
+  not_before_ = now + std::max(min_delay, kInitialBackoff << std::min(failures_, kMaxDoublings));
   ++failures_;
 }
 
 void RunnerLedger::DropUnanswered() {
-  if (load_ != 0) settled_load_ = std::exchange(load_, 0);
+  if (unsettled_load_ != 0) settled_load_ = std::exchange(unsettled_load_, 0);
   unanswered_ = {};
 }
 
--- a/src/placement/runner_ledger.h
+++ b/src/placement/runner_ledger.h
@@ -44,7 +44,7 @@
 
   const messages::RunnerRecord& record() const { return record_; }
   Phase phase() const { return phase_; }
-  std::uint64_t orders_taken() const { return orders_taken_; }
+  std::uint64_t orders_accepted() const { return orders_accepted_; }
   Time last_seen() const { return last_seen_; }
   int failures() const { return failures_; }  // consecutive calls that failed or were refused
   // Whether an order can be sent soon: nothing long-running is in progress.
@@ -54,34 +54,34 @@
   HeldSet MayHold() const;      // upper bound: with loads that may still arrive and unloads not confirmed
   HeldSet Expected() const;     // once the order in progress is complete
   const std::optional<Order>& in_flight() const { return in_flight_; }
-  std::uint64_t unsettled_load() const { return load_; }
+  std::uint64_t unsettled_load() const { return unsettled_load_; }
   // Returns, once, the number of a load that can no longer begin, if there is one.
   std::optional<std::uint64_t> TakeSettledLoad();
 
  private:
   void Confirm(const HeldSet& held);
-  void BackOff(Time now, Time least);
+  void BackOff(Time now, Time min_delay);
   void Finish();
   void DropUnanswered();
 
   messages::RunnerRecord record_;
-  HeldSet told_;       // according to the latest record
-  HeldSet confirmed_;  // as of `orders_taken_` accepted orders, with none in progress
+  HeldSet reported_;   // according to the latest record
+  HeldSet confirmed_;  // as of `orders_accepted_` accepted orders, with none in progress
   Phase phase_ = Phase::kUnread;
-  std::uint64_t orders_taken_ = 0;
+  std::uint64_t orders_accepted_ = 0;
   std::optional<Order> in_flight_;  // sent, and not known to be complete or refused
-  HeldSet unanswered_;         // loads that may still arrive while the runner's number is `orders_taken_`
-  bool record_tells_ = false;  // a heartbeat can show that the order in progress is complete
-  bool awaits_report_ = false;
-  std::uint64_t load_ = 0;
+  HeldSet unanswered_;  // loads that may still arrive while the runner's number is `orders_accepted_`
+  bool record_confirms_ = false;  // a heartbeat can show that the order in progress is complete
+  bool report_pending_ = false;
+  std::uint64_t unsettled_load_ = 0;
   std::uint64_t settled_load_ = 0;
   std::uint64_t record_at_order_ = 0;  // number of the latest heartbeat when the order was sent
   Time last_seen_ = 0;
   Time ordered_at_ = 0;
   Time work_time_ = 0;
   Time not_before_ = 0;
-  Time asked_at_ = 0;
-  int asks_ = 0;
+  Time report_requested_at_ = 0;
+  int report_requests_ = 0;
   int failures_ = 0;
   int stale_reports_ = 0;
 };
--- a/src/placement/steps.cpp
+++ b/src/placement/steps.cpp
@@ -9,7 +9,7 @@
 
 constexpr Time kPlanInterval = 200 * kMillisecond, kLargePlanInterval = kSecond;
 constexpr std::size_t kLargeFleet = 1000;
-constexpr Time kIntentLasts = 15 * kSecond;
+constexpr Time kIntentLifetime = 15 * kSecond;
 constexpr int kMaxFailures = 3;
 constexpr std::size_t kMinPrepared = 2, kRunnersPerPrepared = 4;  // unload ahead of the store's budget
 constexpr Time kStepInterval = 50 * kMillisecond;
@@ -34,7 +34,7 @@
   if (!change) return;
   PendingCall pending;
   pending.kind = PendingCall::Kind::kFleet;
-  Send(now, pending, FleetCall(settings_.service, change->zone, change->size, epoch_), calls);
+  Send(now, pending, MakeFleetCall(settings_.service, change->zone, change->size, epoch_), calls);
 }
 
 // Intents whose load has not been ordered already claim a part of the weight store's budget.
@@ -44,7 +44,7 @@
     return runner.intent && runner.intent->target.is_model() && runner.ledger.unsettled_load() == 0;
   });
   const std::size_t prepared = std::max(kMinPrepared, runners_.size() / kRunnersPerPrepared);
-  return budget_.Left(now) + static_cast<int>(prepared) - static_cast<int>(waiting);
+  return budget_.Remaining(now) + static_cast<int>(prepared) - static_cast<int>(waiting);
 }
 
 void Placement::Impl::DropIntents(Time now) {
@@ -55,7 +55,7 @@
     const bool usable = runner.ledger.record().state() == messages::RUNNER_READY &&
                         runner.ledger.last_seen() == now && runner.ledger.failures() < kMaxFailures;
     const bool wanted = demand.present() || runner.intent->urgency == Urgency::kPrefetch;
-    if (!usable || !wanted || !catalog_.Knows(target) || now - runner.intent->since > kIntentLasts)
+    if (!usable || !wanted || !catalog_.Contains(target) || now - runner.intent->since > kIntentLifetime)
       runner.intent.reset();
   }
 }
@@ -121,7 +121,7 @@
   }
   if (catalog_.Fits(ledger.MayHold(), target)) {
     const bool counted = target.is_model() && ledger.unsettled_load() == 0;
-    if (counted && budget_.Left(now) == 0) return;  // waits for the weight store's budget
+    if (counted && budget_.Remaining(now) == 0) return;  // waits for the weight store's budget
     return SendOrder(now, id, runner, {Order::Kind::kLoad, target}, calls);
   }
   RunnerView view;
@@ -148,7 +148,7 @@
   pending.kind = PendingCall::Kind::kOrder;
   pending.runner_id = id;
   pending.key = order.key;
-  Send(now, pending, OrderCall(order, ledger.orders_taken(), settings_.holder, epoch_), calls);
+  Send(now, pending, MakeOrderCall(order, ledger.orders_accepted(), settings_.holder, epoch_), calls);
   ledger.OrderSent(now, order, is_load ? catalog_.LoadTime(order.key) : 0, load);
 }
 
@@ -156,7 +156,7 @@
   PendingCall pending;
   pending.kind = PendingCall::Kind::kReport;
   pending.runner_id = id;
-  Send(now, pending, ReportCall(), calls);
+  Send(now, pending, MakeReportCall(), calls);
   runner->ledger.ReportSent(now);
 }
 
--- a/tests/system/placement/adapters_test.cpp
+++ b/tests/system/placement/adapters_test.cpp
@@ -16,7 +16,7 @@
     fleet->Run(50 * kMillisecond);
     for (int i = 1; i <= kAdapters; ++i) {
       const std::string adapter = "a" + std::to_string(i);
-      if (fleet->Stands({model, adapter})) served.insert(adapter);
+      if (fleet->IsLoaded({model, adapter})) served.insert(adapter);
     }
   }
   return served;
@@ -28,12 +28,12 @@
     options.seed = seed;
     options.adapters = kAdapters;
     SimulatedFleet fleet(options);
-    for (int i = 1; i < options.models; ++i) fleet.Ask({fleet.ModelName(i), ""}, 0.1);
+    for (int i = 1; i < options.models; ++i) fleet.SetDemand({fleet.ModelName(i), ""}, 0.1);
     fleet.Run(5 * kSecond);
-    for (int i = 1; i <= kAdapters; ++i) fleet.Ask({fleet.ModelName(0), "a" + std::to_string(i)}, 1);
+    for (int i = 1; i <= kAdapters; ++i) fleet.SetDemand({fleet.ModelName(0), "a" + std::to_string(i)}, 1);
     INFO("seed " << seed);
     CHECK(AdaptersServed(&fleet, fleet.ModelName(0), 10 * kSecond).size() == kAdapters);
-    for (const std::string& broken : fleet.broken()) FAIL(broken);
+    for (const std::string& violation : fleet.violations()) FAIL(violation);
   }
 }
 
@@ -44,9 +44,10 @@
     options.adapters = 2 * kAdapters;
     options.runners = 18;
     SimulatedFleet fleet(options);
-    for (int i = 1; i <= 2 * kAdapters; ++i) fleet.Ask({fleet.ModelName(3), "a" + std::to_string(i)}, 1);
+    for (int i = 1; i <= 2 * kAdapters; ++i)
+      fleet.SetDemand({fleet.ModelName(3), "a" + std::to_string(i)}, 1);
     fleet.Run(10 * kSecond);
-    for (int i = 1; i <= kAdapters; ++i) fleet.Ask({fleet.ModelName(6), "a" + std::to_string(i)}, 1);
+    for (int i = 1; i <= kAdapters; ++i) fleet.SetDemand({fleet.ModelName(6), "a" + std::to_string(i)}, 1);
     fleet.Run(6 * kSecond);
     std::size_t copies = 0;
     for (const SimulatedRunner& runner : fleet.runners())
@@ -54,7 +55,7 @@
     INFO("seed " << seed);
     CHECK(copies >= 4);
     CHECK(copies <= 7);
-    for (const std::string& broken : fleet.broken()) FAIL(broken);
+    for (const std::string& violation : fleet.violations()) FAIL(violation);
   }
 }
 
--- a/tests/system/placement/explain_test.cpp
+++ b/tests/system/placement/explain_test.cpp
@@ -8,8 +8,8 @@
 
 TEST_CASE("Explain lists where models are held, which loads are planned and why") {
   SimulatedFleet fleet({});
-  fleet.Ask({"m0", ""}, 20);
-  fleet.Ask({"m29", ""}, 1);
+  fleet.SetDemand({"m0", ""}, 20);
+  fleet.SetDemand({"m29", ""}, 1);
   fleet.Run(3500 * kMillisecond);
   const std::vector<std::string> lines = fleet.placement().Explain(fleet.now());
   const auto line = [&](const std::string& start) {
--- a/tests/system/placement/fleet_scaler_test.cpp
+++ b/tests/system/placement/fleet_scaler_test.cpp
@@ -50,7 +50,7 @@
   REQUIRE(change);
   CHECK(change->zone == "b");
   CHECK(change->size == 3);
-  zones.scaler.Ended(zones.now, true);
+  zones.scaler.ChangeCompleted(zones.now, true);
   CHECK_FALSE(zones.Run(60 * kSecond));  // three is the maximum
 }
 
@@ -72,7 +72,7 @@
   REQUIRE(change);
   CHECK(change->zone == "a");
   CHECK(change->size == 1);
-  zones.scaler.Ended(zones.now, true);
+  zones.scaler.ChangeCompleted(zones.now, true);
   zones.view.runners.erase(zones.view.runners.begin());
   zones.view.holders[{"m1", ""}] = {0, 1, 2};
   CHECK_FALSE(zones.Run(60 * kSecond));
@@ -105,7 +105,7 @@
     catalog.Assign(engine);
     fleet.set_maximum(maximum);
   }
-  void Ask(const std::string& model, double arrivals, double running) {
+  void SetDemand(const std::string& model, double arrivals, double running) {
     std::vector<messages::DemandReport> reports(1);
     reports[0].set_number(++number);
     messages::ModelDemand& entry = *reports[0].add_models();
@@ -120,7 +120,7 @@
   std::map<std::string, int> Settle() {
     std::map<std::string, int> sizes;
     while (const auto change = Run(60 * kSecond)) {
-      scaler.Ended(now, true);
+      scaler.ChangeCompleted(now, true);
       sizes[change->zone] = change->size;
       int here = 0;
       for (const RunnerView& runner : view.runners) here += runner.zone == change->zone ? 1 : 0;
@@ -149,13 +149,13 @@
 
 TEST_CASE("a busy model counts with as many copies as its demand needs") {
   ZonesOfModels zones(11);
-  zones.Ask("m3", 20, 50);  // at 0.4 of 10 slots each: thirteen copies, so 690 MB
+  zones.SetDemand("m3", 20, 50);  // at 0.4 of 10 slots each: thirteen copies, so 690 MB
   CHECK(zones.Settle() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
 }
 
 TEST_CASE("a frequently requested model counts twice") {
   ZonesOfModels zones(12);
-  zones.Ask("m3", 4, 0.5);  // 390 MB: five runners
+  zones.SetDemand("m3", 4, 0.5);  // 390 MB: five runners
   CHECK(zones.Settle() == std::map<std::string, int>{{"a", 3}});
 }
 
--- a/tests/system/placement/mutation_test.cpp
+++ b/tests/system/placement/mutation_test.cpp
@@ -48,15 +48,15 @@
       fleet.mutate = [&](duties::HttpResult* result) {
         if (answers++ == number) mutation.change(result);
       };
-      fleet.AskZipf(60, 0, 6);
+      fleet.SetZipfDemand(60, 0, 6);
       fleet.Run(4 * kSecond);
-      for (int i = 20; i < 30; ++i) fleet.Ask({fleet.ModelName(i), ""}, 1);
+      for (int i = 20; i < 30; ++i) fleet.SetDemand({fleet.ModelName(i), ""}, 1);
       fleet.Run(22 * kSecond);
       INFO(mutation.name << " of answer " << number);
-      CHECK(fleet.broken().empty());
+      CHECK(fleet.violations().empty());
       for (int i = 20; i < 30; ++i) {
         INFO("model " << i);
-        CHECK(fleet.Stands({fleet.ModelName(i), ""}));
+        CHECK(fleet.IsLoaded({fleet.ModelName(i), ""}));
       }
     }
 }
@@ -69,7 +69,7 @@
     if (refuse && result->body.empty() && result->status != 0) result->status = 412, ++fenced;
   };
   fleet.Run(4 * kSecond);
-  for (int i = 0; i < 30; ++i) fleet.Ask({fleet.ModelName(i), ""}, 0.5);
+  for (int i = 0; i < 30; ++i) fleet.SetDemand({fleet.ModelName(i), ""}, 0.5);
   fleet.Run(2 * kSecond);
   REQUIRE(fenced > 0);
   fleet.on_call = [&](const duties::HttpCall&) { sent_after = true; };
@@ -104,25 +104,25 @@
       fleet.mutate_record = [&](messages::RunnerRecord* record) {
         if (record->models_size() > 0 && records++ == number) changes[change](record);
       };
-      fleet.AskZipf(60, 0, 6);
+      fleet.SetZipfDemand(60, 0, 6);
       fleet.Run(4 * kSecond);
-      for (int i = 20; i < 30; ++i) fleet.Ask({fleet.ModelName(i), ""}, 1);
+      for (int i = 20; i < 30; ++i) fleet.SetDemand({fleet.ModelName(i), ""}, 1);
       fleet.Run(20 * kSecond);
       INFO("change " << change << " of record " << number);
-      CHECK(fleet.broken().empty());
+      CHECK(fleet.violations().empty());
     }
 }
 
 TEST_CASE("demand of any value is tolerated") {
   for (double value : {-1.0, 1e300, std::numeric_limits<double>::infinity(), std::nan("")}) {
     SimulatedFleet fleet({});
-    fleet.Ask({"m3", ""}, value);
-    fleet.Ask({"m3", "a0"}, 1);
-    fleet.Ask({"m3", "a99999999999999999999"}, 1);
-    fleet.Ask({"nobody's", ""}, 1);
-    fleet.Ask({"", ""}, 1);
+    fleet.SetDemand({"m3", ""}, value);
+    fleet.SetDemand({"m3", "a0"}, 1);
+    fleet.SetDemand({"m3", "a99999999999999999999"}, 1);
+    fleet.SetDemand({"nobody's", ""}, 1);
+    fleet.SetDemand({"", ""}, 1);
     fleet.Run(10 * kSecond);
-    CHECK(fleet.broken().empty());
+    CHECK(fleet.violations().empty());
     CHECK(fleet.orders() < 100);
   }
 }
--- a/tests/system/placement/placement_test.cpp
+++ b/tests/system/placement/placement_test.cpp
@@ -8,15 +8,15 @@
 
 constexpr Time kSettled = 4 * kSecond;
 
-Time TimeToStand(SimulatedFleet* fleet, const Key& key) {
+Time TimeToLoad(SimulatedFleet* fleet, const Key& key) {
   const Time start = fleet->now();
-  while (!fleet->Stands(key) && fleet->now() - start < 30 * kSecond) fleet->Run(10 * kMillisecond);
+  while (!fleet->IsLoaded(key) && fleet->now() - start < 30 * kSecond) fleet->Run(10 * kMillisecond);
   return fleet->now() - start;
 }
 
 std::string FirstMissing(SimulatedFleet* fleet) {
   for (const messages::Model& model : fleet->service().engine().models())
-    if (!fleet->Stands({model.name(), ""})) return model.name();
+    if (!fleet->IsLoaded({model.name(), ""})) return model.name();
   return "";
 }
 
@@ -26,9 +26,9 @@
   return holders;
 }
 
-void RequireUnbroken(const SimulatedFleet& fleet) {
-  for (const std::string& broken : fleet.broken()) INFO(broken);
-  REQUIRE((fleet.broken().empty() ? std::string() : fleet.broken().front()) == "");
+void RequireNoViolations(const SimulatedFleet& fleet) {
+  for (const std::string& violation : fleet.violations()) INFO(violation);
+  REQUIRE((fleet.violations().empty() ? std::string() : fleet.violations().front()) == "");
 }
 
 TEST_CASE("nothing is ordered without demand") {
@@ -41,7 +41,7 @@
 TEST_CASE("models that no runner holds are loaded into spare capacity, without unloading others") {
   SimulationOptions options;
   options.models = 20;
-  options.filled = false;
+  options.prefilled = false;
   SimulatedFleet fleet(options);
   fleet.Run(60 * kSecond);
   for (const messages::Model& model : fleet.service().engine().models()) {
@@ -50,7 +50,7 @@
   }
   CHECK(fleet.loads() == 20);
   CHECK(fleet.orders() == 20);
-  RequireUnbroken(fleet);
+  RequireNoViolations(fleet);
 }
 
 TEST_CASE("a frequently requested model gets a second copy in place of an idle model") {
@@ -59,11 +59,11 @@
     options.seed = seed;
     SimulatedFleet fleet(options);
     fleet.Run(kSettled);
-    fleet.Ask({fleet.ModelName(7), ""}, 5, 0.2);
+    fleet.SetDemand({fleet.ModelName(7), ""}, 5, 0.2);
     fleet.Run(15 * kSecond);
     INFO("seed " << seed);
     CHECK(Holders(&fleet, {fleet.ModelName(7), ""}) >= 2);
-    RequireUnbroken(fleet);
+    RequireNoViolations(fleet);
   }
 }
 
@@ -72,14 +72,14 @@
     SimulationOptions options;
     options.seed = seed;
     SimulatedFleet fleet(options);
-    fleet.AskZipf(60, 0, 6);
+    fleet.SetZipfDemand(60, 0, 6);
     fleet.Run(kSettled);
     const std::string missing = FirstMissing(&fleet);
     REQUIRE(missing != "");
-    fleet.Ask({missing, ""}, 1);
+    fleet.SetDemand({missing, ""}, 1);
     INFO("seed " << seed << " model " << missing);
-    CHECK(TimeToStand(&fleet, {missing, ""}) < 2900 * kMillisecond + 1500 * kMillisecond);
-    RequireUnbroken(fleet);
+    CHECK(TimeToLoad(&fleet, {missing, ""}) < 2900 * kMillisecond + 1500 * kMillisecond);
+    RequireNoViolations(fleet);
   }
 }
 
@@ -88,7 +88,7 @@
     SimulationOptions options;
     options.seed = seed;
     SimulatedFleet fleet(options);
-    fleet.AskZipf(90, 0, 15);
+    fleet.SetZipfDemand(90, 0, 15);
     fleet.Run(30 * kSecond);
     fleet.ResetCounts();
     fleet.Run(60 * kSecond);
@@ -98,9 +98,9 @@
 }
 
 // Puts more models into occasional demand than fit.
-void AskForRareModels(SimulatedFleet* fleet, int first, double requests_per_s) {
+void AddRareDemand(SimulatedFleet* fleet, int first, double requests_per_s) {
   for (int i = first; i < fleet->service().engine().models_size(); ++i)
-    fleet->Ask({fleet->ModelName(i), ""}, requests_per_s);
+    fleet->SetDemand({fleet->ModelName(i), ""}, requests_per_s);
 }
 
 TEST_CASE("a busy model keeps the copies it needs while many others are requested occasionally") {
@@ -112,15 +112,15 @@
     options.loads_per_s = 5.7;
     SimulatedFleet fleet(options);
     const Key busy{fleet.ModelName(1), ""};
-    fleet.Ask(busy, 100);
+    fleet.SetDemand(busy, 100);
     fleet.Run(15 * kSecond);
     const std::size_t before = Holders(&fleet, busy);
     REQUIRE(before >= 5);
-    AskForRareModels(&fleet, 2, 0.25);
+    AddRareDemand(&fleet, 2, 0.25);
     fleet.Run(30 * kSecond);
     INFO("seed " << seed << ", copies before " << before);
     CHECK(Holders(&fleet, busy) >= 5);
-    RequireUnbroken(fleet);
+    RequireNoViolations(fleet);
   }
 }
 
@@ -132,14 +132,14 @@
     options.slots = 32;
     options.loads_per_s = 5.7;
     SimulatedFleet fleet(options);
-    AskForRareModels(&fleet, 1, 0.25);
+    AddRareDemand(&fleet, 1, 0.25);
     fleet.Run(15 * kSecond);
     const Key busy{fleet.ModelName(1), ""};
-    fleet.Ask(busy, 100);
+    fleet.SetDemand(busy, 100);
     fleet.Run(12 * kSecond);
     INFO("seed " << seed);
     CHECK(Holders(&fleet, busy) >= 5);
-    RequireUnbroken(fleet);
+    RequireNoViolations(fleet);
   }
 }
 
--- a/tests/system/placement/runner_ledger_test.cpp
+++ b/tests/system/placement/runner_ledger_test.cpp
@@ -18,9 +18,9 @@
   return record;
 }
 
-RunnerReport Report(std::uint64_t taken, bool busy, const std::vector<std::string>& models) {
+RunnerReport Report(std::uint64_t accepted, bool busy, const std::vector<std::string>& models) {
   RunnerReport report;
-  report.orders_taken = taken;
+  report.orders_accepted = accepted;
   report.busy = busy;
   for (const std::string& model : models) report.held.Add({model, ""});
   return report;
@@ -68,7 +68,7 @@
   ledger.OrderAnswered(2 * kSecond, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.TakeSettledLoad() == std::optional<std::uint64_t>(9));
-  CHECK(ledger.orders_taken() == 4);
+  CHECK(ledger.orders_accepted() == 4);
 }
 
 TEST_CASE("an unanswered load still counts after a change of epoch") {
@@ -134,7 +134,7 @@
 }
 
 TEST_CASE("after each order that isn't accepted the runner's state is read again, with backoff") {
-  for (OrderOutcome outcome : {OrderOutcome::kHolds, OrderOutcome::kConflict, OrderOutcome::kInvalid,
+  for (OrderOutcome outcome : {OrderOutcome::kAlreadyDone, OrderOutcome::kConflict, OrderOutcome::kInvalid,
                                OrderOutcome::kOtherRunner, OrderOutcome::kUnknown}) {
     RunnerLedger ledger = IdleLedger({});
     ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
--- a/tests/system/placement/simulated_fleet.cpp
+++ b/tests/system/placement/simulated_fleet.cpp
@@ -43,10 +43,10 @@
     runner.address = "10.0.0." + std::to_string(i) + ":80";
     runner.zone = "z" + std::to_string(i % options.zones);
     runner.next_heartbeat = now_ + Between(0, kHeartbeat);
-    if (options.filled && catalog_.Fits(runner.held, {"m0", ""})) runner.held.Add({"m0", ""});
+    if (options.prefilled && catalog_.Fits(runner.held, {"m0", ""})) runner.held.Add({"m0", ""});
     runners_.push_back(runner);
   }
-  for (int model = 1; options.filled && model < options.models; ++model)
+  for (int model = 1; options.prefilled && model < options.models; ++model)
     for (SimulatedRunner& runner : runners_)
       if (catalog_.Fits(runner.held, {ModelName(model), ""})) {
         runner.held.Add({ModelName(model), ""});
@@ -75,12 +75,13 @@
 
 void SimulatedFleet::StepRunners() {
   for (SimulatedRunner& runner : runners_) {
-    if (runner.doing && now_ >= runner.done_at) {
-      if (runner.doing->kind == Order::Kind::kLoad)
-        runner.held.Add(runner.doing->key), disks_[runner.address].insert(runner.doing->key.model);
+    if (runner.in_progress && now_ >= runner.done_at) {
+      if (runner.in_progress->kind == Order::Kind::kLoad)
+        runner.held.Add(runner.in_progress->key),
+            disks_[runner.address].insert(runner.in_progress->key.model);
       else
-        runner.held.Remove(runner.doing->key);
-      runner.doing.reset();
+        runner.held.Remove(runner.in_progress->key);
+      runner.in_progress.reset();
     }
     if (now_ >= runner.next_heartbeat && !runner.silent) Heartbeat(&runner);
   }
@@ -112,16 +113,17 @@
   });
 }
 
-void SimulatedFleet::Ask(const Key& key, double requests_per_s, double work_s) {
-  asked_for_[key] = {requests_per_s, work_s, 0};
+void SimulatedFleet::SetDemand(const Key& key, double requests_per_s, double work_s) {
+  client_demand_[key] = {requests_per_s, work_s, 0};
 }
 
-void SimulatedFleet::AskZipf(double requests_per_s, int first_model, int models) {
-  asked_for_.clear();
+void SimulatedFleet::SetZipfDemand(double requests_per_s, int first_model, int models) {
+  client_demand_.clear();
   double sum = 0;
   for (int i = 0; i < models; ++i) sum += 1 / std::pow(i + 1, 1.5);
   for (int i = 0; i < models; ++i)
-    Ask({ModelName((first_model + i) % options_.models), ""}, requests_per_s / std::pow(i + 1, 1.5) / sum);
+    SetDemand({ModelName((first_model + i) % options_.models), ""},
+              requests_per_s / std::pow(i + 1, 1.5) / sum);
 }
 
 void SimulatedFleet::Crash(std::size_t number, Time away) {
@@ -143,7 +145,7 @@
   });
 }
 
-bool SimulatedFleet::Stands(const Key& key) const {
+bool SimulatedFleet::IsLoaded(const Key& key) const {
   for (const SimulatedRunner& runner : runners_)
     if (!runner.silent && !runner.draining && runner.held.Holds(key)) return true;
   return false;
@@ -151,9 +153,9 @@
 
 void SimulatedFleet::StepClients() {
   const double seconds = static_cast<double>(kStep) / kSecond;
-  for (auto& [key, entry] : asked_for_) {
-    const bool served = Stands(key);
-    asked_ += entry.per_s * seconds;
+  for (auto& [key, entry] : client_demand_) {
+    const bool served = IsLoaded(key);
+    requested_ += entry.per_s * seconds;
     if (!served) unserved_ += entry.per_s * seconds;
     entry.unserved = (entry.unserved + (served ? 0 : entry.per_s * seconds)) * 0.99;
   }
@@ -167,14 +169,14 @@
     report.set_incarnation(1);
     report.set_number(++report_number_);
     const auto share = static_cast<double>(reports_.size());
-    for (const auto& [key, entry] : asked_for_) {
+    for (const auto& [key, entry] : client_demand_) {
       if (entry.per_s <= 0) continue;
       messages::ModelDemand& demand = *report.add_models();
       demand.set_service("llm");
       demand.set_model(key.model);
       demand.set_adapter(key.adapter);
       demand.set_arrivals_per_s(entry.per_s / share);
-      demand.set_running(Stands(key) ? entry.per_s * entry.work_s / share : 0);
+      demand.set_running(IsLoaded(key) ? entry.per_s * entry.work_s / share : 0);
       demand.set_unserved(entry.unserved < 0.05 ? 0 : entry.unserved / share);
     }
   }
@@ -186,7 +188,7 @@
   settings.holder = "d" + std::to_string(holders_++);
   settings.seed = options_.seed;
   settings.origin_window = kOriginWindow;
-  settings.heartbeat = options_.settle_heartbeat;
+  settings.heartbeat = options_.assumed_heartbeat;
   return std::make_unique<Placement>(settings);
 }
 
@@ -197,7 +199,7 @@
   At(now_ + pause, [this, epoch] {
     if (epoch != epoch_) return;
     holds_ = input_changed_ = true;
-    if (told_loads_) duties::AgeLoads(now_ - lease_started_at_, &*told_loads_);
+    if (published_loads_) duties::AgeLoads(now_ - lease_started_at_, &*published_loads_);
     lease_started_at_ = now_;
   });
   placement_ = NewHolder();
@@ -206,7 +208,8 @@
 // A renewal is chosen at once here. A holder that had to wait would keep the allowance of the previous one.
 void SimulatedFleet::RenewLease() {
   if (!holds_ || now_ < lease_started_at_ + kRenewInterval) return;
-  if (auto told = placement_->LoadHistoryForRenewal(now_, epoch_, false)) told_loads_ = std::move(told);
+  if (auto published = placement_->LoadHistoryForRenewal(now_, epoch_, false))
+    published_loads_ = std::move(published);
   lease_started_at_ = now_;
   input_changed_ = true;
 }
@@ -224,34 +227,35 @@
   input.demand = &reports_;
   input.epoch = epoch_;
   input.holds = holds_;
-  input.loads = told_loads_ ? &*told_loads_ : nullptr;
+  input.loads = published_loads_ ? &*published_loads_ : nullptr;
   input.lease_started_at = lease_started_at_;
   std::vector<duties::HttpCall> calls;
   placement_->Act(now_, input, &calls);
-  if (!holds_ && !calls.empty()) broken_.push_back("calls sent without holding the duty");
+  if (!holds_ && !calls.empty()) violations_.push_back("calls sent without holding the duty");
   for (const duties::HttpCall& call : calls) Send(call);
 }
 
 void SimulatedFleet::Send(const duties::HttpCall& call) {
   if (on_call) on_call(call);
   call.method == "POST" ? ++orders_ : ++probes_;
-  const Time way = Between(kMillisecond, 8 * kMillisecond);
+  const Time one_way_delay = Between(kMillisecond, 8 * kMillisecond);
   const bool lost = Chance(options_.lost_request), late = !lost && Chance(options_.late_request);
-  const auto tell = [this, tag = call.tag, from = placement_.get()](Time at, duties::HttpResult result) {
+  const auto deliver = [this, tag = call.tag, from = placement_.get()](Time at, duties::HttpResult result) {
     if (mutate) mutate(&result);
     At(at, [this, tag, from, result] {
       if (placement_.get() == from) placement_->Completed(now_, tag, result);
     });
   };
   if (lost || late) {
-    tell(now_ + call.timeout, {});
-    if (late) At(now_ + Between(kSecond, options_.latest), [this, call] { Serve(call, true); });
+    deliver(now_ + call.timeout, {});
+    if (late) At(now_ + Between(kSecond, options_.max_delay), [this, call] { Serve(call, true); });
     return;
   }
-  At(now_ + way, [this, call, way, tell] {
+  At(now_ + one_way_delay, [this, call, one_way_delay, deliver] {
     const duties::HttpResult result = Serve(call, false);
     const bool unanswered = result.status == 0 || Chance(options_.lost_answer);
-    tell(unanswered ? now_ + call.timeout : now_ + way, unanswered ? duties::HttpResult{} : result);
+    deliver(unanswered ? now_ + call.timeout : now_ + one_way_delay,
+            unanswered ? duties::HttpResult{} : result);
   });
 }
 
