--- a/src/placement/eviction.cpp
+++ b/src/placement/eviction.cpp
@@ -53,8 +53,8 @@
   if (copies > 1) {
     if (!demand.present()) return kIdleCopyValue;
     const double share = demand.running / static_cast<double>(copies);
-    const double remaining = demand.running / static_cast<double>(copies - 1);
-    const bool spare = remaining <= kRedundantCopyMaxFill * context.catalog->slots();
+    const double remaining_share = demand.running / static_cast<double>(copies - 1);
+    const bool spare = remaining_share <= kRedundantCopyMaxFill * context.catalog->slots();
     if (spare && copies == 2 && key.is_model() && demand.arrivals_per_s > kSecondCopyArrivalsPerS)
       return kSecondCopyValue;
     return spare ? kRedundantCopyValue + kRedundantShareFactor * share : kBusyCopyValue + share;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -60,7 +60,7 @@
 
 // Forgets runners only some time after their last record, so that the state of a runner whose heartbeats were
 // merely late is kept.
-void Placement::Impl::Forget(Time now) {
+void Placement::Impl::ForgetRunners(Time now) {
   for (auto it = runners_.begin(); it != runners_.end();) {
     RunnerLedger& ledger = it->second.ledger;
     if (now - ledger.last_seen() <= kRunnerLifetime) {
--- a/src/placement/placement_impl.h
+++ b/src/placement/placement_impl.h
@@ -40,7 +40,7 @@
 
   // placement.cpp
   void Observe(Time now, const std::vector<messages::RunnerRecord>& records);
-  void Forget(Time now);
+  void ForgetRunners(Time now);
   void TakeOver(Time now, const Input& input);
   void ExpireCalls(Time now);
   void CompletedOrder(Time now, const PendingCall& call, const duties::HttpResult& result);
--- a/src/placement/runner_ledger.cpp
+++ b/src/placement/runner_ledger.cpp
@@ -35,7 +35,7 @@
     return false;
   record_ = record;
   reported_ = HeldByRecord(record);
-  if (phase_ == Phase::kWorking) Finish();
+  if (phase_ == Phase::kWorking) FinishLoad();
   // The record differs from the known state although nothing was ordered: the state has to be read again.
   else if (phase_ == Phase::kIdle && reported_ != confirmed_)
     phase_ = Phase::kUnread;
@@ -43,7 +43,7 @@
 }
 
 // Completes the load in progress if a heartbeat after its order shows it.
-void RunnerLedger::Finish() {
+void RunnerLedger::FinishLoad() {
   if (!record_confirms_ || record_.call_count() <= record_at_order_ || !reported_.Reflects(*in_flight_))
     return;
   HeldSet held = confirmed_;
@@ -128,7 +128,7 @@
       ++orders_accepted_;
       failures_ = 0;
       DropUnanswered();
-      Finish();
+      FinishLoad();
       return;
     case OrderOutcome::kUnknown:
       if (in_flight_->kind == Order::Kind::kLoad) unanswered_.Add(in_flight_->key);
--- a/src/placement/runner_ledger.h
+++ b/src/placement/runner_ledger.h
@@ -61,7 +61,7 @@
  private:
   void Confirm(const HeldSet& held);
   void BackOff(Time now, Time min_delay);
-  void Finish();
+  void FinishLoad();
   void DropUnanswered();
 
   messages::RunnerRecord record_;
--- a/src/placement/steps.cpp
+++ b/src/placement/steps.cpp
@@ -19,7 +19,7 @@
 void Placement::Impl::Plan(Time now, const Input& input, Calls* calls) {
   static const std::vector<messages::DemandReport> kNoReports;
   next_plan_ = now + (runners_.size() > kLargeFleet ? kLargePlanInterval : kPlanInterval);
-  Forget(now);
+  ForgetRunners(now);
   catalog_.Assign(input.service->engine());
   budget_.SetRate(catalog_.loads_per_s());
   demand_.Update(now, settings_.service, input.demand ? *input.demand : kNoReports, catalog_);
--- a/tests/system/placement/fleet_scaler_test.cpp
+++ b/tests/system/placement/fleet_scaler_test.cpp
@@ -30,7 +30,7 @@
       if (const auto change = scaler.Decide({now, &catalog, &demand, &view, nullptr}, fleet)) return change;
     return std::nullopt;
   }
-  void Load(double zone_a, double zone_b) {
+  void SetLoad(double zone_a, double zone_b) {
     for (RunnerView& runner : view.runners) runner.load = runner.zone == "a" ? zone_a : zone_b;
   }
 
@@ -44,7 +44,7 @@
 
 TEST_CASE("a zone grows by one after five seconds of overload, at most once per runner start time") {
   Zones zones;
-  zones.Load(5, 8);
+  zones.SetLoad(5, 8);
   CHECK_FALSE(zones.Run(5 * kSecond));
   const auto change = zones.Run(kSecond);
   REQUIRE(change);
@@ -57,16 +57,16 @@
 TEST_CASE("a short peak causes no change") {
   Zones zones;
   for (int i = 0; i < 10; ++i) {
-    zones.Load(9, 9);
+    zones.SetLoad(9, 9);
     CHECK_FALSE(zones.Run(4 * kSecond));
-    zones.Load(5, 5);
+    zones.SetLoad(5, 5);
     CHECK_FALSE(zones.Run(kSecond));
   }
 }
 
 TEST_CASE("a zone shrinks after half a minute of idleness, never below the minimum") {
   Zones zones;
-  zones.Load(1, 5);
+  zones.SetLoad(1, 5);
   CHECK_FALSE(zones.Run(29 * kSecond));
   const auto change = zones.Run(3 * kSecond);
   REQUIRE(change);
@@ -80,7 +80,7 @@
 
 TEST_CASE("a zone that alone holds a model in demand keeps its runners") {
   Zones zones;
-  zones.Load(1, 5);
+  zones.SetLoad(1, 5);
   zones.view.holders[{"m1", ""}] = {0, 1};
   std::vector<messages::DemandReport> reports(1);
   messages::ModelDemand& entry = *reports[0].add_models();
@@ -117,7 +117,7 @@
   }
   // Applies fleet changes until none is ordered for a minute. Returns the resulting sizes of the changed
   // zones.
-  std::map<std::string, int> Settle() {
+  std::map<std::string, int> ApplyChanges() {
     std::map<std::string, int> sizes;
     while (const auto change = Run(60 * kSecond)) {
       scaler.ChangeCompleted(now, true);
@@ -139,29 +139,29 @@
 
 TEST_CASE("runners are ordered until all models fit, evenly among the zones") {
   ZonesOfModels zones(25);  // 750 MB at 0.95 of 100 MB each: eight runners
-  CHECK(zones.Settle() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
+  CHECK(zones.ApplyChanges() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
 }
 
 TEST_CASE("a fleet that fits all models stays unchanged") {
   ZonesOfModels zones(11);  // 330 MB: four runners
-  CHECK(zones.Settle().empty());
+  CHECK(zones.ApplyChanges().empty());
 }
 
 TEST_CASE("a busy model counts with as many copies as its demand needs") {
   ZonesOfModels zones(11);
   zones.SetDemand("m3", 20, 50);  // at 0.4 of 10 slots each: thirteen copies, so 690 MB
-  CHECK(zones.Settle() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
+  CHECK(zones.ApplyChanges() == std::map<std::string, int>{{"a", 4}, {"b", 4}});
 }
 
 TEST_CASE("a frequently requested model counts twice") {
   ZonesOfModels zones(12);
   zones.SetDemand("m3", 4, 0.5);  // 390 MB: five runners
-  CHECK(zones.Settle() == std::map<std::string, int>{{"a", 3}});
+  CHECK(zones.ApplyChanges() == std::map<std::string, int>{{"a", 3}});
 }
 
 TEST_CASE("no zone is scaled beyond its maximum") {
   ZonesOfModels zones(1000, 5);
-  CHECK(zones.Settle() == std::map<std::string, int>{{"a", 5}, {"b", 5}});
+  CHECK(zones.ApplyChanges() == std::map<std::string, int>{{"a", 5}, {"b", 5}});
 }
 
 TEST_CASE("a new epoch orders nothing until runner records have arrived") {
@@ -174,8 +174,8 @@
 TEST_CASE("idle runners that the models need are kept") {
   ZonesOfModels zones(11);
   zones.fleet.set_minimum(1);
-  zones.Load(0, 0);
-  CHECK(zones.Settle().empty());
+  zones.SetLoad(0, 0);
+  CHECK(zones.ApplyChanges().empty());
 }
 
 }  // namespace
--- a/tests/system/placement/placement_test.cpp
+++ b/tests/system/placement/placement_test.cpp
@@ -20,7 +20,7 @@
   return "";
 }
 
-std::size_t Holders(SimulatedFleet* fleet, const Key& key) {
+std::size_t CountHolders(SimulatedFleet* fleet, const Key& key) {
   std::size_t holders = 0;
   for (const SimulatedRunner& runner : fleet->runners()) holders += runner.held.Holds(key) ? 1 : 0;
   return holders;
@@ -46,7 +46,7 @@
   fleet.Run(60 * kSecond);
   for (const messages::Model& model : fleet.service().engine().models()) {
     INFO(model.name());
-    CHECK(Holders(&fleet, {model.name(), ""}) == 1);
+    CHECK(CountHolders(&fleet, {model.name(), ""}) == 1);
   }
   CHECK(fleet.loads() == 20);
   CHECK(fleet.orders() == 20);
@@ -62,7 +62,7 @@
     fleet.SetDemand({fleet.ModelName(7), ""}, 5, 0.2);
     fleet.Run(15 * kSecond);
     INFO("seed " << seed);
-    CHECK(Holders(&fleet, {fleet.ModelName(7), ""}) >= 2);
+    CHECK(CountHolders(&fleet, {fleet.ModelName(7), ""}) >= 2);
     RequireNoViolations(fleet);
   }
 }
@@ -114,12 +114,12 @@
     const Key busy{fleet.ModelName(1), ""};
     fleet.SetDemand(busy, 100);
     fleet.Run(15 * kSecond);
-    const std::size_t before = Holders(&fleet, busy);
+    const std::size_t before = CountHolders(&fleet, busy);
     REQUIRE(before >= 5);
     AddRareDemand(&fleet, 2, 0.25);
     fleet.Run(30 * kSecond);
     INFO("seed " << seed << ", copies before " << before);
-    CHECK(Holders(&fleet, busy) >= 5);
+    CHECK(CountHolders(&fleet, busy) >= 5);
     RequireNoViolations(fleet);
   }
 }
@@ -138,7 +138,7 @@
     fleet.SetDemand(busy, 100);
     fleet.Run(12 * kSecond);
     INFO("seed " << seed);
-    CHECK(Holders(&fleet, busy) >= 5);
+    CHECK(CountHolders(&fleet, busy) >= 5);
     RequireNoViolations(fleet);
   }
 }
--- a/tests/system/placement/runner_ledger_test.cpp
+++ b/tests/system/placement/runner_ledger_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using Phase = RunnerLedger::Phase;
-const Key kFirst{"m1", ""}, kSecondKey{"m2", ""};
+const Key kFirstKey{"m1", ""}, kSecondKey{"m2", ""};
 constexpr Time kLoadTime = 2 * kSecond;
 
 messages::RunnerRecord Record(std::uint64_t heartbeat, const std::vector<std::string>& models) {
@@ -64,7 +64,7 @@
   CHECK(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.unsettled_load() == 9);
   // Once another order with the same number is accepted, the unanswered one would be refused.
-  ledger.OrderSent(2 * kSecond, {Order::Kind::kUnload, kFirst}, 0, 0);
+  ledger.OrderSent(2 * kSecond, {Order::Kind::kUnload, kFirstKey}, 0, 0);
   ledger.OrderAnswered(2 * kSecond, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.MayHold().Holds(kSecondKey));
   CHECK(ledger.TakeSettledLoad() == std::optional<std::uint64_t>(9));
@@ -73,49 +73,49 @@
 
 TEST_CASE("an unanswered load still counts after a change of epoch") {
   RunnerLedger ledger = IdleLedger({});
-  ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
+  ledger.OrderSent(0, {Order::Kind::kLoad, kFirstKey}, kLoadTime, 9);
   ledger.Restart();
   ledger.ReportSent(0);
   ledger.ReportAnswered(0, Report(3, false, {}));
-  CHECK(ledger.MayHold().Holds(kFirst));
+  CHECK(ledger.MayHold().Holds(kFirstKey));
   CHECK(ledger.unsettled_load() == 9);
 }
 
 TEST_CASE("an unloaded model counts until a report without it shows no order in progress") {
   RunnerLedger ledger = IdleLedger({"m1"});
-  ledger.OrderSent(0, {Order::Kind::kUnload, kFirst}, 0, 0);
+  ledger.OrderSent(0, {Order::Kind::kUnload, kFirstKey}, 0, 0);
   ledger.OrderAnswered(0, OrderOutcome::kAccepted);
   ledger.Observe(kSecond, Record(6, {}));  // the unload may only have begun
-  CHECK(ledger.MayHold().Holds(kFirst));
+  CHECK(ledger.MayHold().Holds(kFirstKey));
   CHECK_FALSE(ledger.CanOrder(kSecond));
   CHECK(ledger.NeedsReport(kSecond, false));
   ledger.ReportSent(kSecond);
   ledger.ReportAnswered(kSecond, Report(3, false, {}));  // predates the order
-  CHECK(ledger.MayHold().Holds(kFirst));
+  CHECK(ledger.MayHold().Holds(kFirstKey));
   ledger.ReportSent(2 * kSecond);
   ledger.ReportAnswered(2 * kSecond, Report(4, true, {}));
-  CHECK(ledger.MayHold().Holds(kFirst));
+  CHECK(ledger.MayHold().Holds(kFirstKey));
   ledger.ReportSent(3 * kSecond);
   ledger.ReportAnswered(3 * kSecond, Report(4, false, {}));
-  CHECK_FALSE(ledger.MayHold().Holds(kFirst));
+  CHECK_FALSE(ledger.MayHold().Holds(kFirstKey));
   CHECK(ledger.CanOrder(3 * kSecond));
 }
 
 TEST_CASE("a load is complete when a heartbeat after its order shows it") {
   RunnerLedger ledger = IdleLedger({});
-  ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
+  ledger.OrderSent(0, {Order::Kind::kLoad, kFirstKey}, kLoadTime, 9);
   ledger.OrderAnswered(0, OrderOutcome::kAccepted);
   CHECK(ledger.phase() == Phase::kWorking);
   ledger.Observe(kSecond, Record(5, {"m1"}));  // not newer
   CHECK(ledger.phase() == Phase::kWorking);
   ledger.Observe(3 * kSecond, Record(7, {"m1"}));
   CHECK(ledger.phase() == Phase::kIdle);
-  CHECK(ledger.held().Holds(kFirst));
+  CHECK(ledger.held().Holds(kFirstKey));
 }
 
 TEST_CASE("a heartbeat that shows an order complete may precede the order's answer") {
   RunnerLedger ledger = IdleLedger({});
-  ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
+  ledger.OrderSent(0, {Order::Kind::kLoad, kFirstKey}, kLoadTime, 9);
   ledger.Observe(kSecond, Record(6, {"m1"}));
   ledger.OrderAnswered(kSecond, OrderOutcome::kAccepted);
   CHECK(ledger.phase() == Phase::kIdle);
@@ -123,7 +123,7 @@
 
 TEST_CASE("a report is requested if an order is never seen complete") {
   RunnerLedger ledger = IdleLedger({});
-  ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
+  ledger.OrderSent(0, {Order::Kind::kLoad, kFirstKey}, kLoadTime, 9);
   ledger.OrderAnswered(0, OrderOutcome::kAccepted);
   CHECK_FALSE(ledger.NeedsReport(8 * kSecond, false));
   CHECK(ledger.NeedsReport(9 * kSecond, false));
@@ -137,7 +137,7 @@
   for (OrderOutcome outcome : {OrderOutcome::kAlreadyDone, OrderOutcome::kConflict, OrderOutcome::kInvalid,
                                OrderOutcome::kOtherRunner, OrderOutcome::kUnknown}) {
     RunnerLedger ledger = IdleLedger({});
-    ledger.OrderSent(0, {Order::Kind::kLoad, kFirst}, kLoadTime, 9);
+    ledger.OrderSent(0, {Order::Kind::kLoad, kFirstKey}, kLoadTime, 9);
     ledger.OrderAnswered(0, outcome);
     CHECK(ledger.phase() == Phase::kUnread);
     CHECK_FALSE(ledger.NeedsReport(0, true));
--- a/tests/system/placement/simulated_fleet.cpp
+++ b/tests/system/placement/simulated_fleet.cpp
@@ -126,21 +126,21 @@
               requests_per_s / std::pow(i + 1, 1.5) / sum);
 }
 
-void SimulatedFleet::Crash(std::size_t number, Time away) {
+void SimulatedFleet::Crash(std::size_t number, Time downtime) {
   SimulatedRunner& runner = runners_[number];
   const std::string lost = runner.id;
   At(now_ + kLostAfter, [this, lost] {
     records_.erase(lost);
     input_changed_ = true;
   });
-  SimulatedRunner fresh;
-  fresh.id = "r" + std::to_string(starts_++);
-  fresh.address = runner.address;
-  fresh.zone = runner.zone;
-  fresh.next_heartbeat = now_ + away;
-  fresh.silent = true;
-  runner = fresh;
-  At(now_ + away, [this, number, id = fresh.id] {
+  SimulatedRunner restarted;
+  restarted.id = "r" + std::to_string(starts_++);
+  restarted.address = runner.address;
+  restarted.zone = runner.zone;
+  restarted.next_heartbeat = now_ + downtime;
+  restarted.silent = true;
+  runner = restarted;
+  At(now_ + downtime, [this, number, id = restarted.id] {
     if (runners_[number].id == id) runners_[number].silent = false;
   });
 }
--- a/tests/system/placement/simulated_fleet.h
+++ b/tests/system/placement/simulated_fleet.h
@@ -49,7 +49,7 @@
   void Run(Time span);
   void SetDemand(const Key& key, double requests_per_s, double work_s = 1);  // a rate of 0 ends the demand
   void SetZipfDemand(double requests_per_s, int first_model, int models);
-  void Crash(std::size_t runner, Time away);  // restarts empty
+  void Crash(std::size_t runner, Time downtime);  // restarts empty
   void Drain(std::size_t runner) { runners_[runner].draining = true; }
   void SetSilent(std::size_t runner, bool silent) { runners_[runner].silent = silent; }
   void FailOver(Time pause);  // a new holder without any state takes over after the pause
