--- a/tests/system/placement/mutation_test.cpp
+++ b/tests/system/placement/mutation_test.cpp
@@ -26,11 +26,11 @@
 std::vector<Mutation> Mutations() {
   std::vector<Mutation> mutations = {
       {"no body", [](duties::HttpResult* result) { result->body.clear(); }},
-      {"half a body", [](duties::HttpResult* result) { result->body.resize(result->body.size() / 2); }},
+      {"truncated body", [](duties::HttpResult* result) { result->body.resize(result->body.size() / 2); }},
       {"busy", Replace("\"busy\":false", "\"busy\":true")},
       {"not busy", Replace("\"busy\":true", "\"busy\":false")},
-      {"more orders taken", Replace("\"call_count\":", "\"call_count\":1")},
-      {"no orders taken", Replace("\"call_count\":1", "\"call_count\":0")},
+      {"more orders accepted", Replace("\"call_count\":", "\"call_count\":1")},
+      {"no orders accepted", Replace("\"call_count\":1", "\"call_count\":0")},
       {"another model", Replace("\"name\":\"m", "\"name\":\"n")},
   };
   for (int status : {0, 200, 202, 400, 409, 421, 429, 500, 503})
