--- a/src/dataplane/attempt.cpp
+++ b/src/dataplane/attempt.cpp
@@ -7,8 +7,8 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kMaxKept = 1u << 20;    // of a body; a larger one goes on as it comes
-constexpr std::size_t kWithHead = 16 * 1024;  // a body up to this goes out in one piece with its head
+constexpr std::size_t kMaxKept = 1u << 20;    // of a body; a larger one is forwarded as it arrives
+constexpr std::size_t kWithHead = 16 * 1024;  // a body up to this size is sent together with its head
 
 bool HasType(const HttpMessage& head, std::string_view type) {
   const std::string* value = head.Header(header::kContentType);
@@ -16,7 +16,8 @@
          (value->size() == type.size() || (*value)[type.size()] == ';' || (*value)[type.size()] == ' ');
 }
 
-// Statuses that promise a client that its request has not run. A runner's only counts with its word for it.
+// Statuses that guarantee a client that its request has not run. From a runner they count only together with
+// its Not-Run header.
 bool IsPromise(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
 
 }  // namespace
@@ -43,12 +44,13 @@
       pool_->Connect(settings_.runner_id, settings_.address, [weak = weak_from_this()](bool connected) {
         const auto attempt = weak.lock();
         if (attempt == nullptr || attempt->stage_ == Stage::kOver) return;
-        // A runner with too many connections resets new ones.
+        // A runner with too many connections resets new ones after accepting them.
         if (!connected || attempt->connection_->http().HasUnread())
           return attempt->Fail(AttemptOutcome::kConnectFailed);
         attempt->Transmit();
       });
-  if (connection_ == nullptr) return Fail(AttemptOutcome::kNotRun);  // no fault of the runner's
+  if (connection_ == nullptr)
+    return Fail(AttemptOutcome::kNotRun);  // a local limit, not a fault of the runner
   connection_->set_user(this);
 }
 
@@ -66,7 +68,7 @@
 
 void Attempt::Transmit() {
   const Time left = settings_.deadline - clock_->Now();
-  if (left < kMillisecond) return;  // its owner's deadline is due
+  if (left < kMillisecond) return;  // the owner's deadline handler is about to run
   AttemptWords words;
   words.runner_id = settings_.runner_id, words.tenant = settings_.tenant;
   words.left = left, words.priority = settings_.priority, words.last_event_id = settings_.last_event_id;
@@ -89,7 +91,7 @@
   });
 }
 
-// What a head says of its answer. An answer without the runner's stamp is not known to be the runner's.
+// Classifies a response by its head. A response without the runner's stamp may not come from the runner.
 Attempt::Verdict Attempt::Judge(const HttpMessage& head) const {
   const int status = head.status;
   const bool promised = head.Header(header::kNotRun) != nullptr;
@@ -103,7 +105,7 @@
 
 void Attempt::HeadCame(const HttpMessage& head) {
   if (watch_) watch_->Heard();
-  if (head.status < 200) return;  // an interim one
+  if (head.status < 200) return;  // interim response
   if (stage_ != Stage::kSent)
     return Fail(stage_ == Stage::kConnecting ? AttemptOutcome::kConnectFailed : AttemptOutcome::kBroken);
   const std::string* id = head.Header(header::kAttemptId);
@@ -158,7 +160,7 @@
   return another ? AttemptOutcome::kWrongRunner : AttemptOutcome::kModelMissing;
 }
 
-// The exchange is over. The connection is kept only if nothing else was or is on it.
+// The HTTP exchange is complete. The connection is returned to the pool only if it has carried nothing else.
 void Attempt::Release(const HttpMessage& answer) {
   stage_ = Stage::kOver;
   watch_.reset();
@@ -166,7 +168,7 @@
   connection_.reset();
   connection->set_user(nullptr);
   const bool fit = answer.keep_alive && !surplus_ && connection->http().Written();
-  if (fit) pool_->Keep(connection, answer);  // looks for surplus bytes when it is used again
+  if (fit) pool_->Keep(connection, answer);  // TakeIdle() checks for surplus bytes before reuse
 }
 
 void Attempt::Fail(AttemptOutcome outcome) {
@@ -174,7 +176,7 @@
   const auto self = shared_from_this();
   AttemptOwner* const owner = owner_;
   Stop();
-  // What comes to pass before the first byte leaves can't have run.
+  // A request that fails before its first byte was sent can't have run.
   if (!sent_ && outcome == AttemptOutcome::kBroken) outcome = AttemptOutcome::kConnectFailed;
   if (owner != nullptr) owner->AttemptFailed(*this, outcome);
 }
--- a/src/dataplane/client_connection.cpp
+++ b/src/dataplane/client_connection.cpp
@@ -8,14 +8,15 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr Time kBodyTimeout = 60 * kSecond;       // from the head to the end of the body
-constexpr Time kSendTimeout = 15 * kSecond;       // for a client to take the rest of its answer
-constexpr Time kFinishTimeout = kSecond;          // for a client to end its side
-constexpr Time kIdleMargin = 500 * kMillisecond;  // a request that comes in time has to travel, too
-constexpr Time kEndingRetry = 50 * kMillisecond;  // another dispatcher takes it
+constexpr Time kBodyTimeout = 60 * kSecond;       // from the end of the head to the end of the body
+constexpr Time kSendTimeout = 15 * kSecond;       // for a client to read the rest of its response
+constexpr Time kFinishTimeout = kSecond;          // for a client to close its side
+constexpr Time kIdleMargin = 500 * kMillisecond;  // allows for the network delay of a request sent in time
+constexpr Time kEndingRetry = 50 * kMillisecond;  // another dispatcher serves the retry
 constexpr Time kNoConfigurationRetry = 200 * kMillisecond, kFullRetry = 300 * kMillisecond;
-constexpr std::size_t kMaxWaitingBody = 16 * 1024;  // larger requests do not wait for a configuration
-constexpr int kUserTimeoutMs = 15000;               // a client's machine without power
+constexpr std::size_t kMaxWaitingBody =
+    16 * 1024;                         // requests with larger bodies do not wait for a configuration
+constexpr int kUserTimeoutMs = 15000;  // detects a client machine that lost power
 
 HttpOptions OptionsOfClients(const ClientBounds& bounds) {
   HttpOptions options;
@@ -64,9 +65,9 @@
     case Stage::kIdle:
       return void(Retire());
     case Stage::kReadingHead:
-      return Fault(408, "the rest of the head did not come: send it at once");
+      return Fault(408, "the request head timed out: send the complete head without delay");
     case Stage::kReadingBody:
-      return Fault(408, "the rest of the body did not come: send it at once");
+      return Fault(408, "the request body timed out: send the complete body without delay");
     case Stage::kAwaitingConfiguration:
       Enter(Stage::kServing, 0);
       waiting_.reset();
@@ -89,7 +90,8 @@
   if (!head.has_length) return;
   if (!exchanges_->HasRoom(head.length)) {
     close_after_ = true;  // the body is not read
-    return SendOwn(503, "too much is in work: retry after the time in Retry-After", kFullRetry);
+    return SendOwn(503, "too many requests in progress: retry after the delay given in Retry-After",
+                   kFullRetry);
   }
   const std::string* expect = head.Header(header::kExpect);
   if (expect != nullptr && SameName(*expect, "100-continue") && head.length <= context_->Bounds().body)
@@ -97,7 +99,7 @@
 }
 
 void ClientConnection::RequestCame(HttpMessage message) {
-  if (stage_ != Stage::kReadingBody) return;  // answered before it was whole
+  if (stage_ != Stage::kReadingBody) return;  // a response was sent before the request was complete
   close_after_ = !message.keep_alive;
   Enter(Stage::kServing, 0);
   ++context_->counters.requests;
@@ -118,11 +120,12 @@
 }
 
 void ClientConnection::RefuseUnconfigured() {
-  SendOwn(503, "no configuration has come yet: retry after the time in Retry-After", kNoConfigurationRetry);
+  SendOwn(503, "no configuration is available yet: retry after the delay given in Retry-After",
+          kNoConfigurationRetry);
 }
 
 void ClientConnection::RefuseEnding() {
-  SendOwn(503, "this dispatcher ends: retry after the time in Retry-After", kEndingRetry);
+  SendOwn(503, "this dispatcher is shutting down: retry after the delay given in Retry-After", kEndingRetry);
 }
 
 void ClientConnection::Serve(Request request) {
@@ -134,32 +137,34 @@
   if (context_->refusing_streams && match.kind == routing::RouteKind::kStream) return RefuseEnding();
   const auto number = exchanges_->Begin(std::move(request), match, arrived_, this);
   if (number == 0)
-    return SendOwn(503, "too much is in work: retry after the time in Retry-After", kFullRetry);
+    return SendOwn(503, "too many requests in progress: retry after the delay given in Retry-After",
+                   kFullRetry);
   if (stage_ == Stage::kServing) exchange_ = number;
 }
 
 void ClientConnection::Ended(HttpConnection::End end) {
   if (end == HttpConnection::End::kTooLarge)
-    return Fault(413,
-                 "the body is too large: send at most " + std::to_string(context_->Bounds().body) + " bytes");
+    return Fault(413, "the request body is too large: send at most " +
+                          std::to_string(context_->Bounds().body) + " bytes");
   if (end == HttpConnection::End::kMalformed && http_->head_too_large())
-    return Fault(431,
-                 "the head is too large: send at most " + std::to_string(context_->Bounds().head) + " bytes");
-  if (end == HttpConnection::End::kMalformed) return Fault(400, "this is no HTTP/1.1 request: correct it");
+    return Fault(431, "the request head is too large: send at most " +
+                          std::to_string(context_->Bounds().head) + " bytes");
+  if (end == HttpConnection::End::kMalformed) return Fault(400, "malformed HTTP/1.1 request");
   waiting_.reset();
   const auto exchange = std::exchange(exchange_, 0);
   if (exchange != 0) exchanges_->ClientGone(exchange);
   Close();
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
 void ClientConnection::Fault(int status, std::string_view line) {
   close_after_ = true;
   SendOwn(status, line, std::nullopt);
 }
 
-// While the process drains, connections end with their answers, but not over a request that has come already.
+// While the process drains, connections are closed after their response, unless another request has already
+// arrived.
 Persistence ClientConnection::PersistenceNow() {
   if (context_->draining && !http_->HasUnread()) close_after_ = true;
   return {close_after_, context_->Bounds().idle};
--- a/src/dataplane/data_plane.cpp
+++ b/src/dataplane/data_plane.cpp
@@ -15,11 +15,11 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr int kKeptDescriptors = 500;               // files, and the sockets of the rest of the process
-constexpr std::size_t kBodyShare = 4;               // of the memory one part is for requests' bodies
-constexpr std::size_t kMaxIdle = 64, kMinIdle = 2;  // connections kept to a runner
+constexpr int kKeptDescriptors = 500;  // reserved for files and for the other sockets of the process
+constexpr std::size_t kBodyShare = 4;  // one part in this many of the memory is for request bodies
+constexpr std::size_t kMaxIdle = 64, kMinIdle = 2;  // idle connections per runner
 constexpr Time kPublishInterval = 250 * kMillisecond;
-constexpr double kRefuseStreamsFromPart = 0.3;  // of the grace
+constexpr double kRefuseStreamsFromPart = 0.3;  // of the grace period
 constexpr double kRefuseFromPart = 0.6;
 constexpr Time kDrainCheckInterval = 50 * kMillisecond;
 
@@ -27,7 +27,8 @@
   return static_cast<std::size_t>(std::max(16, descriptors - kKeptDescriptors)) / 2;
 }
 
-// Half of this dispatcher's part of the connections that a runner takes, for the service with the least.
+// Half of this dispatcher's share of the connections that a runner accepts, for the service with the lowest
+// limit.
 std::size_t MaxIdle(const routing::Snapshot& snapshot) {
   int least = 2 * static_cast<int>(kMaxIdle) * std::max(1, snapshot.live_dispatchers);
   if (snapshot.configuration != nullptr)
@@ -84,8 +85,8 @@
     asio::post(io_, [this] {
       if (std::exchange(context_.draining, true)) return;
       drain_began_ = context_.Now();
-      LOG(INFO) << "draining with " << exchanges_.size() << " requests in work on " << listener_.connections()
-                << " connections";
+      LOG(INFO) << "draining with " << exchanges_.size() << " requests in progress on "
+                << listener_.connections() << " connections";
       LookForEnd();
     });
   }
@@ -108,7 +109,7 @@
     if (first && context_.router != nullptr) listener_.ConfigurationCame();
   }
 
-  // The control plane's thread reads a copy and never waits for this one.
+  // The control plane's thread reads a copy, so it never waits for this thread.
   void Publish() {
     Report report;
     report.usage = context_.usage.counts();
@@ -129,10 +130,10 @@
     context_.deadlines.Add(context_.Now() + kPublishInterval, [this] { PublishRegularly(); });
   }
 
-  // New connections come until the platform has noticed; so it serves on. In the second half of the grace the
-  // connections on which nothing is owed are closed, and it is drained as soon as none is left. What could
-  // not be finished in time is refused, streams sooner, as one may last for seconds: no request that was read
-  // is left without an answer.
+  // New connections arrive until the platform has noticed the drain, so requests are still served. In the
+  // second half of the grace period idle connections are closed, and the drain is complete once none is left.
+  // Requests that could not be finished in time are refused, streams earlier because they may last for
+  // seconds: every request that was read gets a response.
   void LookForEnd() {
     const Time since = context_.Now() - drain_began_;
     const bool late = since >= settings_.grace / 2;
--- a/src/dataplane/event_stream.cpp
+++ b/src/dataplane/event_stream.cpp
@@ -19,8 +19,8 @@
   if (error == std::errc() && end == line.data() + line.size()) id_ = number;
 }
 
-// A line ends with LF, CR LF or CR. Whether a CR is the first half of CR LF shows with the byte after it; a
-// blank line that ends with a CR is not held back for it.
+// A line ends with LF, CR LF or CR. Only the byte after a CR shows whether it belongs to a CR LF; a blank
+// line that ends with a CR is passed on without waiting for that byte.
 bool EventStream::Next(std::size_t* begin, Event* event) {
   while (true) {
     const std::size_t end = held_.find_first_of("\r\n", scanned_);
--- a/src/dataplane/exchange.cpp
+++ b/src/dataplane/exchange.cpp
@@ -10,14 +10,17 @@
 
 using routing::AttemptOutcome;
 
-// The decision module may give a request up a little before its deadline.
+// The decision module may fail a request shortly before its deadline.
 constexpr Time kDeadlineSlack = 20 * kMillisecond;
 constexpr int kFirstServerError = 500;
 constexpr Time kMinRetryAfter = 50 * kMillisecond;
-constexpr std::string_view kBusy = "no runner could take the request: retry after the time in Retry-After";
-constexpr std::string_view kBroke = "the runner broke off: retry if the request may run twice";
-constexpr std::string_view kLate = "the deadline came before an answer: retry with more time";
-constexpr std::string_view kRouteGone = "the request's route changed: retry";
+constexpr std::string_view kBusy =
+    "no runner is available for the request: retry after the delay given in Retry-After";
+constexpr std::string_view kBroke =
+    "the runner failed during the request: retry only if the request may run twice";
+constexpr std::string_view kLate =
+    "the deadline expired before a response was available: retry with a longer deadline";
+constexpr std::string_view kRouteGone = "the route of the request changed: retry";
 
 bool HasNoBody(const Request& request, int status) {
   return request.IsHead() || status == 204 || status == 304;
@@ -69,7 +72,8 @@
 
 // ---- Decisions ----
 
-// A request may finish under the configuration it began with, but a repeat needs a route in the present one.
+// A request may finish under the configuration it started with, but another attempt requires a matching route
+// in the current one.
 bool Exchange::MayStillGo() {
   if (started_ == 0 || context_->router == router_) return true;
   if (context_->router == nullptr) return false;
@@ -132,7 +136,7 @@
              late ? CutReason::kDeadline : CutReason::kNoOtherRunner});
 }
 
-// ---- The client, the deadline ----
+// ---- Client events and the deadline ----
 
 void Exchange::ClientGone() {
   sink_ = nullptr;
@@ -151,7 +155,7 @@
   if (!sent && !may_have_run_ && !head_sent_) DeadlineCame();
 }
 
-// One that no runner has seen can be promised not to have run.
+// A request that was sent to no runner is guaranteed not to have run.
 void Exchange::DeadlineCame() {
   const auto self = shared_from_this();
   const bool sent = std::any_of(attempts_.begin(), attempts_.end(), [](const auto& a) { return a->sent(); });
@@ -180,7 +184,7 @@
   return removed;
 }
 
-// One attempt's answer is passed on; the others have become useless.
+// One attempt's response is forwarded; the others are no longer needed.
 void Exchange::StopOthers(const Attempt& attempt) {
   if (suspected_ != nullptr && suspected_.get() != &attempt) std::exchange(suspected_, nullptr)->Stop();
   after_suspected_.reset();
@@ -201,7 +205,7 @@
 
 void Exchange::AnswerCame(Attempt& attempt, HttpMessage answer) {
   const auto self = shared_from_this();
-  // In place of the rest of a stream no other answer can go on.
+  // A plain response can't replace the rest of a stream.
   if (head_sent_) return AttemptFailed(attempt, AttemptOutcome::kBroken);
   TakeBack(attempt);
   const bool is_error = IsServerError(answer.status);
@@ -221,7 +225,7 @@
   return counts && status >= kFirstServerError;
 }
 
-// Another runner may do better; the error is passed on where none can.
+// Another runner may succeed; the error is forwarded if none does.
 void Exchange::ServerErrorCame(Attempt& attempt, HttpMessage answer) {
   const auto removed = Remove(attempt);
   CountStart(attempt);
@@ -231,7 +235,7 @@
   table_->AttemptEnded(number_, attempt.number(), AttemptOutcome::kServerError, /*final=*/false);
 }
 
-// A runner's whole answer.
+// Forwards a runner's complete response.
 void Exchange::PassAnswer(HttpMessage answer) {
   const bool none = HasNoBody(*request_, answer.status);
   const bool told = none && answer.status != 204 && answer.has_length && answer.length > 0;
@@ -258,9 +262,10 @@
   if (final) Cut(CutReason::kNotResumable);
 }
 
-// ---- The end ----
+// ---- End of the exchange ----
 
-// What may have run is promised nothing; what has begun can only be cut.
+// A request that may have run must not get a status that says it has not run; a response that has begun can
+// only be truncated.
 void Exchange::AnswerOwn(OwnAnswer answer) {
   const auto self = shared_from_this();
   if (suspected_ != nullptr && !Late()) return void(after_suspected_ = answer);
--- a/src/dataplane/exchange.h
+++ b/src/dataplane/exchange.h
@@ -110,7 +110,7 @@
   std::string last_runner_;        // of the last attempt
   std::string_view last_failure_;  // how the last attempt ended; empty: it has not ended
   bool may_have_run_ = false;      // at a runner that did not respond
-  bool counted_ = false;           // included in the usage counts
+  bool counted_ = false;           // has begun to run and was counted as usage
 
   // State of a stream, or of a large response that is forwarded as it arrives.
   const Attempt* streaming_ = nullptr;  // the attempt whose bytes are forwarded
--- a/src/dataplane/exchange_stream.cpp
+++ b/src/dataplane/exchange_stream.cpp
@@ -1,4 +1,4 @@
-// The part of an exchange that passes on a stream, or an answer too large to be kept, as it comes.
+// The part of an exchange that forwards a stream, or a response too large to be buffered, as it arrives.
 #include "dataplane/exchange.h"
 #include "dataplane/exchange_table.h"
 
@@ -7,7 +7,8 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kMaxUnsent = 64 * 1024;  // for a client that does not read: then its runner waits
+constexpr std::size_t kMaxUnsent =
+    64 * 1024;  // for a client that reads slowly; beyond it, reading from the runner pauses
 
 }  // namespace
 
@@ -21,9 +22,9 @@
   TakeBack(attempt);
   StopOthers(attempt);
   streaming_ = &attempt;
-  prelude_.clear();  // of an attempt before
+  prelude_.clear();  // from an earlier attempt
   events_ = EventStream(kMaxHeldEvent);
-  if (head_sent_) return;  // the first runner's head stands
+  if (head_sent_) return;  // the first runner's head was sent already
   stream_head_ = head;
   stream_head_.body.clear();
   events_mode_ = events;
@@ -31,7 +32,7 @@
   if (!events) SendStream(attempt, {});
 }
 
-// Adds the whole events that `bytes` completes, but none that went on before.
+// Appends the events that `bytes` completes, except those that were already forwarded.
 void Exchange::PassEvents(std::string_view bytes, std::string* out, bool* first) {
   const bool fits = events_.Feed(bytes, [&](const EventStream::Event& event) {
     if (event.id && last_id_ && *event.id <= *last_id_) return;
@@ -57,7 +58,7 @@
   SendStream(attempt, out);
 }
 
-// Sends the head where it has not gone yet, then the bytes.
+// Sends the head if it has not been sent yet, then the bytes.
 void Exchange::SendStream(const Attempt& attempt, std::string_view bytes) {
   std::string& framed = context_->framed_buffer;
   framed.clear();
--- a/src/dataplane/exchange_suspected.cpp
+++ b/src/dataplane/exchange_suspected.cpp
@@ -1,5 +1,5 @@
-// The part of an exchange that keeps an attempt whose runner's machine does not answer, until another one
-// takes its place: make before break.
+// The part of an exchange that keeps an attempt whose runner's machine does not respond until another attempt
+// replaces it (make before break).
 #include "dataplane/exchange.h"
 #include "dataplane/exchange_table.h"
 
@@ -8,11 +8,11 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::string_view kUnreachable = "its machine does not answer";
+constexpr std::string_view kUnreachable = "its machine does not respond";
 
 }  // namespace
 
-// Silence alone ends no answer: another runner may take the attempt's place, but only once it answers.
+// Silence alone ends no response: another runner may replace the attempt, but only once it responds.
 void Exchange::RunnerUnreachable(Attempt& attempt) {
   if (suspected_.get() == &attempt) return;
   ++context_->counters.suspected;
@@ -25,7 +25,7 @@
   table_->AttemptEnded(number_, suspected_->number(), AttemptOutcome::kBroken, /*final=*/false);
 }
 
-// A suspected attempt has been heard of: it goes on, and what was to replace it is given up.
+// Bytes from a suspected attempt arrived: it continues, and the attempt that was to replace it is cancelled.
 void Exchange::TakeBack(const Attempt& attempt) {
   if (suspected_ == nullptr || suspected_.get() != &attempt) return;
   attempts_.push_back(std::exchange(suspected_, nullptr));
@@ -37,7 +37,7 @@
 
 void Exchange::SuspectedFailed() {
   std::exchange(suspected_, nullptr)->Stop();
-  // Else the decision module has an attempt under way, or is looking for a place for one.
+  // Otherwise the decision module has another attempt in progress or is selecting a runner for one.
   if (after_suspected_) AnswerOwn(*std::exchange(after_suspected_, std::nullopt));
 }
 
--- a/src/dataplane/exchange_table.cpp
+++ b/src/dataplane/exchange_table.cpp
@@ -5,11 +5,11 @@
 namespace lichenlug::dataplane {
 namespace {
 
-// Clients of a route wait alike. One that came back has spent on its first try at least the time that it was
-// told to wait.
-constexpr double kCameBackPart = 0.02;  // of the time that it has left
+// Clients of a route are assumed to use the same deadline. A client that retries has spent at least the delay
+// in Retry-After on its earlier tries.
+constexpr double kCameBackPart = 0.02;  // of its remaining time
 constexpr std::size_t kMaxRoutes = 4096;
-constexpr Time kLongestDeadline = 600 * kSecond;  // where neither the client nor the route names one
+constexpr Time kLongestDeadline = 600 * kSecond;  // if neither the client nor the route sets one
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   Exchange::Origin origin;
   origin.number = ++last_number_;
   Time timeout = std::min(request.timeout.value_or(kLongestDeadline), kLongestDeadline);
-  // By the client's own patience: the route's deadline may change, and tells nothing of the client.
+  // Uses the client's own deadline: the route's may change and says nothing about the client.
   origin.since_first_try = SinceFirstTry(match.route->name(), timeout);
   origin.came_back =
       static_cast<double>(origin.since_first_try) > kCameBackPart * static_cast<double>(timeout);
@@ -70,7 +70,7 @@
 }
 
 void ExchangeTable::EndUnsent() {
-  std::vector<std::shared_ptr<Exchange>> all;  // each that ends leaves the table
+  std::vector<std::shared_ptr<Exchange>> all;  // an exchange that ends is erased from the table
   for (const auto& [number, exchange] : exchanges_) all.push_back(exchange);
   for (const auto& exchange : all) exchange->EndIfUnsent();
 }
@@ -110,7 +110,7 @@
   exchanges_.erase(found);
 }
 
-// What a decision leads to may ask for further ones: these are executed after it, never within it.
+// Executing a decision may cause further decisions: these are executed after it, never recursively.
 void ExchangeTable::Execute() {
   if (executing_) return;
   executing_ = true;
@@ -128,7 +128,7 @@
   const auto exchange = Find(std::visit([](const auto& any) { return any.request; }, decision));
   if (const auto* start = std::get_if<routing::StartAttempt>(&decision)) {
     if (exchange != nullptr) return exchange->StartAttempt(*start);
-    // It has been answered meanwhile.
+    // The request has been answered in the meantime.
     return AttemptEnded(start->request, start->attempt, routing::AttemptOutcome::kCancelled, /*final=*/true);
   }
   if (exchange == nullptr) return;
--- a/src/dataplane/listener.cpp
+++ b/src/dataplane/listener.cpp
@@ -5,8 +5,8 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr Time kAcceptPause = 20 * kMillisecond;     // at the bound, or with no descriptor left
-constexpr Time kCheckInterval = 250 * kMillisecond;  // at the time bounds of connections
+constexpr Time kAcceptPause = 20 * kMillisecond;     // at the connection limit, or if out of descriptors
+constexpr Time kCheckInterval = 250 * kMillisecond;  // interval of checking the time limits of connections
 
 }  // namespace
 
@@ -36,12 +36,13 @@
 
 void Listener::Start() { Accept(); }
 
-// Only waits: a connection taken, its handler still to be called, would be overlooked when the process ends.
+// Waits for readiness instead of accepting asynchronously: a connection that was accepted, but whose handler
+// has not run yet, would be missed when the process exits.
 void Listener::Accept() {
   acceptor_.async_wait(asio::ip::tcp::acceptor::wait_read, [this](std::error_code error) {
     if (error) return;
     if (TakeWaiting()) return Accept();
-    // One that is accepted and closed would lose its request: it waits in the backlog.
+    // Accepting and closing a connection would lose its request, so it stays in the backlog.
     context_->deadlines.Add(context_->Now() + kAcceptPause, [this] { Accept(); });
   });
 }
@@ -64,14 +65,14 @@
   clients_.emplace(raw, std::move(client));
   raw->Start([this, raw] {
     const auto found = clients_.find(raw);
-    // It is in the middle of a call: it goes when that has returned.
+    // The connection is still executing a member function: it is destroyed after that has returned.
     asio::post(context_->io, [gone = std::shared_ptr<ClientConnection>(std::move(found->second))] {});
     clients_.erase(found);
   });
   if (!std::exchange(looking_, true)) Look();
 }
 
-// At the bound the connection that has rested longest gives way.
+// At the limit the connection that has been idle longest is closed.
 bool Listener::MakeRoom() {
   if (clients_.size() < max_connections_) return true;
   ClientConnection* oldest = nullptr;
--- a/src/dataplane/request.cpp
+++ b/src/dataplane/request.cpp
@@ -30,7 +30,7 @@
   return value;
 }
 
-// Calls with each trimmed part of a list.
+// Invokes `call` with each trimmed element of a comma-separated list.
 template <typename Call>
 void ForEachPart(std::string_view list, Call call) {
   while (!list.empty()) {
@@ -45,7 +45,7 @@
   return value == nullptr ? std::string_view() : Trim(*value);
 }
 
-// Two of these could be read as either by the next one.
+// If one of these headers is repeated, the next hop could use either value.
 const char* FindDoubled(const HttpMessage& message) {
   for (const char* name : {header::kHost, header::kAttemptId, header::kAuthorization, header::kDeadline,
                            header::kModel, header::kTokenCount, header::kPromptPrefix, header::kLastEventId,
@@ -62,7 +62,7 @@
          });
 }
 
-// Hints that can't be read are left out: the runner gets them unchanged and judges for itself.
+// Invalid hints are ignored: the runner receives them unchanged and validates them itself.
 void ReadHints(Request* request) {
   const HttpMessage& message = request->message;
   const std::string_view model = Value(message, header::kModel);
@@ -80,7 +80,7 @@
   });
 }
 
-// Set anew for each attempt, or not for runners.
+// Headers that are set for each attempt, or not forwarded to runners.
 bool IsReplaced(std::string_view name) {
   for (const char* known : {header::kAuthorization, header::kTenant, header::kExpectRunner, header::kDeadline,
                             header::kPriority, header::kContentLength, header::kExpect})
@@ -100,7 +100,7 @@
     if (SameName(name, known)) return true;
   const std::string_view prefix = header::kProxyPrefix;
   if (SameName(name.substr(0, prefix.size()), prefix)) return true;
-  // These make a message what it is; no list can take them out.
+  // Required headers: a Connection header can't remove them.
   for (const char* kept : {header::kHost, header::kAttemptId, header::kRunnerStamp, header::kContentType})
     if (SameName(name, kept)) return false;
   bool named = false;
@@ -116,20 +116,21 @@
 }
 
 std::variant<Request, RequestFault> ParseRequest(HttpMessage message) {
-  if (message.minor_version < 1) return RequestFault{505, "this is HTTP/1.0: call with HTTP/1.1"};
-  if (!TargetIsFit(message.target)) return RequestFault{400, "the target is no path: begin it with a slash"};
+  if (message.minor_version < 1) return RequestFault{505, "HTTP/1.0 is not supported: use HTTP/1.1"};
+  if (!TargetIsFit(message.target))
+    return RequestFault{400, "the request target is not a valid path: start it with a slash"};
   if (const char* doubled = FindDoubled(message))
-    return RequestFault{400, std::string(doubled) + " is given more than once: send it once"};
+    return RequestFault{400, std::string(doubled) + " is repeated: send it once"};
   Request request;
   request.host = Value(message, header::kHost);
   if (request.host.empty()) return RequestFault{400, "Host is missing: send the route's host"};
   request.attempt_id = Value(message, header::kAttemptId);
   if (request.attempt_id.empty())
-    return RequestFault{400, std::string(header::kAttemptId) + " is missing: send an id with each try"};
+    return RequestFault{400, std::string(header::kAttemptId) + " is missing: send an id with each request"};
   if (const std::string_view ms = Value(message, header::kDeadline); !ms.empty()) {
     const auto number = Number(ms, kMaxTimeoutMs);
     if (!number)
-      return RequestFault{400, std::string(header::kDeadline) + " is no number of milliseconds: correct it"};
+      return RequestFault{400, std::string(header::kDeadline) + " is not a valid number of milliseconds"};
     request.timeout = static_cast<Time>(*number * kMillisecond);
   }
   request.authorization = Value(message, header::kAuthorization);
--- a/src/dataplane/runner_pool.cpp
+++ b/src/dataplane/runner_pool.cpp
@@ -11,18 +11,19 @@
 namespace lichenlug::dataplane {
 namespace {
 
-// For a connection to come up; the more the later others came up of late, as where this machine's link is
-// full.
+// Bounds of the connect timeout. It grows when recent connections were slow, for example because this
+// machine's link is saturated.
 constexpr Time kMinConnectTimeout = 400 * kMillisecond, kMaxConnectTimeout = kSecond;
 constexpr Time kSweepInterval = 500 * kMillisecond;
-// Runners name the time that they keep idle connections in whole seconds. One that names none keeps them for
-// less than a second, so long or short.
+// Runners state in whole seconds how long they keep idle connections. A runner that states nothing keeps them
+// for an unknown time below one second.
 constexpr Time kUnnamedRest = 150 * kMillisecond;
-constexpr Time kRestMargin = 350 * kMillisecond;  // a request and its runner's close must not cross
+constexpr Time kRestMargin = 350 * kMillisecond;  // a request must not cross with the runner's close
 constexpr Time kMaxRest = 20 * kSecond;
-// A machine without power says nothing. Probes tell it from a runner that is only silent.
+// A machine that lost power sends nothing. Keep-alive probes distinguish it from a runner that is only
+// silent.
 constexpr int kUserTimeoutMs = 2500, kProbeAfterS = 1, kProbeEveryS = 1;
-constexpr std::size_t kMaxBufferedAnswer = std::size_t{1} << 40;  // the user bounds it, piece by piece
+constexpr std::size_t kMaxBufferedAnswer = std::size_t{1} << 40;  // no limit here: the user limits each piece
 
 std::string KeyOf(const std::string& runner_id, const std::string& address) {
   return runner_id + '\n' + address;
@@ -75,7 +76,7 @@
     : http_(std::make_shared<HttpConnection>(asio::ip::tcp::socket(io), HttpConnection::Side::kClient,
                                              OptionsOfRunners())),
       key_(std::move(key)) {
-  // Each is the last thing that is done with `this`: a user may drop the connection.
+  // Each handler must not access `this` after calling the user, which may release the connection.
   HttpConnection::Events events;
   events.on_head = [this](const HttpMessage& head) {
     if (user_ != nullptr) user_->HeadCame(head);
@@ -176,7 +177,7 @@
   if (found->second.empty()) idle_.erase(found);
 }
 
-// At the bound an idle connection gives way.
+// At the limit an idle connection is closed.
 bool RunnerPool::MakeRoom() {
   if (*open_ < max_connections_) return true;
   if (idle_.empty()) return false;
--- a/src/dataplane/runner_watch.cpp
+++ b/src/dataplane/runner_watch.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr Time kCheckInterval = 150 * kMillisecond;
-constexpr Time kOwnPause = 100 * kMillisecond;  // a look that is later says nothing of runners
-constexpr int kAskAfterLooks = 3;               // without bytes
-constexpr int kAskAgainAfterLooks = 7;          // of a runner that answered
+constexpr Time kOwnPause =
+    100 * kMillisecond;                 // this process was delayed: such a check says nothing about runners
+constexpr int kAskAfterLooks = 3;       // checks without bytes before a probe
+constexpr int kAskAgainAfterLooks = 7;  // checks before the next probe of a machine that responded
 
 }  // namespace
 
@@ -93,16 +94,16 @@
                                   const auto asked = weak.lock();
                                   if (asked == nullptr || error == asio::error::operation_aborted) return;
                                   connects_->Note(deadlines_->Now() - asked->asked_at);
-                                  // A refusal is an answer too; what it ends shows on the connections
-                                  // themselves.
+                                  // A refused connection is a response, too. If the runner process has
+                                  // ended, its other connections report that.
                                   if (asked->probe == Probe::kConnecting) asked->probe = Probe::kAnswered;
                                   asked->socket.reset();
                                 });
 }
 
 void RunnerWatch::TellUnreachable(Runner* runner) {
-  LOG(INFO) << "runner " << runner->id << ": its machine does not answer, " << runner->waits.size()
-            << " attempts wait for it";
+  LOG(INFO) << "runner " << runner->id << ": its machine does not respond, " << runner->waits.size()
+            << " attempts are waiting for it";
   runner->probe = Probe::kNone;
   runner->socket.reset();
   runner->quiet_looks = 0;
--- a/src/dataplane/runner_watch.h
+++ b/src/dataplane/runner_watch.h
@@ -71,8 +71,7 @@
   asio::io_context& io_;
   Deadlines* deadlines_;
   DelayEstimate* connects_;
-  std::unordered_map<std::string, std::shared_ptr<Runner>>
-      runners_;  // those with waiting attempts; by runner id
+  std::unordered_map<std::string, std::shared_ptr<Runner>> runners_;  // by id; those with waits only
   Deadlines::Key next_look_;
   Time look_due_ = 0;
 };
--- a/tests/system/dataplane/clients_test.cpp
+++ b/tests/system/dataplane/clients_test.cpp
@@ -1,4 +1,4 @@
-// What clients may send, what is refused, and what is told to runners of it.
+// Requests of clients: which are refused, and which parts of them are forwarded to runners.
 #include <catch2/catch.hpp>
 #include <thread>
 
@@ -7,7 +7,7 @@
 namespace lichenlug::dataplane::test {
 namespace {
 
-// Sends and expects a refusal with a one-line body before any runner is called.
+// Sends `bytes` and expects a refusal with a one-line body and no connection to a runner.
 void CheckRefused(Testbed* testbed, const std::string& bytes, int status, bool closes) {
   Socket client = testbed->Client();
   client.Send(bytes);
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("Without a configuration a request is refused for a moment") {
+TEST_CASE("Without a configuration a request is refused with a short Retry-After") {
   Testbed testbed({{.id = "r1", .models = {}}}, {}, /*install=*/false);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
@@ -35,7 +35,7 @@
   CHECK(answer.Header("Retry-After") == "0.200");
 }
 
-TEST_CASE("Just after the start a request waits for the configuration, and is served once it is there") {
+TEST_CASE("Just after the start a request waits for the configuration and is then served") {
   Testbed testbed({{.id = "r1", .models = {}}}, {}, /*install=*/false, 8 * kSecond, 20 * kSecond);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
@@ -47,7 +47,7 @@
   CHECK(client.Read().status() == 200);
 }
 
-TEST_CASE("A request that waits for the configuration in vain is refused") {
+TEST_CASE("A request is refused if no configuration arrives while it waits") {
   Testbed testbed({{.id = "r1", .models = {}}}, {}, /*install=*/false, 8 * kSecond, 300 * kMillisecond);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
@@ -56,14 +56,14 @@
   CHECK(answer.Header("Retry-After") == "0.200");
 }
 
-TEST_CASE("Requests with no route or key are refused") {
+TEST_CASE("Requests without a route or a valid key are refused") {
   Testbed testbed;
   CheckRefused(&testbed, Get("/none/x", "a1"), 404, false);
   CheckRefused(&testbed, Get("/key/x", "a1"), 401, false);
   CheckRefused(&testbed, Get("/key/x", "a1", "Authorization: Bearer k2\r\n"), 401, false);
 }
 
-TEST_CASE("What could be read in two ways is refused") {
+TEST_CASE("Malformed and ambiguous requests are refused") {
   Testbed testbed;
   const std::string head = "POST /safe/x HTTP/1.1\r\nHost: h.example\r\nLichenlug-Try-Id: a1\r\n";
   const std::string request = GENERATE_COPY(
@@ -86,7 +86,7 @@
   CheckRefused(&testbed, request, 400, true);
 }
 
-TEST_CASE("Requests beyond the bounds of the configuration are refused") {
+TEST_CASE("Requests beyond the limits of the configuration are refused") {
   Testbed testbed;
   CheckRefused(&testbed, Get("/safe/x", "a1", "X: " + std::string(5000, 'x') + "\r\n"), 431, true);
   CheckRefused(&testbed, Post("/safe/x", "a1", std::string(100001, 'x')), 413, true);
@@ -99,11 +99,11 @@
                true);
 }
 
-TEST_CASE("A head that does not come in time is refused, and an idle connection ended") {
+TEST_CASE("An incomplete head times out, and an idle connection is closed") {
   messages::Configuration configuration = UsualConfiguration();
   configuration.mutable_limits()->set_idle_ms(300);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
-  Socket warm = testbed.Client();  // the bounds are in force once a request is matched
+  Socket warm = testbed.Client();  // the limits apply once a request matches a route
   for (int status = 503; status == 503;) {
     warm.Send(Get("/none/x", "a1"));
     status = warm.Read().status();
@@ -115,7 +115,7 @@
   CHECK(warm.AtEnd());
 }
 
-TEST_CASE("Headers of one connection and the client's key stay behind") {
+TEST_CASE("Hop-by-hop headers and the client's key are not forwarded") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(
@@ -159,7 +159,7 @@
   CHECK(request.Header("Content-Length").empty());
 }
 
-TEST_CASE("A body in chunks goes on with its length, and its trailers stay behind") {
+TEST_CASE("A chunked body is forwarded with its length and without trailers") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(
@@ -175,7 +175,7 @@
   CHECK(request.body == "hello");
 }
 
-TEST_CASE("Large bodies go through unchanged in both directions") {
+TEST_CASE("Large bodies are forwarded unchanged in both directions") {
   messages::Configuration configuration = UsualConfiguration();
   configuration.mutable_limits()->set_body_bytes(3'000'000);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
@@ -215,7 +215,7 @@
   if (!cut) CHECK((answer.body == large));
 }
 
-TEST_CASE("Answers to HEAD and with no content have no body") {
+TEST_CASE("Responses to HEAD and with status 204 have no body") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send("HEAD /safe/x HTTP/1.1\r\nHost: h.example\r\nLichenlug-Try-Id: a1\r\n\r\n" +
@@ -239,7 +239,7 @@
   CHECK(client.Read().body == "abc");
 }
 
-TEST_CASE("A client's wish to close is followed") {
+TEST_CASE("A client's Connection: close is honored") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Get("/none/x", "a1", "Connection: close\r\n"));
@@ -248,7 +248,7 @@
   CHECK(client.AtEnd());
 }
 
-TEST_CASE("A draining data plane serves what is there and what comes, then has nothing left") {
+TEST_CASE("A draining data plane serves existing and new requests until none is left") {
   Testbed testbed({{.id = "r1", .models = {}}}, UsualConfiguration(), true, /*grace=*/kSecond);
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/1", "a1", "b"));
@@ -266,13 +266,14 @@
   CHECK(answer.Header("Connection") == "close");
   CHECK(late.AtEnd());
   Socket resting = testbed.Client();
-  CHECK(resting.AtEnd());  // in the second half of the grace
+  CHECK(resting.AtEnd());  // in the second half of the grace period
   late.Close(), client.Close(), resting.Close();
   bool drained = false;
   CHECK(testbed.Await([&](const Report&) { return drained = testbed.plane().Drained(); }));
 }
 
-TEST_CASE("Near the end of the grace a request is refused at once, not read and left without an answer") {
+TEST_CASE(
+    "Near the end of the grace period a request is refused at once instead of left without a response") {
   Testbed testbed(std::vector<RunnerPlan>{}, UsualConfiguration(), true, /*grace=*/200 * kMillisecond);
   testbed.plane().BeginDrain();
   bool refused = false;
@@ -281,17 +282,17 @@
     client.Send(Post("/unsafe/1", "a" + std::to_string(tries), "b"));
     const Message answer = client.Read();
     CHECK(answer.Header("Connection") == "close");
-    refused = answer.body.find("this dispatcher ends") != std::string::npos;
+    refused = answer.body.find("this dispatcher is shutting down") != std::string::npos;
   }
   CHECK(refused);
 }
 
-TEST_CASE("A stream that might not end within the grace is refused, while other requests are still taken") {
+TEST_CASE("A stream that might not end within the grace period is refused while other requests are served") {
   Testbed testbed(std::vector<RunnerPlan>{}, UsualConfiguration(), true, /*grace=*/4 * kSecond);
   const auto is_refused_as_it_ends = [&testbed](const std::string& request) {
     Socket client = testbed.Client();
     client.Send(request);
-    return client.Read().body.find("this dispatcher ends") != std::string::npos;
+    return client.Read().body.find("this dispatcher is shutting down") != std::string::npos;
   };
   const std::string brief = "Lichenlug-Deadline-Ms: 20\r\n";
   CHECK_FALSE(is_refused_as_it_ends(Post("/stream/1", "s1", "b", brief)));
@@ -303,7 +304,7 @@
   CHECK_FALSE(is_refused_as_it_ends(Post("/unsafe/1", "a1", "b", brief)));
 }
 
-TEST_CASE("A drain does not close over a request that has come") {
+TEST_CASE("A drain does not close a connection on which a further request has arrived") {
   Testbed testbed({{.id = "r1", .models = {}}}, UsualConfiguration(), true, /*grace=*/kSecond);
   Socket client = testbed.Client();
   client.Send(Get("/safe/1", "a1") + Get("/safe/2", "a2"));
@@ -317,7 +318,7 @@
   CHECK(client.Read().body == "two");
 }
 
-TEST_CASE("An address that can't be listened at is told") {
+TEST_CASE("An invalid listen address is reported") {
   Settings settings;
   settings.listen_address = GENERATE("nowhere", "127.0.0.1:no", "256.0.0.1:80", "127.0.0.1:");
   DataPlane plane(settings);
