--- a/tests/system/dataplane/delay_estimate_test.cpp
+++ b/tests/system/dataplane/delay_estimate_test.cpp
@@ -7,9 +7,9 @@
 
 constexpr Time kMin = 400 * kMillisecond, kMax = kSecond;
 
-TEST_CASE("a wait follows the delays noted, within its bounds") {
+TEST_CASE("the wait follows the recorded delays within its bounds") {
   DelayEstimate estimate(kMin, kMax);
-  CHECK(estimate.Wait() == kMin);  // nothing noted yet
+  CHECK(estimate.Wait() == kMin);  // no delay recorded yet
   for (int answer = 0; answer < 10; ++answer) estimate.Note(3 * kMillisecond);
   CHECK(estimate.Wait() == kMin);
   for (int answer = 0; answer < 30; ++answer) estimate.Note(600 * kMillisecond);
@@ -19,7 +19,7 @@
   CHECK(estimate.Wait() == kMin);
 }
 
-TEST_CASE("one late answer among many lets the wait grow for a while only") {
+TEST_CASE("a single late response increases the wait only temporarily") {
   DelayEstimate estimate(kMin, kMax);
   for (int answer = 0; answer < 50; ++answer) estimate.Note(10 * kMillisecond);
   estimate.Note(900 * kMillisecond);
--- a/tests/system/dataplane/event_stream_test.cpp
+++ b/tests/system/dataplane/event_stream_test.cpp
@@ -1,4 +1,4 @@
-// Framing of event streams: whatever the pieces, the same events with no byte changed.
+// Framing of event streams: the same events for any split of the bytes, and no byte changed.
 #include "dataplane/event_stream.h"
 
 #include <catch2/catch.hpp>
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_CASE("Events end with a blank line, whatever ends the lines") {
+TEST_CASE("Events end with a blank line, for LF and CR LF line endings") {
   const std::string end = GENERATE("\n", "\r\n");
   const std::string one = "id: 1" + end + "data: x" + end + end, two = "data: y" + end + "id:22" + end + end;
   const Seen seen = Feed({one + two + "data: z"});
@@ -50,28 +50,28 @@
   CHECK(seen.rest == "data: z");
 }
 
-TEST_CASE("Lines that end with CR alone end events too") {
+TEST_CASE("Lines that end with CR alone also end events") {
   const Seen seen = Feed({"id: 1\rdata: x\r", "\r"});
   CHECK(seen.texts == std::vector<std::string>{"id: 1\rdata: x\r\r"});
 }
 
-TEST_CASE("An id that is no whole number counts as none") {
+TEST_CASE("An id that is not an unsigned integer is ignored") {
   const std::string id =
       GENERATE("id: x", "id: 1x", "id:", "id: -1", "id:  1", "id: 99999999999999999999", "data: 1");
   CHECK(Feed({id + "\n\n"}).ids == std::vector<std::optional<std::uint64_t>>{std::nullopt});
 }
 
-TEST_CASE("Comments and blank lines are no fields") {
+TEST_CASE("Comments and blank lines do not count as fields") {
   CHECK(Feed({": c\n\n", "\n", "versions: 3\n\n"}).fields == std::vector<bool>{false, false, true});
 }
 
-TEST_CASE("An event beyond the bound is told") {
+TEST_CASE("An event beyond the size limit is reported") {
   CHECK(Feed({std::string(10, 'x')}, 10).fits);
   CHECK_FALSE(Feed({std::string(11, 'x')}, 10).fits);
   CHECK(Feed({std::string(8, 'x') + "\n\n" + std::string(8, 'x') + "\n\n"}, 10).fits);
 }
 
-TEST_CASE("Pieces of any size give the same events and lose no byte") {
+TEST_CASE("Pieces of any size yield the same events and lose no byte") {
   std::mt19937 random(7);
   const std::vector<std::string> parts = {"id: 1", "id: 23", "data: x", ":c",          "\n",
                                           "\n",    "\r\n",   "\r\n",    "versions: 4", " "};
@@ -82,7 +82,7 @@
     std::string joined;
     for (const std::string& event : pieces.texts) joined += event;
     REQUIRE(joined + pieces.rest == text);
-    // A blank line that ends with CR at the end of a piece gives its LF to a block of its own.
+    // If a piece ends with the CR of a blank line, the LF that follows forms an event without fields.
     std::vector<std::optional<std::uint64_t>> ids, whole_ids;
     for (const auto& id : pieces.ids)
       if (id) ids.push_back(id);
--- a/tests/system/dataplane/plain_socket.cpp
+++ b/tests/system/dataplane/plain_socket.cpp
@@ -35,7 +35,7 @@
 }
 
 Socket::Socket(int descriptor) : descriptor_(descriptor) {
-  if (descriptor_ < 0) throw std::runtime_error("no socket");
+  if (descriptor_ < 0) throw std::runtime_error("cannot create a socket");
   const timeval timeout{kTimeoutSeconds, 0};
   setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   setsockopt(descriptor_, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
@@ -90,7 +90,8 @@
 bool Socket::Fill() {
   char buffer[16384];
   const ssize_t size = recv(descriptor_, buffer, sizeof buffer, 0);
-  if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) throw std::runtime_error("nothing came in time");
+  if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+    throw std::runtime_error("timed out while waiting for bytes");
   if (size <= 0) return false;
   held_.append(buffer, static_cast<std::size_t>(size));
   return true;
@@ -173,7 +174,7 @@
   if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
 }
 
-// A queue that is full drops the opening packet of a connection.
+// With a full accept queue the kernel drops the SYN of a new connection.
 void Listening::StopAnswering() {
   constexpr int kFillers = 8;
   if (listen(descriptor_, 0) != 0) throw std::runtime_error("cannot listen");
@@ -191,7 +192,7 @@
 }
 
 Socket Listening::Accept() {
-  if (!Waiting(kTimeoutSeconds * 1000)) throw std::runtime_error("no connection came");
+  if (!Waiting(kTimeoutSeconds * 1000)) throw std::runtime_error("timed out while waiting for a connection");
   return Socket(accept(descriptor_, nullptr, nullptr));
 }
 
--- a/tests/system/dataplane/plain_socket.h
+++ b/tests/system/dataplane/plain_socket.h
@@ -1,4 +1,4 @@
-// Blocking sockets on loopback for tests: whoever waits for longer than the patience fails.
+// Blocking sockets on loopback for tests. An operation that takes longer than the timeout throws.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 struct Message {
   std::string first_line, body;
   std::vector<std::pair<std::string, std::string>> headers;
-  bool whole = false;  // its framing is complete
+  bool whole = false;  // the message was received completely
 
   int status() const;
   std::string Header(std::string_view name) const;  // empty: absent
@@ -40,14 +40,14 @@
   // The next message; `with_body` false for an answer to HEAD.
   Message Read(bool with_body = true);
   Message ReadHead();
-  std::string ReadChunk();  // the next chunk of a body in chunks; empty: the last one, or a cut
+  std::string ReadChunk();  // the next chunk of a chunked body; empty: the last chunk or a truncated body
   bool last_chunk_seen() const { return last_chunk_; }
   std::string ReadExactly(std::size_t size);
-  bool AtEnd();  // waits: true when the other side ends, false when bytes come
+  bool AtEnd();  // waits; true: the peer closed, false: bytes arrived
   std::string ReadToEnd();
 
  private:
-  bool Fill();  // false: the end
+  bool Fill();  // false: end of the stream
   std::optional<std::string> Line();
 
   int descriptor_ = -1;
@@ -55,7 +55,7 @@
   bool last_chunk_ = false;
 };
 
-// A listening socket on a port of the system's choice.
+// A listening socket on a port chosen by the system.
 class Listening {
  public:
   Listening();
@@ -63,14 +63,14 @@
   std::uint16_t port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   Socket Accept();
-  void Close();                    // connections are refused from here on
-  void StopAnswering();            // new connections get no answer; those that are open go on
-  bool Waiting(int milliseconds);  // a connection waits to be accepted
+  void Close();                    // further connections are refused
+  void StopAnswering();            // new connections get no response; open connections stay usable
+  bool Waiting(int milliseconds);  // whether a connection is waiting to be accepted
 
  private:
   int descriptor_ = -1;
   std::uint16_t port_ = 0;
-  std::vector<Socket> fillers_;  // of the queue of new connections
+  std::vector<Socket> fillers_;  // fill the accept queue
 };
 
 }  // namespace lichenlug::dataplane::test
--- a/tests/system/dataplane/plain_test.cpp
+++ b/tests/system/dataplane/plain_test.cpp
@@ -1,11 +1,11 @@
-// Requests with plain answers through a data plane on loopback.
+// Requests with plain and streamed responses through a data plane on loopback.
 #include <catch2/catch.hpp>
 
 #include "world.h"
 
 namespace lichenlug::dataplane::test {
 
-TEST_CASE("A request goes to a runner and its answer goes back unchanged") {
+TEST_CASE("A request is forwarded to a runner and its response returned unchanged") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/safe/x?q=1", "a1", "hello", "X-Own: Kept\r\n"));
@@ -40,7 +40,7 @@
   CHECK(client.Read().body == "two");
 }
 
-TEST_CASE("A stream goes on event by event") {
+TEST_CASE("A stream is forwarded event by event") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/stream/x", "a1", "b"));
--- a/tests/system/dataplane/request_test.cpp
+++ b/tests/system/dataplane/request_test.cpp
@@ -1,4 +1,4 @@
-// Reading of requests' heads, and the heads that go to runners in their place.
+// Parsing of request heads, and the heads sent to runners.
 #include "dataplane/request.h"
 
 #include <algorithm>
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("A request's own headers are read") {
+TEST_CASE("The headers of a request are parsed") {
   const Request request = Parsed({{"lichenlug-model", "m1/a2"},
                                   {"Lichenlug-Token-Count", "1460,80"},
                                   {"Lichenlug-Prompt-Prefix", "5c1e:800, 91bd:410,e440:250"},
@@ -54,7 +54,7 @@
   CHECK(request.authorization == "Bearer k");
 }
 
-TEST_CASE("Hints that cannot be read are passed over") {
+TEST_CASE("Invalid hints are ignored") {
   const Request request = Parsed(
       {{"Lichenlug-Model", ""}, {"Lichenlug-Token-Count", "x,-1"}, {"Lichenlug-Prompt-Prefix", ",:5,,a"}});
   CHECK(request.model.empty());
@@ -65,13 +65,14 @@
   CHECK_FALSE(request.timeout);
 }
 
-TEST_CASE("Targets that are no path are refused") {
+TEST_CASE("Targets that are not a path are refused") {
   HttpMessage head = Head({});
   head.target = GENERATE("", "*", "x", "http://h/x", "/a b", "/a#b", "/a\x7f");
   CHECK(std::get<RequestFault>(ParseRequest(head)).status == 400);
 }
 
-TEST_CASE("A runner's head holds the client's words but those of one connection, and its own") {
+TEST_CASE(
+    "The head for a runner holds the client's headers without hop-by-hop headers, and the added headers") {
   Request request = Parsed({{"Connection", "close , x-hop"},
                             {"X-Hop", "1"},
                             {"Proxy-Any", "1"},
@@ -93,14 +94,14 @@
   CHECK(again.find("Last-Event-Id: 3\r\n") == std::string::npos);
 }
 
-TEST_CASE("A Connection header cannot take out what makes a request what it is") {
+TEST_CASE("A Connection header cannot remove required headers") {
   const Request request = Parsed({{"Connection", "host, lichenlug-try-id"}});
   const std::string head = FormatRequestHead(request, {});
   CHECK(head.find("Host: h.example\r\n") != std::string::npos);
   CHECK(head.find("Lichenlug-Try-Id: a1\r\n") != std::string::npos);
 }
 
-TEST_CASE("Whatever a head holds, one request goes on, with the headers of this side once") {
+TEST_CASE("For any client head, one request is forwarded with each added header exactly once") {
   std::mt19937 random(3);
   const std::vector<std::string> names = {"Connection",     "TE",
                                           "Host",           "Lichenlug-Try-Id",
@@ -139,7 +140,7 @@
   }
 }
 
-TEST_CASE("An answer's head loses what concerned the runner's connection") {
+TEST_CASE("A response head is forwarded without the runner's hop-by-hop headers") {
   HttpMessage head;
   head.status = 200;
   head.headers = {
@@ -151,13 +152,13 @@
   CHECK(Lines(FormatAnswerHead(head, Framing::kChunked, 0, {true, 0})).back().empty());
 }
 
-TEST_CASE("Own answers tell when to come back, in seconds with a fraction") {
+TEST_CASE("Responses of the data plane state Retry-After in fractional seconds") {
   CHECK(Lines(FormatOwnAnswer(503, "why", 250 * kMillisecond, {})) ==
         std::vector<std::string>{"HTTP/1.1 503 Service Unavailable", "Content-Type: text/plain",
                                  "Retry-After: 0.250", "Content-Length: 4", ""});
 }
 
-TEST_CASE("Usage is counted by window of true time, and old windows are forgotten") {
+TEST_CASE("Usage is counted by window of Unix time, and old windows are dropped") {
   UsageCounter usage;
   usage.Count(14 * kSecond, 5 * kSecond, "t1");
   usage.Count(15 * kSecond - 1, 5 * kSecond, "t1");
--- a/tests/system/dataplane/retries_test.cpp
+++ b/tests/system/dataplane/retries_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of a request whose runner does not answer as it should.
+// Handling of requests whose runner rejects them, fails or sends an invalid response.
 #include <catch2/catch.hpp>
 
 #include "world.h"
@@ -8,7 +8,7 @@
 
 const std::vector<RunnerPlan> kTwo = {{.id = "r1", .models = {}}, {.id = "r2", .models = {}}};
 
-// Has the first runner that is called say `first`, then the one that is called next serve the request.
+// The runner of the first attempt sends `first`; the runner of the next attempt serves the request.
 Message ServedBySecond(Testbed* testbed, Socket* client, const std::string& first, bool other_runner = true) {
   auto [runner, which] = testbed->AcceptAny();
   const std::string id = runner.Read().Header("Lichenlug-Try-Id");
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("What a runner says it has not run goes to another runner") {
+TEST_CASE("A request that a runner reports as not run is sent to another runner") {
   const int status = GENERATE(503, 429, 421);
   const std::string target = GENERATE("/safe/x", "/unsafe/x", "/stream/x");
   Testbed testbed(kTwo);
@@ -34,7 +34,7 @@
   CHECK(answer.body == "served");
 }
 
-TEST_CASE("A runner's error goes to another runner where the request may be repeated") {
+TEST_CASE("After a server error a repeatable request is sent to another runner") {
   const std::string target = GENERATE("/safe/x", "/resume/x");
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
@@ -44,7 +44,7 @@
   CHECK(answer.body == "served");
 }
 
-TEST_CASE("A runner's error is passed on where it is the last word") {
+TEST_CASE("A runner's error is forwarded if no other attempt succeeds") {
   const std::string target = GENERATE("/safe/x", "/resume/x", "/unsafe/x", "/stream/x");
   const bool repeatable = target == "/safe/x" || target == "/resume/x";
   Testbed testbed(kTwo);
@@ -56,8 +56,8 @@
   if (repeatable) {
     Socket second = testbed.runner(1 - which).Accept();
     second.Read();
-    SECTION("as the other runner rejects the request") { second.Send(NotRun(503, "a1")); }
-    SECTION("as the other runner breaks off") { second.Close(); }
+    SECTION("the other runner rejects the request") { second.Send(NotRun(503, "a1")); }
+    SECTION("the other runner closes the connection") { second.Close(); }
   }
   const Message answer = client.Read();
   CHECK(answer.status() == 500);
@@ -65,7 +65,7 @@
   CHECK(answer.Header("Lichenlug-Runner-Stamp") == "s1");
 }
 
-TEST_CASE("With no other runner an error is passed on at once") {
+TEST_CASE("Without another runner an error is forwarded at once") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/safe/x", "a1", "b"));
@@ -77,7 +77,7 @@
   CHECK(answer.body == "no");
 }
 
-TEST_CASE("A runner that has answered with an error is passed over by the next requests") {
+TEST_CASE("A runner that responded with an error is avoided by subsequent requests") {
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/x", "a1", "b"));
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("A runner that lacks the model is passed over for another, by later requests too") {
+TEST_CASE("A runner without the model is avoided by this and subsequent requests") {
   Testbed testbed({{.id = "r1", .service = "engine", .models = {"m1"}},
                    {.id = "r2", .service = "engine", .models = {"m1"}}});
   const std::string words = "Lichenlug-Model: m1\r\nLichenlug-Token-Count: 10,5\r\n";
@@ -113,7 +113,7 @@
   }
 }
 
-TEST_CASE("A client that comes back for a model that stands nowhere is held until it is loaded") {
+TEST_CASE("The retry of a client for a model that is loaded nowhere waits until the model is loaded") {
   const std::vector<RunnerPlan> plans = {{.id = "r1", .service = "engine", .models = {}}};
   Testbed testbed(plans);
   const std::string words = "Lichenlug-Model: m1\r\nLichenlug-Token-Count: 10,5\r\nLichenlug-Deadline-Ms: ";
@@ -123,9 +123,9 @@
   CHECK(refusal.status() == 503);
   CHECK(!refusal.Header("Retry-After").empty());
   CHECK(testbed.Await([](const Report& report) {
-    return report.demand.size() == 1 && report.demand[0].unserved > 0;  // told at once
+    return report.demand.size() == 1 && report.demand[0].unserved > 0;  // reported at once
   }));
-  client.Send(Post("/model/x", "a2", "b", words + "8000\r\n"));  // what the first try has left
+  client.Send(Post("/model/x", "a2", "b", words + "8000\r\n"));  // the remaining deadline after the first try
   CHECK(testbed.Await([](const Report& report) { return report.in_work == 1; }));
   testbed.Load(0, "m1");
   Socket runner = testbed.runner(0).Accept();
@@ -134,7 +134,7 @@
   CHECK(client.Read().body == "served");
 }
 
-TEST_CASE("A client that comes back after its objective has passed gets the last priority at runners") {
+TEST_CASE("A retry after the objective has passed gets the lowest priority at runners") {
   auto configuration = UsualConfiguration();
   for (auto& route : *configuration.mutable_routes()) route.set_objective_ms(500);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
@@ -150,12 +150,12 @@
   };
   const std::string first = priority_with("a1", 2000);
   CHECK(first != "9");
-  CHECK(priority_with("a2", 1700) == first);  // came back within its objective
+  CHECK(priority_with("a2", 1700) == first);  // a retry within the objective
   CHECK(priority_with("a3", 1400) == "9");
   CHECK(priority_with("a4", 2000) == first);
 }
 
-TEST_CASE("A change of a route's deadline makes no repeats of first tries") {
+TEST_CASE("A change of a route's deadline does not make first tries count as retries") {
   auto configuration = UsualConfiguration();
   for (auto& route : *configuration.mutable_routes()) route.set_objective_ms(500);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
@@ -175,11 +175,10 @@
   configuration.set_edition(2);
   testbed.Install(configuration);
   CHECK(priority_of("a2", "12000") == first);
-  CHECK(priority_of("a3", "11000") ==
-        "9");  // one that has spent a second on an earlier try, within either deadline
+  CHECK(priority_of("a3", "11000") == "9");  // spent a second on an earlier try, within either deadline
 }
 
-TEST_CASE("A refusal that may not go to another runner goes to the client as a promise") {
+TEST_CASE("A refusal without another attempt is forwarded as a 503 with Retry-After") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/once/x", "a1", "b"));
@@ -193,16 +192,16 @@
   CHECK(answer.Header("Connection").empty());
 }
 
-TEST_CASE("A broken answer is repeated where the route allows it, else promises nothing") {
+TEST_CASE("After a broken response the request is repeated if the route allows it, else the status is 502") {
   const std::string broken = GENERATE(
-      std::string(),                                               // closed with no answer
+      std::string(),                                               // closed without a response
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\n"),  // half a head
       Answer(200, "a1", "half.").substr(0, Answer(200, "a1", "half.").size() - 1),
       std::string("nonsense\r\n\r\n"), Answer(200, "a1", "coded", "Content-Encoding: gzip\r\n"),
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\nContent-Length: 0\r\n\r\n"),        // no stamp
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Runner-Stamp: s1\r\nContent-Length: 0\r\n\r\n"),  // no id
       Answer(503, "a1", ""), Answer(429, "a1", ""),
-      Answer(408, "a1", ""),  // a promise the runner did not give
+      Answer(408, "a1", ""),  // without the runner's Not-Run header
       std::string("HTTP/1.1 404 No\r\nLichenlug-Try-Id: a1\r\nContent-Length: 0\r\n\r\n"),
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\nLichenlug-Runner-Stamp: s1\r\n"
                   "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
@@ -238,7 +237,7 @@
   }
 }
 
-TEST_CASE("A runner's own failure goes back with its stamp and status") {
+TEST_CASE("A runner's error is forwarded with its stamp and status") {
   const int status = GENERATE(500, 504, 400, 404, 501);
   Testbed testbed;
   Socket client = testbed.Client();
@@ -252,7 +251,7 @@
   CHECK(answer.body == "why");
 }
 
-TEST_CASE("A surplus answer behind a whole one is never taken for the next one's") {
+TEST_CASE("A surplus response after a complete one is never used for the next request") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Get("/safe/1", "a1"));
@@ -268,7 +267,7 @@
   CHECK(runner.AtEnd());
 }
 
-TEST_CASE("A late surplus answer before the right one is passed over, and the connection not kept") {
+TEST_CASE("A response to an earlier request is skipped, and the connection is not reused") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/1", "a1", "b"));
@@ -279,7 +278,7 @@
   CHECK(runner.AtEnd());
 }
 
-TEST_CASE("A kept connection that its runner has ended is not used") {
+TEST_CASE("An idle connection that the runner has closed is not reused") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/1", "a1", "b"));
@@ -296,10 +295,10 @@
   CHECK(fresh.AtEnd());
 }
 
-TEST_CASE("A runner that cannot be reached is passed over") {
+TEST_CASE("A runner that cannot be reached is avoided") {
   messages::Configuration configuration = UsualConfiguration();
   Testbed testbed(kTwo);
-  // Its port is closed: nothing can have run there.
+  // The port of the closed runner refuses connections, so nothing can have run there.
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/1", "a1", "b"));
   auto [runner, which] = testbed.AcceptAny();
@@ -314,7 +313,7 @@
   CHECK(client.Read().body == "two");
 }
 
-TEST_CASE("A repeat needs a route in the present configuration") {
+TEST_CASE("Another attempt requires a route in the current configuration") {
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
@@ -324,7 +323,7 @@
   changed.mutable_routes()->DeleteSubrange(0, 1);
   testbed.Install(changed);
   Socket probe = testbed.Client();
-  for (int status = 0; status != 404;) {  // until the new one is in force
+  for (int status = 0; status != 404;) {  // until the new configuration is in effect
     probe.Send(Get("/safe/x", "p", "Lichenlug-Deadline-Ms: 1\r\n"));
     status = probe.Read().status();
   }
@@ -333,7 +332,7 @@
   CHECK(client.Read().status() == (first.starts_with("HTTP") ? 503 : 502));
 }
 
-TEST_CASE("A client that leaves ends the work at its runner") {
+TEST_CASE("When a client disconnects, its request at the runner is cancelled") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/x", "a1", "b"));
@@ -344,7 +343,7 @@
   CHECK(testbed.Await([](const Report& report) { return report.in_work == 0; }));
 }
 
-TEST_CASE("At its deadline a request is answered, and its runner's connection closed") {
+TEST_CASE("At its deadline a request gets a response, and the connection to the runner is closed") {
   Testbed testbed;
   Socket client = testbed.Client();
   const std::string target = GENERATE("/short/x", "/unsafe/x");
--- a/tests/system/dataplane/runner_watch_test.cpp
+++ b/tests/system/dataplane/runner_watch_test.cpp
@@ -1,4 +1,4 @@
-// Machines that do not answer, and runners that are only silent.
+// Detection of machines that do not respond, as distinct from runners that are only silent.
 #include "dataplane/runner_watch.h"
 
 #include <arpa/inet.h>
@@ -15,7 +15,8 @@
 namespace lichenlug::dataplane::test {
 namespace {
 
-// Listens on loopback. One whose queue is full answers no new connection, as a machine without power.
+// A listener on loopback. With a full accept queue it responds to no new connection, like a machine without
+// power.
 class Machine {
  public:
   explicit Machine(bool answers) : listening_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -67,7 +68,7 @@
   std::vector<std::string> unreachable;
 };
 
-TEST_CASE("a machine that answers no connection is told to all that wait for it, within a second") {
+TEST_CASE("all waits for a machine that does not respond are notified within 1.4 s") {
   const Machine dark(false), sound(true);
   Watching watching;
   const auto first = watching.Wait(dark), second = watching.Wait(dark);
@@ -78,7 +79,7 @@
   CHECK(watching.unreachable == std::vector<std::string>{"r1", "r1"});
 }
 
-TEST_CASE("where connections come up late, a machine is waited for as much longer") {
+TEST_CASE("slow connections lengthen the wait for a machine") {
   const Machine dark(false);
   Watching watching;
   for (int time = 0; time < 8; ++time) watching.connects.Note(700 * kMillisecond);
@@ -89,7 +90,7 @@
   CHECK(watching.unreachable == std::vector<std::string>{"r1"});
 }
 
-TEST_CASE("a runner that is silent on a machine that answers is waited for") {
+TEST_CASE("a silent runner on a machine that responds is not reported") {
   const Machine sound(true);
   Watching watching;
   const auto wait = watching.Wait(sound);
@@ -97,7 +98,7 @@
   CHECK(watching.unreachable.empty());
 }
 
-TEST_CASE("a machine that refuses connections answers") {
+TEST_CASE("a machine that refuses connections counts as responding") {
   std::optional<Machine> machine(std::in_place, true);
   const asio::ip::tcp::endpoint endpoint = machine->endpoint();
   machine.reset();
@@ -107,7 +108,7 @@
   CHECK(watching.unreachable.empty());
 }
 
-TEST_CASE("a runner that is heard of is not asked") {
+TEST_CASE("a runner that sends bytes is not probed") {
   const Machine dark(false);
   Watching watching;
   const auto wait = watching.Wait(dark);
@@ -118,7 +119,7 @@
   CHECK(watching.unreachable.empty());
 }
 
-TEST_CASE("nobody who waits no more is told, also when the waits end in the call") {
+TEST_CASE("a wait that has ended is not notified, even if it ends within a notification") {
   const Machine dark(false);
   Watching watching;
   auto gone = watching.Wait(dark);
--- a/tests/system/dataplane/streams_test.cpp
+++ b/tests/system/dataplane/streams_test.cpp
@@ -1,4 +1,4 @@
-// Streams that break off, are taken up again, stall or end early.
+// Streams that break, are resumed, stall or end early.
 #include <catch2/catch.hpp>
 
 #include "world.h"
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-TEST_CASE("A resumable stream goes on at another runner within one answer") {
+TEST_CASE("A resumable stream is continued by another runner within one response") {
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
   client.Send(Post("/resume/x", "a1", "b", "Last-Event-Id: 4\r\n"));
@@ -26,14 +26,14 @@
   CHECK(request.Header("Last-Event-Id") == "6");
   CHECK(request.Header("Lichenlug-Try-Id") == "a1");
   CHECK(request.body == "b");
-  // A runner that repeats what has gone on already.
+  // The second runner repeats an event that was already forwarded.
   second.Send(StreamHead("a1", "second") + Chunk(Event(6, "six") + Event(7, "seven")) + "0\r\n\r\n");
   CHECK(client.ReadChunk() == Event(7, "seven"));
   CHECK(client.ReadChunk().empty());
   CHECK(client.last_chunk_seen());
 }
 
-TEST_CASE("A stream that cannot go on is cut, and never looks whole") {
+TEST_CASE("A stream that cannot continue is truncated and never looks complete") {
   const std::string target = GENERATE("/stream/x", "/resume/x");
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
@@ -44,8 +44,7 @@
   CHECK(client.ReadHead().status() == 200);
   CHECK(client.ReadChunk() == Event(1, "one"));
   runner.Close();
-  if (target ==
-      "/resume/x") {  // where it is taken up the runner answers with a failure, and the tries are used up
+  if (target == "/resume/x") {  // the resumed attempt fails, and no tries are left
     Socket second = testbed.runner(1 - which).Accept();
     second.Read();
     second.Send(Answer(500, "a1", "no", "Connection: close\r\n"));
@@ -54,7 +53,7 @@
   CHECK_FALSE(client.last_chunk_seen());
 }
 
-TEST_CASE("A stream that breaks before its first event is repeated only if the route allows it") {
+TEST_CASE("A stream that breaks before its first event is retried only if the route allows it") {
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
   const bool resumable = GENERATE(true, false);
@@ -76,7 +75,7 @@
   CHECK(answer.body == Event(1, "one"));
 }
 
-TEST_CASE("A stream with no event, or with an unfinished last one, goes on as its runner ended it") {
+TEST_CASE("A stream without events or with an incomplete last event is forwarded as the runner sent it") {
   const std::string body = GENERATE(std::string(), std::string(": end\n\n"), Event(1, "one") + "data: rest");
   Testbed testbed;
   Socket client = testbed.Client();
@@ -90,7 +89,7 @@
   CHECK(answer.body == body);
 }
 
-TEST_CASE("A stream's runner may answer with a plain failure") {
+TEST_CASE("A plain error response to a stream request is forwarded") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/stream/x", "a1", "b"));
@@ -102,7 +101,7 @@
   CHECK(answer.body == "no");
 }
 
-TEST_CASE("A client that does not read holds its runner up, and gets all in the end") {
+TEST_CASE("A client that does not read slows down its runner and finally receives all bytes") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/stream/x", "a1", "b"));
@@ -113,7 +112,7 @@
   int sent = 0;
   while (sent < 1000 && runner.CanSend(200)) runner.Send(Chunk(Event(++sent, text)));
   CHECK(sent > 1);
-  CHECK(sent < 1000);  // some megabytes in the system's buffers
+  CHECK(sent < 1000);  // the system buffers some megabytes
   std::string got;
   CHECK(client.ReadHead().status() == 200);
   const std::size_t all = static_cast<std::size_t>(sent) * Event(1, text).size();
@@ -126,7 +125,7 @@
   CHECK(got == expected);
 }
 
-TEST_CASE("At its deadline a stream that has begun is cut") {
+TEST_CASE("At its deadline a stream that has begun is truncated") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/stream/x", "a1", "b", "Lichenlug-Deadline-Ms: 200\r\n"));
@@ -140,7 +139,7 @@
   CHECK(runner.AtEnd());
 }
 
-TEST_CASE("A client that leaves a stream ends it at its runner") {
+TEST_CASE("When a client resets a stream, the stream at the runner is cancelled") {
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Post("/resume/x", "a1", "b"));
--- a/tests/system/dataplane/suspected_runner_test.cpp
+++ b/tests/system/dataplane/suspected_runner_test.cpp
@@ -1,4 +1,4 @@
-// Runners whose machine is taken for dead, rightly or not, while an answer is under way.
+// Runners whose machine is suspected to have failed, rightly or not, while a response is outstanding.
 #include <catch2/catch.hpp>
 
 #include "world.h"
@@ -9,12 +9,12 @@
 const std::vector<RunnerPlan> kOne = {{.id = "r1", .models = {}}};
 const std::vector<RunnerPlan> kTwo = {{.id = "r1", .models = {}}, {.id = "r2", .models = {}}};
 
-// Until the machine of the runner that an attempt waits for is taken for dead.
+// Waits until the machine of a runner with a waiting attempt is suspected.
 bool AwaitSuspicion(Testbed* testbed) {
   return testbed->Await([](const Report& report) { return report.suspected > 0; });
 }
 
-// The runner reads the request and passes the head and the first event on to the client.
+// The runner reads the request and sends the head and the first event, which the client receives.
 void BeginStream(Socket* client, Socket* runner) {
   runner->Read();
   runner->Send(StreamHead("a1") + Chunk(Event(1, "one")));
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("A stream whose runner is suspected goes on with it where no other runner can take it up") {
+TEST_CASE("A stream stays with its suspected runner if there is no other runner") {
   Testbed testbed(kOne);
   Socket client = testbed.Client();
   client.Send(Post("/resume/x", "a1", "b"));
@@ -38,7 +38,7 @@
   CHECK(client.last_chunk_seen());
 }
 
-TEST_CASE("A stream whose runner is suspected goes on with it where the other runner does not take it up") {
+TEST_CASE("A stream stays with its suspected runner if the other runner does not resume it") {
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
   client.Send(Post("/resume/x", "a1", "b"));
@@ -62,7 +62,7 @@
   CHECK(client.last_chunk_seen());
 }
 
-TEST_CASE("A request whose runner is suspected gets its answer where no other runner can take it") {
+TEST_CASE("A request gets the response of its suspected runner if there is no other runner") {
   Testbed testbed(kOne);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
@@ -76,8 +76,7 @@
   CHECK(answer.body == "late");
 }
 
-TEST_CASE(
-    "A suspected runner's stream goes over to the one that takes it up, and nothing is passed on twice") {
+TEST_CASE("A stream moves to the runner that resumes it, and no event is forwarded twice") {
   Testbed testbed(kTwo);
   Socket client = testbed.Client();
   client.Send(Post("/resume/x", "a1", "b"));
@@ -90,7 +89,7 @@
   Socket second = testbed.runner(1 - which).Accept();
   CHECK(second.Read().Header("Last-Event-Id") == "1");
   const bool first_lives = GENERATE(true, false);
-  if (first_lives) {  // before the second one has begun: the second one is given up
+  if (first_lives) {  // before the second one has begun: the second one is cancelled
     runner.Send(Chunk(Event(2, "two")));
     CHECK(client.ReadChunk() == Event(2, "two"));
     CHECK(second.AtEnd());
@@ -105,7 +104,7 @@
   CHECK(client.last_chunk_seen());
 }
 
-TEST_CASE("A suspected runner that breaks off in the end is waited for no longer") {
+TEST_CASE("A suspected runner that finally closes its connection is no longer waited for") {
   Testbed testbed(kOne);
   Socket client = testbed.Client();
   const bool begun = GENERATE(true, false);
@@ -128,7 +127,7 @@
   CHECK_FALSE(client.last_chunk_seen());
 }
 
-TEST_CASE("A suspected runner is waited for until the deadline and no longer") {
+TEST_CASE("A suspected runner is waited for until the deadline at most") {
   Testbed testbed(kOne);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1", "Lichenlug-Deadline-Ms: 2000\r\n"));
--- a/tests/system/dataplane/world.cpp
+++ b/tests/system/dataplane/world.cpp
@@ -92,7 +92,7 @@
   }
   snapshot->runners = std::move(records);
   snapshot->zone = "z1";
-  snapshot->bounds.retry_budget = false;  // a new process has none yet
+  snapshot->bounds.retry_budget = false;  // the budget of a new process is empty
   plane_->Install(std::move(snapshot));
 }
 
@@ -104,7 +104,7 @@
 std::size_t Testbed::RunnerIndex(const std::string& runner_id) const {
   for (std::size_t i = 0; i < plans_.size(); ++i)
     if (plans_[i].id == runner_id) return i;
-  throw std::runtime_error("no such runner");
+  throw std::runtime_error("unknown runner id");
 }
 
 std::pair<Socket, std::size_t> Testbed::AcceptAny() {
@@ -112,7 +112,7 @@
     for (std::size_t i = 0; i < listening_.size(); ++i)
       if (listening_[i]->Waiting(10 / static_cast<int>(listening_.size())))
         return {listening_[i]->Accept(), i};
-  throw std::runtime_error("no runner was called");
+  throw std::runtime_error("timed out while waiting for a connection to a runner");
 }
 
 void Testbed::Pause() { poll(nullptr, 0, 5); }
--- a/tests/system/dataplane/world.h
+++ b/tests/system/dataplane/world.h
@@ -1,4 +1,4 @@
-// A data plane on loopback with stand-in runners, for tests.
+// Test fixture: a data plane on loopback with fake runners.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 namespace lichenlug::dataplane::test {
 
 // Routes of host h.example: /safe/, /unsafe/, /stream/, /resume/, and /key/ (needs key k1 of tenant t1);
-// /model/ goes to a service with an engine, /model-unsafe/ too.
+// /model/ goes to a service with an engine. /once/ allows one try, /short/ has a deadline of 150 ms.
 messages::Configuration UsualConfiguration();
 
 struct RunnerPlan {
@@ -31,11 +31,11 @@
   void CloseRunner(std::size_t at) { listening_[at]->Close(); }
   Socket Client() const { return Socket::ConnectTo(port_); }
   void Install(messages::Configuration configuration);
-  void Load(std::size_t runner, const std::string& model);  // under the usual configuration
+  void Load(std::size_t runner, const std::string& model);  // installs the default configuration, too
   std::size_t RunnerIndex(const std::string& runner_id) const;
-  // Waits until one of the runners is called; the connection and which one it is.
+  // Waits until one of the runners gets a connection; returns the connection and the runner's index.
   std::pair<Socket, std::size_t> AcceptAny();
-  // Waits until the data plane's report fits.
+  // Waits until the data plane's report satisfies the predicate; false: timed out.
   template <typename Fits>
   bool Await(Fits fits) {
     for (int tries = 0; tries < 1000; ++tries) {
@@ -58,7 +58,7 @@
 std::string Get(std::string_view target, std::string_view id, std::string_view more = "");
 std::string Post(std::string_view target, std::string_view id, std::string_view body,
                  std::string_view more = "");
-// A runner's answer with a stamp.
+// A runner's response with a stamp.
 std::string Answer(int status, std::string_view id, std::string_view body, std::string_view more = "");
 std::string NotRun(int status, std::string_view id, std::string_view more = "");
 std::string StreamHead(std::string_view id, std::string_view stamp = "s1");
