--- a/src/dataplane/attempt.cpp
+++ b/src/dataplane/attempt.cpp
@@ -49,8 +49,7 @@
           return attempt->Fail(AttemptOutcome::kConnectFailed);
         attempt->Transmit();
       });
-  if (connection_ == nullptr)
-    return Fail(AttemptOutcome::kNotRun);  // a local limit, not a fault of the runner
+  if (connection_ == nullptr) return Fail(AttemptOutcome::kNotRun);  // not a runner fault
   connection_->set_user(this);
 }
 
--- a/src/dataplane/client_connection.cpp
+++ b/src/dataplane/client_connection.cpp
@@ -14,9 +14,8 @@
 constexpr Time kIdleMargin = 500 * kMillisecond;  // allows for the network delay of a request sent in time
 constexpr Time kEndingRetry = 50 * kMillisecond;  // another dispatcher serves the retry
 constexpr Time kNoConfigurationRetry = 200 * kMillisecond, kFullRetry = 300 * kMillisecond;
-constexpr std::size_t kMaxWaitingBody =
-    16 * 1024;                         // requests with larger bodies do not wait for a configuration
-constexpr int kUserTimeoutMs = 15000;  // detects a client machine that lost power
+constexpr std::size_t kMaxWaitingBody = 16 * 1024;  // larger requests do not wait for a configuration
+constexpr int kUserTimeoutMs = 15000;               // detects a client machine that lost power
 
 HttpOptions OptionsOfClients(const ClientBounds& bounds) {
   HttpOptions options;
--- a/src/dataplane/exchange_stream.cpp
+++ b/src/dataplane/exchange_stream.cpp
@@ -7,8 +7,8 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kMaxUnsent =
-    64 * 1024;  // for a client that reads slowly; beyond it, reading from the runner pauses
+// Bytes buffered for a slow client, beyond which reading from the runner pauses.
+constexpr std::size_t kMaxUnsent = 64 * 1024;
 
 }  // namespace
 
--- a/src/dataplane/runner_pool.cpp
+++ b/src/dataplane/runner_pool.cpp
@@ -23,7 +23,7 @@
 // A machine that lost power sends nothing. Keep-alive probes distinguish it from a runner that is only
 // silent.
 constexpr int kUserTimeoutMs = 2500, kProbeAfterS = 1, kProbeEveryS = 1;
-constexpr std::size_t kMaxBufferedAnswer = std::size_t{1} << 40;  // no limit here: the user limits each piece
+constexpr std::size_t kMaxBufferedAnswer = std::size_t{1} << 40;  // the user limits it piece by piece
 
 std::string KeyOf(const std::string& runner_id, const std::string& address) {
   return runner_id + '\n' + address;
--- a/src/dataplane/runner_watch.cpp
+++ b/src/dataplane/runner_watch.cpp
@@ -9,10 +9,9 @@
 namespace {
 
 constexpr Time kCheckInterval = 150 * kMillisecond;
-constexpr Time kOwnPause =
-    100 * kMillisecond;                 // this process was delayed: such a check says nothing about runners
-constexpr int kAskAfterLooks = 3;       // checks without bytes before a probe
-constexpr int kAskAgainAfterLooks = 7;  // checks before the next probe of a machine that responded
+constexpr Time kOwnPause = 100 * kMillisecond;  // a later check is ignored: this process was delayed
+constexpr int kAskAfterLooks = 3;               // checks without bytes before a probe
+constexpr int kAskAgainAfterLooks = 7;          // checks before the next probe of a machine that responded
 
 }  // namespace
 
