--- a/src/dataplane/attempt.cpp
+++ b/src/dataplane/attempt.cpp
@@ -7,8 +7,8 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kMaxKept = 1u << 20;    // of a body; a larger one is forwarded as it arrives
-constexpr std::size_t kWithHead = 16 * 1024;  // a body up to this size is sent together with its head
+constexpr std::size_t kMaxKept = 1u << 20;    // a larger body is forwarded as it arrives
+constexpr std::size_t kWithHead = 16 * 1024;  // a smaller body is sent together with its head
 
 bool HasType(const HttpMessage& head, std::string_view type) {
   const std::string* value = head.Header(header::kContentType);
--- a/src/dataplane/client_connection.h
+++ b/src/dataplane/client_connection.h
@@ -67,7 +67,7 @@
   std::function<void()> over_;
   std::shared_ptr<HttpConnection> http_;
   Stage stage_ = Stage::kIdle;
-  Time since_ = 0, due_ = 0;  // of the current stage; due 0: no time limit
+  Time since_ = 0, due_ = 0;  // begin and deadline of the current stage; 0: no deadline
   Time arrived_ = 0;          // when the request's head was complete
   bool close_after_ = false;  // after the current response
   routing::RequestNumber exchange_ = 0;
--- a/tests/system/dataplane/retries_test.cpp
+++ b/tests/system/dataplane/retries_test.cpp
@@ -125,7 +125,7 @@
   CHECK(testbed.Await([](const Report& report) {
     return report.demand.size() == 1 && report.demand[0].unserved > 0;  // reported at once
   }));
-  client.Send(Post("/model/x", "a2", "b", words + "8000\r\n"));  // the remaining deadline after the first try
+  client.Send(Post("/model/x", "a2", "b", words + "8000\r\n"));  // left after the first try
   CHECK(testbed.Await([](const Report& report) { return report.in_work == 1; }));
   testbed.Load(0, "m1");
   Socket runner = testbed.runner(0).Accept();
