--- a/src/dataplane/attempt.cpp
+++ b/src/dataplane/attempt.cpp
@@ -7,8 +7,8 @@
 
 using routing::AttemptOutcome;
 
-constexpr std::size_t kMaxKept = 1u << 20;    // a larger body is forwarded as it arrives
-constexpr std::size_t kWithHead = 16 * 1024;  // a smaller body is sent together with its head
+constexpr std::size_t kMaxBufferedBody = 1u << 20;   // a larger body is forwarded as it arrives
+constexpr std::size_t kMaxBodyWithHead = 16 * 1024;  // a smaller body is sent together with its head
 
 bool HasType(const HttpMessage& head, std::string_view type) {
   const std::string* value = head.Header(header::kContentType);
@@ -18,7 +18,9 @@
 
 // Statuses that guarantee a client that its request has not run. From a runner they count only together with
 // its Not-Run header.
-bool IsPromise(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+bool StatusMeansNotRun(int status) {
+  return status == 408 || status == 421 || status == 429 || status == 503;
+}
 
 }  // namespace
 
@@ -38,23 +40,23 @@
   if (connection_ != nullptr) {
     connection_->set_user(this);
     connection_->http().Next();
-    return Transmit();
+    return SendRequest();
   }
   connection_ =
       pool_->Connect(settings_.runner_id, settings_.address, [weak = weak_from_this()](bool connected) {
         const auto attempt = weak.lock();
-        if (attempt == nullptr || attempt->stage_ == Stage::kOver) return;
+        if (attempt == nullptr || attempt->stage_ == Stage::kDone) return;
         // A runner with too many connections resets new ones after accepting them.
         if (!connected || attempt->connection_->http().HasUnread())
           return attempt->Fail(AttemptOutcome::kConnectFailed);
-        attempt->Transmit();
+        attempt->SendRequest();
       });
   if (connection_ == nullptr) return Fail(AttemptOutcome::kNotRun);  // not a runner fault
   connection_->set_user(this);
 }
 
 void Attempt::Stop() {
-  stage_ = Stage::kOver;
+  stage_ = Stage::kDone;
   watch_.reset();
   owner_ = nullptr;
   if (connection_ != nullptr) connection_->set_user(nullptr);
@@ -65,90 +67,93 @@
   if (connection_ != nullptr) connection_->http().PauseReading(pause);
 }
 
-void Attempt::Transmit() {
-  const Time left = settings_.deadline - clock_->Now();
-  if (left < kMillisecond) return;  // the owner's deadline handler is about to run
-  AttemptWords words;
-  words.runner_id = settings_.runner_id, words.tenant = settings_.tenant;
-  words.left = left, words.priority = settings_.priority, words.last_event_id = settings_.last_event_id;
-  std::string bytes = FormatRequestHead(*request_, words);
+void Attempt::SendRequest() {
+  const Time time_left = settings_.deadline - clock_->Now();
+  if (time_left < kMillisecond) return;  // the owner's deadline handler is about to run
+  AttemptHeaders added_headers;
+  added_headers.runner_id = settings_.runner_id, added_headers.tenant = settings_.tenant;
+  added_headers.time_left = time_left, added_headers.priority = settings_.priority,
+  added_headers.last_event_id = settings_.last_event_id;
+  std::string bytes = FormatRequestHead(*request_, added_headers);
   const std::string& body = request_->message.body;
-  const bool together = body.size() <= kWithHead;
+  const bool together = body.size() <= kMaxBodyWithHead;
   if (together) bytes.append(body);
   stage_ = Stage::kSent, sent_ = true;
   connection_->http().ExpectNoBody(request_->IsHead());
   connection_->http().Send(bytes);
   if (!together) connection_->http().Send(body);
-  if (settings_.watches_runner) WatchRunner();
+  if (settings_.watch_runner) WatchRunner();
 }
 
 void Attempt::WatchRunner() {
   watch_ = pool_->Watch(settings_.runner_id, settings_.address, [weak = weak_from_this()] {
     const auto attempt = weak.lock();
-    if (attempt != nullptr && attempt->stage_ != Stage::kOver && attempt->owner_ != nullptr)
-      attempt->owner_->RunnerUnreachable(*attempt);
+    if (attempt != nullptr && attempt->stage_ != Stage::kDone && attempt->owner_ != nullptr)
+      attempt->owner_->OnRunnerUnreachable(*attempt);
   });
 }
 
 // Classifies a response by its head. A response without the runner's stamp may not come from the runner.
-Attempt::Verdict Attempt::Judge(const HttpMessage& head) const {
+Attempt::ResponseClass Attempt::Classify(const HttpMessage& head) const {
   const int status = head.status;
-  const bool promised = head.Header(header::kNotRun) != nullptr;
-  if (status == 421 || (promised && (IsPromise(status) || status == 400))) return Verdict::kNotRun;
-  if (IsPromise(status) || head.Header(header::kContentEncoding) != nullptr) return Verdict::kBroken;
-  if (status < 500 && head.Header(header::kRunnerStamp) == nullptr) return Verdict::kBroken;
+  const bool marked_not_run = head.Header(header::kNotRun) != nullptr;
+  if (status == 421 || (marked_not_run && (StatusMeansNotRun(status) || status == 400)))
+    return ResponseClass::kNotRun;
+  if (StatusMeansNotRun(status) || head.Header(header::kContentEncoding) != nullptr)
+    return ResponseClass::kBroken;
+  if (status < 500 && head.Header(header::kRunnerStamp) == nullptr) return ResponseClass::kBroken;
   const bool events = settings_.expects_events && status / 100 == 2 && !request_->IsHead() &&
                       HasType(head, header::kEventStreamType);
-  return events ? Verdict::kEvents : Verdict::kAnswer;
+  return events ? ResponseClass::kEventStream : ResponseClass::kResponse;
 }
 
-void Attempt::HeadCame(const HttpMessage& head) {
-  if (watch_) watch_->Heard();
+void Attempt::OnHead(const HttpMessage& head) {
+  if (watch_) watch_->OnBytes();
   if (head.status < 200) return;  // interim response
   if (stage_ != Stage::kSent)
     return Fail(stage_ == Stage::kConnecting ? AttemptOutcome::kConnectFailed : AttemptOutcome::kBroken);
   const std::string* id = head.Header(header::kAttemptId);
   if (id == nullptr) return Fail(AttemptOutcome::kBroken);
   skipping_ = *id != request_->attempt_id;
-  surplus_ = surplus_ || skipping_;
+  saw_other_response_ = saw_other_response_ || skipping_;
   if (skipping_) return;
-  stage_ = Stage::kAnswering;
-  verdict_ = Judge(head);
-  if (verdict_ == Verdict::kBroken) return Fail(AttemptOutcome::kBroken);
+  stage_ = Stage::kReceiving;
+  response_class_ = Classify(head);
+  if (response_class_ == ResponseClass::kBroken) return Fail(AttemptOutcome::kBroken);
   head_ = head;
-  if (verdict_ != Verdict::kEvents) return;
+  if (response_class_ != ResponseClass::kEventStream) return;
   stage_ = Stage::kStreaming;
-  owner_->StreamBegan(*this, head_, /*events=*/true);
+  owner_->OnStreamBegin(*this, head_, /*events=*/true);
 }
 
-void Attempt::PieceCame(std::string_view piece) {
-  if (watch_) watch_->Heard();
+void Attempt::OnBodyChunk(std::string_view piece) {
+  if (watch_) watch_->OnBytes();
   if (skipping_) return;
-  if (stage_ == Stage::kStreaming) return owner_->StreamBytes(*this, piece);
+  if (stage_ == Stage::kStreaming) return owner_->OnStreamBytes(*this, piece);
   body_.append(piece);
-  if (body_.size() <= kMaxKept || stage_ != Stage::kAnswering) return;
-  if (verdict_ == Verdict::kNotRun) return Fail(NotRunOutcome(head_));
+  if (body_.size() <= kMaxBufferedBody || stage_ != Stage::kReceiving) return;
+  if (response_class_ == ResponseClass::kNotRun) return Fail(NotRunOutcome(head_));
   const auto self = shared_from_this();
   stage_ = Stage::kStreaming;
-  owner_->StreamBegan(*this, head_, /*events=*/false);
-  if (stage_ == Stage::kStreaming) owner_->StreamBytes(*this, std::exchange(body_, {}));
+  owner_->OnStreamBegin(*this, head_, /*events=*/false);
+  if (stage_ == Stage::kStreaming) owner_->OnStreamBytes(*this, std::exchange(body_, {}));
 }
 
-void Attempt::MessageCame(HttpMessage message) {
-  if (stage_ == Stage::kOver) return;
+void Attempt::OnMessage(HttpMessage message) {
+  if (stage_ == Stage::kDone) return;
   if (std::exchange(skipping_, false)) return connection_->http().Next();
   const auto self = shared_from_this();
   AttemptOwner* const owner = owner_;
   const bool streamed = stage_ == Stage::kStreaming;
   Release(message);
-  if (streamed) return owner->StreamEnded(*this);
-  if (verdict_ == Verdict::kNotRun) return owner->AttemptFailed(*this, NotRunOutcome(message));
+  if (streamed) return owner->OnStreamEnd(*this);
+  if (response_class_ == ResponseClass::kNotRun) return owner->OnAttemptFailed(*this, NotRunOutcome(message));
   message.body = std::move(body_);
-  owner->AnswerCame(*this, std::move(message));
+  owner->OnResponse(*this, std::move(message));
 }
 
-void Attempt::ConnectionEnded(HttpConnection::End) {
-  if (stage_ == Stage::kOver) return;
+void Attempt::OnConnectionEnd(HttpConnection::End) {
+  if (stage_ == Stage::kDone) return;
   Fail(stage_ == Stage::kConnecting ? AttemptOutcome::kConnectFailed : AttemptOutcome::kBroken);
 }
 
@@ -160,24 +165,24 @@
 }
 
 // The HTTP exchange is complete. The connection is returned to the pool only if it has carried nothing else.
-void Attempt::Release(const HttpMessage& answer) {
-  stage_ = Stage::kOver;
+void Attempt::Release(const HttpMessage& response) {
+  stage_ = Stage::kDone;
   watch_.reset();
   const RunnerPool::Connection connection = std::move(connection_);
   connection_.reset();
   connection->set_user(nullptr);
-  const bool fit = answer.keep_alive && !surplus_ && connection->http().Written();
-  if (fit) pool_->Keep(connection, answer);  // TakeIdle() checks for surplus bytes before reuse
+  const bool reusable = response.keep_alive && !saw_other_response_ && connection->http().Written();
+  if (reusable) pool_->PutIdle(connection, response);  // TakeIdle() checks for surplus bytes before reuse
 }
 
 void Attempt::Fail(AttemptOutcome outcome) {
-  if (stage_ == Stage::kOver) return;
+  if (stage_ == Stage::kDone) return;
   const auto self = shared_from_this();
   AttemptOwner* const owner = owner_;
   Stop();
   // A request that fails before its first byte was sent can't have run.
   if (!sent_ && outcome == AttemptOutcome::kBroken) outcome = AttemptOutcome::kConnectFailed;
-  if (owner != nullptr) owner->AttemptFailed(*this, outcome);
+  if (owner != nullptr) owner->OnAttemptFailed(*this, outcome);
 }
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/attempt.h
+++ b/src/dataplane/attempt.h
@@ -14,20 +14,20 @@
 
 class Attempt;
 
-// The last call to an owner is one of AnswerCame, StreamEnded and AttemptFailed. The owner may release the
+// The last call to an owner is one of OnResponse, OnStreamEnd and OnAttemptFailed. The owner may release the
 // attempt within any call.
 class AttemptOwner {
  public:
   virtual ~AttemptOwner() = default;
-  virtual void AnswerCame(Attempt& attempt, HttpMessage answer) = 0;  // complete
+  virtual void OnResponse(Attempt& attempt, HttpMessage response) = 0;  // complete
   // An event stream, or a response too large to be buffered: its bytes follow.
-  virtual void StreamBegan(Attempt& attempt, const HttpMessage& head, bool events) = 0;
-  virtual void StreamBytes(Attempt& attempt, std::string_view bytes) = 0;
-  virtual void StreamEnded(Attempt& attempt) = 0;  // complete
-  virtual void AttemptFailed(Attempt& attempt, routing::AttemptOutcome outcome) = 0;
+  virtual void OnStreamBegin(Attempt& attempt, const HttpMessage& head, bool events) = 0;
+  virtual void OnStreamBytes(Attempt& attempt, std::string_view bytes) = 0;
+  virtual void OnStreamEnd(Attempt& attempt) = 0;  // complete
+  virtual void OnAttemptFailed(Attempt& attempt, routing::AttemptOutcome outcome) = 0;
   // The runner's machine does not respond while the attempt waits for it. This is only a suspicion and not
   // the last call: the attempt continues until its owner stops it.
-  virtual void RunnerUnreachable(Attempt& attempt) = 0;
+  virtual void OnRunnerUnreachable(Attempt& attempt) = 0;
 };
 
 class Attempt : public RunnerConnectionUser, public std::enable_shared_from_this<Attempt> {
@@ -39,7 +39,7 @@
     std::string tenant;         // empty: anonymous
     std::string last_event_id;  // the event after which a stream is resumed; empty: not resumed
     bool expects_events = false;
-    bool watches_runner = false;  // report a runner whose machine does not respond
+    bool watch_runner = false;  // report a runner whose machine does not respond
     Time deadline = 0;
   };
 
@@ -55,20 +55,20 @@
   const std::string& runner_id() const { return settings_.runner_id; }
   bool sent() const { return sent_; }  // some bytes of the request may have been sent
 
-  void HeadCame(const HttpMessage& head) override;
-  void PieceCame(std::string_view piece) override;
-  void MessageCame(HttpMessage message) override;
-  void ConnectionEnded(HttpConnection::End end) override;
+  void OnHead(const HttpMessage& head) override;
+  void OnBodyChunk(std::string_view piece) override;
+  void OnMessage(HttpMessage message) override;
+  void OnConnectionEnd(HttpConnection::End end) override;
 
  private:
-  enum class Stage { kConnecting, kSent, kAnswering, kStreaming, kOver };
-  enum class Verdict { kAnswer, kEvents, kNotRun, kBroken };
+  enum class Stage { kConnecting, kSent, kReceiving, kStreaming, kDone };
+  enum class ResponseClass { kResponse, kEventStream, kNotRun, kBroken };
 
-  void Transmit();
+  void SendRequest();
   void WatchRunner();
-  Verdict Judge(const HttpMessage& head) const;
+  ResponseClass Classify(const HttpMessage& head) const;
   routing::AttemptOutcome NotRunOutcome(const HttpMessage& head) const;
-  void Release(const HttpMessage& answer);
+  void Release(const HttpMessage& response);
   void Fail(routing::AttemptOutcome outcome);
 
   const Settings settings_;
@@ -79,12 +79,12 @@
   RunnerPool::Connection connection_;
   std::unique_ptr<RunnerWatch::Wait> watch_;
   Stage stage_ = Stage::kConnecting;
-  Verdict verdict_ = Verdict::kAnswer;
+  ResponseClass response_class_ = ResponseClass::kResponse;
   HttpMessage head_;
   std::string body_;
   bool sent_ = false;
-  bool surplus_ = false;   // the connection carried a response to another request
-  bool skipping_ = false;  // the current message is a response to another request
+  bool saw_other_response_ = false;  // the connection carried a response to another request
+  bool skipping_ = false;            // the current message is a response to another request
 };
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/client_connection.cpp
+++ b/src/dataplane/client_connection.cpp
@@ -12,14 +12,14 @@
 constexpr Time kSendTimeout = 15 * kSecond;       // for a client to read the rest of its response
 constexpr Time kFinishTimeout = kSecond;          // for a client to close its side
 constexpr Time kIdleMargin = 500 * kMillisecond;  // allows for the network delay of a request sent in time
-constexpr Time kEndingRetry = 50 * kMillisecond;  // another dispatcher serves the retry
-constexpr Time kNoConfigurationRetry = 200 * kMillisecond, kFullRetry = 300 * kMillisecond;
+constexpr Time kShutdownRetryAfter = 50 * kMillisecond;  // another dispatcher serves the retry
+constexpr Time kNoConfigurationRetryAfter = 200 * kMillisecond, kOverloadRetryAfter = 300 * kMillisecond;
 constexpr std::size_t kMaxWaitingBody = 16 * 1024;  // larger requests do not wait for a configuration
-constexpr int kUserTimeoutMs = 15000;               // detects a client machine that lost power
+constexpr int kTcpUserTimeoutMs = 15000;            // detects a client machine that lost power
 
-HttpOptions OptionsOfClients(const ClientBounds& bounds) {
+HttpOptions ClientHttpOptions(const ConnectionLimits& connection_limits) {
   HttpOptions options;
-  options.max_head = bounds.head, options.max_body = bounds.body;
+  options.max_head = connection_limits.max_head_bytes, options.max_body = connection_limits.max_body_bytes;
   options.reading = Reading::kPaced;
   options.keep_name_case = true;
   options.ignore_upgrade = true;
@@ -32,191 +32,193 @@
     : context_(context),
       exchanges_(exchanges),
       http_(std::make_shared<HttpConnection>(std::move(socket), HttpConnection::Side::kServer,
-                                             OptionsOfClients(context->Bounds()))) {}
+                                             ClientHttpOptions(context->Limits()))) {}
 
 ClientConnection::~ClientConnection() { http_->Close(); }
 
-void ClientConnection::Start(std::function<void()> over) {
-  over_ = std::move(over);
+void ClientConnection::Start(std::function<void()> on_closed) {
+  on_closed_ = std::move(on_closed);
   HttpConnection::Events events;
-  events.on_begin = [this] { Enter(Stage::kReadingHead, context_->Bounds().head_time); };
-  events.on_head = [this](const HttpMessage& head) { HeadCame(head); };
-  events.on_message = [this](HttpMessage message) { RequestCame(std::move(message)); };
-  events.on_end = [this](HttpConnection::End end) { Ended(end); };
-  events.on_drained = [this] { Drained(); };
+  events.on_begin = [this] { EnterStage(Stage::kReadingHead, context_->Limits().head_timeout); };
+  events.on_head = [this](const HttpMessage& head) { OnHead(head); };
+  events.on_message = [this](HttpMessage message) { OnRequest(std::move(message)); };
+  events.on_end = [this](HttpConnection::End end) { OnEnd(end); };
+  events.on_drained = [this] { OnWritable(); };
   http_->SetEvents(std::move(events));
   std::error_code ignored;
   http_->socket().set_option(
-      asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(kUserTimeoutMs), ignored);
-  Enter(Stage::kIdle, context_->Bounds().idle + kIdleMargin);
+      asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(kTcpUserTimeoutMs), ignored);
+  EnterStage(Stage::kIdle, context_->Limits().idle_timeout + kIdleMargin);
   http_->Start();
 }
 
-void ClientConnection::Enter(Stage stage, Time timeout) {
+void ClientConnection::EnterStage(Stage stage, Time timeout) {
   stage_ = stage;
-  since_ = context_->Now();
-  due_ = timeout > 0 ? since_ + timeout : 0;
+  stage_began_ = context_->Now();
+  stage_due_ = timeout > 0 ? stage_began_ + timeout : 0;
 }
 
-void ClientConnection::Look(Time now) {
-  if (due_ == 0 || now < due_) return;
+void ClientConnection::CheckTimeout(Time now) {
+  if (stage_due_ == 0 || now < stage_due_) return;
   switch (stage_) {
     case Stage::kIdle:
-      return void(Retire());
+      return void(CloseIfIdle());
     case Stage::kReadingHead:
-      return Fault(408, "the request head timed out: send the complete head without delay");
+      return Reject(408, "the request head timed out: send the complete head without delay");
     case Stage::kReadingBody:
-      return Fault(408, "the request body timed out: send the complete body without delay");
+      return Reject(408, "the request body timed out: send the complete body without delay");
     case Stage::kAwaitingConfiguration:
-      Enter(Stage::kServing, 0);
-      waiting_.reset();
-      return RefuseUnconfigured();
+      EnterStage(Stage::kServing, 0);
+      waiting_request_.reset();
+      return RefuseWithoutConfiguration();
     default:
       return Close();
   }
 }
 
-bool ClientConnection::Retire() {
+bool ClientConnection::CloseIfIdle() {
   if (stage_ != Stage::kIdle || http_->HasUnread()) return false;
   return Finish(), true;
 }
 
 // ---- Requests ----
 
-void ClientConnection::HeadCame(const HttpMessage& head) {
-  Enter(Stage::kReadingBody, kBodyTimeout);
-  arrived_ = since_;
+void ClientConnection::OnHead(const HttpMessage& head) {
+  EnterStage(Stage::kReadingBody, kBodyTimeout);
+  arrived_ = stage_began_;
   if (!head.has_length) return;
-  if (!exchanges_->HasRoom(head.length)) {
-    close_after_ = true;  // the body is not read
-    return SendOwn(503, "too many requests in progress: retry after the delay given in Retry-After",
-                   kFullRetry);
+  if (!exchanges_->CanBuffer(head.length)) {
+    close_after_response_ = true;  // the body is not read
+    return SendLocalResponse(503, "too many requests in progress: retry after the delay given in Retry-After",
+                             kOverloadRetryAfter);
   }
   const std::string* expect = head.Header(header::kExpect);
-  if (expect != nullptr && SameName(*expect, "100-continue") && head.length <= context_->Bounds().body)
+  if (expect != nullptr && SameName(*expect, "100-continue") &&
+      head.length <= context_->Limits().max_body_bytes)
     http_->Send("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-void ClientConnection::RequestCame(HttpMessage message) {
+void ClientConnection::OnRequest(HttpMessage message) {
   if (stage_ != Stage::kReadingBody) return;  // a response was sent before the request was complete
-  close_after_ = !message.keep_alive;
-  Enter(Stage::kServing, 0);
+  close_after_response_ = !message.keep_alive;
+  EnterStage(Stage::kServing, 0);
   ++context_->counters.requests;
   auto parsed = ParseRequest(std::move(message));
-  if (const auto* fault = std::get_if<RequestFault>(&parsed)) return Fault(fault->status, fault->message);
+  if (const auto* error = std::get_if<RequestError>(&parsed)) return Reject(error->status, error->message);
   Request& request = std::get<Request>(parsed);
   if (context_->router != nullptr) return Serve(std::move(request));
-  const Time left = context_->configuration_due - context_->Now();
-  if (left <= 0 || request.message.body.size() > kMaxWaitingBody) return RefuseUnconfigured();
-  waiting_ = std::move(request);
-  Enter(Stage::kAwaitingConfiguration, left);
+  const Time time_left = context_->configuration_deadline - context_->Now();
+  if (time_left <= 0 || request.message.body.size() > kMaxWaitingBody) return RefuseWithoutConfiguration();
+  waiting_request_ = std::move(request);
+  EnterStage(Stage::kAwaitingConfiguration, time_left);
 }
 
-void ClientConnection::ConfigurationCame() {
+void ClientConnection::OnConfiguration() {
   if (stage_ != Stage::kAwaitingConfiguration) return;
-  Enter(Stage::kServing, 0);
-  Serve(*std::exchange(waiting_, std::nullopt));
+  EnterStage(Stage::kServing, 0);
+  Serve(*std::exchange(waiting_request_, std::nullopt));
 }
 
-void ClientConnection::RefuseUnconfigured() {
-  SendOwn(503, "no configuration is available yet: retry after the delay given in Retry-After",
-          kNoConfigurationRetry);
+void ClientConnection::RefuseWithoutConfiguration() {
+  SendLocalResponse(503, "no configuration is available yet: retry after the delay given in Retry-After",
+                    kNoConfigurationRetryAfter);
 }
 
-void ClientConnection::RefuseEnding() {
-  SendOwn(503, "this dispatcher is shutting down: retry after the delay given in Retry-After", kEndingRetry);
+void ClientConnection::RefuseShuttingDown() {
+  SendLocalResponse(503, "this dispatcher is shutting down: retry after the delay given in Retry-After",
+                    kShutdownRetryAfter);
 }
 
 void ClientConnection::Serve(Request request) {
-  if (context_->refusing) return RefuseEnding();
+  if (context_->refusing_requests) return RefuseShuttingDown();
   const auto found = context_->router->Match(request.host, request.message.target, request.authorization);
   if (const auto* refusal = std::get_if<routing::RouteRefusal>(&found))
-    return SendOwn(refusal->status, refusal->message, std::nullopt);
+    return SendLocalResponse(refusal->status, refusal->message, std::nullopt);
   const auto& match = std::get<routing::RouteMatch>(found);
-  if (context_->refusing_streams && match.kind == routing::RouteKind::kStream) return RefuseEnding();
+  if (context_->refusing_streams && match.kind == routing::RouteKind::kStream) return RefuseShuttingDown();
   const auto number = exchanges_->Begin(std::move(request), match, arrived_, this);
   if (number == 0)
-    return SendOwn(503, "too many requests in progress: retry after the delay given in Retry-After",
-                   kFullRetry);
-  if (stage_ == Stage::kServing) exchange_ = number;
+    return SendLocalResponse(503, "too many requests in progress: retry after the delay given in Retry-After",
+                             kOverloadRetryAfter);
+  if (stage_ == Stage::kServing) exchange_number_ = number;
 }
 
-void ClientConnection::Ended(HttpConnection::End end) {
+void ClientConnection::OnEnd(HttpConnection::End end) {
   if (end == HttpConnection::End::kTooLarge)
-    return Fault(413, "the request body is too large: send at most " +
-                          std::to_string(context_->Bounds().body) + " bytes");
+    return Reject(413, "the request body is too large: send at most " +
+                           std::to_string(context_->Limits().max_body_bytes) + " bytes");
   if (end == HttpConnection::End::kMalformed && http_->head_too_large())
-    return Fault(431, "the request head is too large: send at most " +
-                          std::to_string(context_->Bounds().head) + " bytes");
-  if (end == HttpConnection::End::kMalformed) return Fault(400, "malformed HTTP/1.1 request");
-  waiting_.reset();
-  const auto exchange = std::exchange(exchange_, 0);
-  if (exchange != 0) exchanges_->ClientGone(exchange);
+    return Reject(431, "the request head is too large: send at most " +
+                           std::to_string(context_->Limits().max_head_bytes) + " bytes");
+  if (end == HttpConnection::End::kMalformed) return Reject(400, "malformed HTTP/1.1 request");
+  waiting_request_.reset();
+  const auto exchange = std::exchange(exchange_number_, 0);
+  if (exchange != 0) exchanges_->OnClientDisconnect(exchange);
   Close();
 }
 
 // ---- Responses ----
 
-void ClientConnection::Fault(int status, std::string_view line) {
-  close_after_ = true;
-  SendOwn(status, line, std::nullopt);
+void ClientConnection::Reject(int status, std::string_view line) {
+  close_after_response_ = true;
+  SendLocalResponse(status, line, std::nullopt);
 }
 
 // While the process drains, connections are closed after their response, unless another request has already
 // arrived.
-Persistence ClientConnection::PersistenceNow() {
-  if (context_->draining && !http_->HasUnread()) close_after_ = true;
-  return {close_after_, context_->Bounds().idle};
+Persistence ClientConnection::CurrentPersistence() {
+  if (context_->draining && !http_->HasUnread()) close_after_response_ = true;
+  return {close_after_response_, context_->Limits().idle_timeout};
 }
 
-void ClientConnection::SendOwn(int status, std::string_view line, std::optional<Time> retry_after) {
-  http_->Send(FormatOwnAnswer(status, line, retry_after, PersistenceNow()));
-  EndAnswer();
+void ClientConnection::SendLocalResponse(int status, std::string_view line, std::optional<Time> retry_after) {
+  http_->Send(FormatLocalResponse(status, line, retry_after, CurrentPersistence()));
+  EndResponse();
 }
 
 void ClientConnection::SendHead(const HttpMessage& head, Framing framing, std::uint64_t length,
                                 std::string_view body) {
-  http_->Send(FormatAnswerHead(head, framing, length, PersistenceNow()).append(body));
+  http_->Send(FormatResponseHead(head, framing, length, CurrentPersistence()).append(body));
 }
 
 void ClientConnection::SendBody(std::string_view framed) { http_->Send(framed); }
 
-void ClientConnection::EndAnswer() {
-  exchange_ = 0;
-  if (http_->unsent() == 0) return Answered();
-  Enter(Stage::kSending, kSendTimeout);
+void ClientConnection::EndResponse() {
+  exchange_number_ = 0;
+  if (http_->unsent() == 0) return OnResponseSent();
+  EnterStage(Stage::kSending, kSendTimeout);
 }
 
-void ClientConnection::Drained() {
-  if (stage_ == Stage::kSending) return Answered();
-  if (exchange_ != 0) exchanges_->ClientDrained(exchange_);
+void ClientConnection::OnWritable() {
+  if (stage_ == Stage::kSending) return OnResponseSent();
+  if (exchange_number_ != 0) exchanges_->OnClientWritable(exchange_number_);
 }
 
-void ClientConnection::Answered() {
-  if (stage_ == Stage::kOver) return;
-  if (close_after_) return Finish();
-  const ClientBounds bounds = context_->Bounds();
-  Enter(Stage::kIdle, bounds.idle + kIdleMargin);
-  http_->SetBounds(bounds.head, bounds.body);
+void ClientConnection::OnResponseSent() {
+  if (stage_ == Stage::kDone) return;
+  if (close_after_response_) return Finish();
+  const ConnectionLimits connection_limits = context_->Limits();
+  EnterStage(Stage::kIdle, connection_limits.idle_timeout + kIdleMargin);
+  http_->SetBounds(connection_limits.max_head_bytes, connection_limits.max_body_bytes);
   http_->Next();
 }
 
 void ClientConnection::Abort() {
-  exchange_ = 0;
+  exchange_number_ = 0;
   Close();
 }
 
 void ClientConnection::Finish() {
-  if (stage_ == Stage::kOver || stage_ == Stage::kFinishing) return;
-  Enter(Stage::kFinishing, kFinishTimeout);
+  if (stage_ == Stage::kDone || stage_ == Stage::kFinishing) return;
+  EnterStage(Stage::kFinishing, kFinishTimeout);
   http_->Finish([this] { Close(); });
 }
 
 void ClientConnection::Close() {
-  if (stage_ == Stage::kOver) return;
-  Enter(Stage::kOver, 0);
+  if (stage_ == Stage::kDone) return;
+  EnterStage(Stage::kDone, 0);
   http_->Close();
-  if (const auto over = std::exchange(over_, nullptr)) over();
+  if (const auto on_closed = std::exchange(on_closed_, nullptr)) on_closed();
 }
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/client_connection.h
+++ b/src/dataplane/client_connection.h
@@ -6,30 +6,30 @@
 #include <memory>
 #include <optional>
 
-#include "dataplane/answer_sink.h"
 #include "dataplane/context.h"
 #include "dataplane/exchange_table.h"
+#include "dataplane/response_sink.h"
 #include "net/http_connection.h"
 
 namespace lichenlug::dataplane {
 
-class ClientConnection : public AnswerSink {
+class ClientConnection : public ResponseSink {
  public:
   ClientConnection(asio::ip::tcp::socket socket, Context* context, ExchangeTable* exchanges);
   ~ClientConnection() override;
 
   // `over` is called once, when the connection is closed. The object must outlive that call by one iteration
   // of the event loop.
-  void Start(std::function<void()> over);
-  void Look(Time now);  // applies the time limit of the stage; called a few times per second
+  void Start(std::function<void()> on_closed);
+  void CheckTimeout(Time now);  // applies the time limit of the stage; called a few times per second
   // Closes the connection gracefully if it is idle and has no unread bytes.
-  bool Retire();
-  void ConfigurationCame();  // serves a request that waits for the configuration
+  bool CloseIfIdle();
+  void OnConfiguration();  // serves a request that waits for the configuration
   bool idle() const { return stage_ == Stage::kIdle; }
-  Time since() const { return since_; }  // when the current stage began
+  Time stage_began() const { return stage_began_; }  // when the current stage began
 
-  void SendOwn(int status, std::string_view line, std::optional<Time> retry_after) override;
-  void EndAnswer() override;
+  void SendLocalResponse(int status, std::string_view line, std::optional<Time> retry_after) override;
+  void EndResponse() override;
   void Abort() override;
   void SendHead(const HttpMessage& head, Framing framing, std::uint64_t length,
                 std::string_view body) override;
@@ -45,33 +45,33 @@
     kServing,
     kSending,
     kFinishing,
-    kOver
+    kDone
   };
 
-  void Enter(Stage stage, Time timeout);  // 0: no time limit
-  void HeadCame(const HttpMessage& head);
-  void RequestCame(HttpMessage message);
+  void EnterStage(Stage stage, Time timeout);  // 0: no time limit
+  void OnHead(const HttpMessage& head);
+  void OnRequest(HttpMessage message);
   void Serve(Request request);
-  void RefuseUnconfigured();
-  void RefuseEnding();
-  void Ended(HttpConnection::End end);
-  void Drained();
-  void Fault(int status, std::string_view line);  // rejects an invalid request and closes the connection
-  void Answered();
+  void RefuseWithoutConfiguration();
+  void RefuseShuttingDown();
+  void OnEnd(HttpConnection::End end);
+  void OnWritable();
+  void Reject(int status, std::string_view line);  // rejects an invalid request and closes the connection
+  void OnResponseSent();
   void Finish();
   void Close();
-  Persistence PersistenceNow();
+  Persistence CurrentPersistence();
 
   Context* const context_;
   ExchangeTable* const exchanges_;
-  std::function<void()> over_;
+  std::function<void()> on_closed_;
   std::shared_ptr<HttpConnection> http_;
   Stage stage_ = Stage::kIdle;
-  Time since_ = 0, due_ = 0;  // begin and deadline of the current stage; 0: no deadline
-  Time arrived_ = 0;          // when the request's head was complete
-  bool close_after_ = false;  // after the current response
-  routing::RequestNumber exchange_ = 0;
-  std::optional<Request> waiting_;  // the request that waits for the configuration
+  Time stage_began_ = 0, stage_due_ = 0;  // begin and deadline of the current stage; 0: no deadline
+  Time arrived_ = 0;                      // when the request's head was complete
+  bool close_after_response_ = false;     // after the current response
+  routing::RequestNumber exchange_number_ = 0;
+  std::optional<Request> waiting_request_;  // the request that waits for the configuration
 };
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/configuration_log.h
+++ b/src/dataplane/configuration_log.h
@@ -6,6 +6,6 @@
 namespace lichenlug::dataplane {
 
 // `before` is null for the first configuration. Lists routes whose deadline changed, up to a limit.
-void LogInForce(const messages::Configuration* before, const messages::Configuration& now);
+void LogConfigurationChange(const messages::Configuration* before, const messages::Configuration& now);
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/context.h
+++ b/src/dataplane/context.h
@@ -22,9 +22,9 @@
 };
 
 // Limits on client requests and connections: from the configuration, or defaults where it sets none.
-struct ClientBounds {
-  std::size_t head = 16 * 1024, body = 4 * 1024 * 1024;
-  Time head_time = 3 * kSecond, idle = 15 * kSecond;
+struct ConnectionLimits {
+  std::size_t max_head_bytes = 16 * 1024, max_body_bytes = 4 * 1024 * 1024;
+  Time head_timeout = 3 * kSecond, idle_timeout = 15 * kSecond;
 };
 
 struct Context {
@@ -37,15 +37,19 @@
     const Time now = std::chrono::duration_cast<std::chrono::microseconds>(steady).count();
     return now + (snapshot == nullptr ? 0 : snapshot->wall_offset);
   }
-  ClientBounds Bounds() const {
-    ClientBounds bounds;
-    if (snapshot == nullptr || snapshot->configuration == nullptr) return bounds;
+  ConnectionLimits Limits() const {
+    ConnectionLimits connection_limits;
+    if (snapshot == nullptr || snapshot->configuration == nullptr) return connection_limits;
     const auto& limits = snapshot->configuration->limits();
-    if (limits.header_bytes() > 0) bounds.head = static_cast<std::size_t>(limits.header_bytes());
-    if (limits.body_bytes() > 0) bounds.body = static_cast<std::size_t>(limits.body_bytes());
-    if (limits.header_ms() > 0) bounds.head_time = static_cast<Time>(limits.header_ms() * kMillisecond);
-    if (limits.idle_ms() > 0) bounds.idle = static_cast<Time>(limits.idle_ms() * kMillisecond);
-    return bounds;
+    if (limits.header_bytes() > 0)
+      connection_limits.max_head_bytes = static_cast<std::size_t>(limits.header_bytes());
+    if (limits.body_bytes() > 0)
+      connection_limits.max_body_bytes = static_cast<std::size_t>(limits.body_bytes());
+    if (limits.header_ms() > 0)
+      connection_limits.head_timeout = static_cast<Time>(limits.header_ms() * kMillisecond);
+    if (limits.idle_ms() > 0)
+      connection_limits.idle_timeout = static_cast<Time>(limits.idle_ms() * kMillisecond);
+    return connection_limits;
   }
 
   asio::io_context& io;
@@ -57,10 +61,10 @@
   Counters counters;
   CutLog cuts;
   std::function<void()> on_newly_unserved;  // a requested model or adapter was found not to be loaded
-  Time configuration_due = 0;               // until then requests wait for the first configuration
+  Time configuration_deadline = 0;          // until then requests wait for the first configuration
   bool draining = false;
   bool refusing_streams = false;             // a new stream might not end before the process exits
-  bool refusing = false;                     // a new request could not be finished before the process exits
+  bool refusing_requests = false;            // a new request could not be finished before the process exits
   std::string events_buffer, framed_buffer;  // scratch buffers, reused to avoid an allocation per event
 };
 
--- a/src/dataplane/cut_log.h
+++ b/src/dataplane/cut_log.h
@@ -16,7 +16,7 @@
   CutReason reason = CutReason::kNotResumable;
   std::string_view attempt_id, route, runner_id;  // runner_id: of the last attempt
   std::string_view last_failure;                  // how the last attempt ended; empty: it had not ended
-  Time since_arrival = 0, left = 0;               // until now; until the deadline
+  Time since_arrival = 0, time_left = 0;          // until now; until the deadline
   std::int64_t edition_at_arrival = 0, edition_now = 0;
 };
 
@@ -27,7 +27,7 @@
 
  private:
   CutCounts counts_{};
-  TokenBucket lines_;
+  TokenBucket log_limiter_;
 };
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/data_plane.cpp
+++ b/src/dataplane/data_plane.cpp
@@ -15,26 +15,27 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr int kKeptDescriptors = 500;  // reserved for files and for the other sockets of the process
-constexpr std::size_t kBodyShare = 4;  // one part in this many of the memory is for request bodies
-constexpr std::size_t kMaxIdle = 64, kMinIdle = 2;  // idle connections per runner
+constexpr int kReservedDescriptors = 500;      // reserved for files and for the other sockets of the process
+constexpr std::size_t kBodyMemoryDivisor = 4;  // one part in this many of the memory is for request bodies
+constexpr std::size_t kMaxIdleConnections = 64, kMinIdleConnections = 2;  // idle connections per runner
 constexpr Time kPublishInterval = 250 * kMillisecond;
-constexpr double kRefuseStreamsFromPart = 0.3;  // of the grace period
-constexpr double kRefuseFromPart = 0.6;
+constexpr double kRefuseStreamsFromFraction = 0.3;  // of the grace period
+constexpr double kRefuseFromFraction = 0.6;
 constexpr Time kDrainCheckInterval = 50 * kMillisecond;
 
 std::size_t MaxConnections(int descriptors) {
-  return static_cast<std::size_t>(std::max(16, descriptors - kKeptDescriptors)) / 2;
+  return static_cast<std::size_t>(std::max(16, descriptors - kReservedDescriptors)) / 2;
 }
 
 // Half of this dispatcher's share of the connections that a runner accepts, for the service with the lowest
 // limit.
-std::size_t MaxIdle(const routing::Snapshot& snapshot) {
-  int least = 2 * static_cast<int>(kMaxIdle) * std::max(1, snapshot.live_dispatchers);
+std::size_t MaxIdleConnections(const routing::Snapshot& snapshot) {
+  int lowest_limit = 2 * static_cast<int>(kMaxIdleConnections) * std::max(1, snapshot.live_dispatchers);
   if (snapshot.configuration != nullptr)
     for (const auto& service : snapshot.configuration->services())
-      if (service.connection_limit() > 0) least = std::min(least, service.connection_limit());
-  return std::max<std::size_t>(kMinIdle, least / (2 * std::max(1, snapshot.live_dispatchers)));
+      if (service.connection_limit() > 0) lowest_limit = std::min(lowest_limit, service.connection_limit());
+  return std::max<std::size_t>(kMinIdleConnections,
+                               lowest_limit / (2 * std::max(1, snapshot.live_dispatchers)));
 }
 
 }  // namespace
@@ -45,7 +46,7 @@
       : settings_(std::move(settings)),
         context_(io_),
         runners_(io_, &context_.deadlines, MaxConnections(settings_.descriptors)),
-        exchanges_(&context_, &runners_, settings_.memory_bytes / kBodyShare, settings_.seed),
+        exchanges_(&context_, &runners_, settings_.memory_bytes / kBodyMemoryDivisor, settings_.seed),
         listener_(&context_, &exchanges_, MaxConnections(settings_.descriptors)) {}
 
   ~Impl() {
@@ -56,7 +57,7 @@
   bool Start(std::string* error) {
     if (!ServesClients()) return true;
     if (!listener_.Listen(settings_.listen_address, error)) return false;
-    context_.configuration_due = context_.Now() + settings_.configuration_wait;
+    context_.configuration_deadline = context_.Now() + settings_.configuration_wait;
     listener_.Start();
     PublishRegularly();
     thread_ = std::thread([this] { io_.run(); });
@@ -65,13 +66,13 @@
 
   void Install(std::shared_ptr<const routing::Snapshot> snapshot) {
     if (!ServesClients()) return;
-    asio::post(io_, [this, snapshot = std::move(snapshot)] { Installed(snapshot); });
+    asio::post(io_, [this, snapshot = std::move(snapshot)] { OnSnapshot(snapshot); });
   }
 
-  void OnNewlyUnserved(std::function<void()> tell) {
-    context_.on_newly_unserved = [this, tell = std::move(tell)] {
+  void OnNewlyUnserved(std::function<void()> notify) {
+    context_.on_newly_unserved = [this, notify = std::move(notify)] {
       Publish();
-      tell();
+      notify();
     };
   }
 
@@ -84,10 +85,10 @@
     if (!ServesClients()) return;
     asio::post(io_, [this] {
       if (std::exchange(context_.draining, true)) return;
-      drain_began_ = context_.Now();
+      drain_started_at_ = context_.Now();
       LOG(INFO) << "draining with " << exchanges_.size() << " requests in progress on "
                 << listener_.connections() << " connections";
-      LookForEnd();
+      CheckDrained();
     });
   }
 
@@ -96,17 +97,19 @@
  private:
   bool ServesClients() const { return !settings_.listen_address.empty(); }
 
-  void Installed(const std::shared_ptr<const routing::Snapshot>& snapshot) {
+  void OnSnapshot(const std::shared_ptr<const routing::Snapshot>& snapshot) {
     const bool first = context_.router == nullptr;
-    const bool anew = context_.snapshot == nullptr || context_.snapshot->revision != snapshot->revision;
+    const bool is_new_revision =
+        context_.snapshot == nullptr || context_.snapshot->revision != snapshot->revision;
     const std::shared_ptr<const routing::Snapshot> before = std::exchange(context_.snapshot, snapshot);
-    if (anew && snapshot->revision > 0 && snapshot->configuration != nullptr) {
+    if (is_new_revision && snapshot->revision > 0 && snapshot->configuration != nullptr) {
       context_.router = std::make_shared<const routing::Router>(snapshot->configuration);
-      LogInForce(before == nullptr ? nullptr : before->configuration.get(), *snapshot->configuration);
+      LogConfigurationChange(before == nullptr ? nullptr : before->configuration.get(),
+                             *snapshot->configuration);
     }
-    runners_.SetMaxIdle(MaxIdle(*snapshot));
+    runners_.SetMaxIdlePerRunner(MaxIdleConnections(*snapshot));
     exchanges_.Install(snapshot);
-    if (first && context_.router != nullptr) listener_.ConfigurationCame();
+    if (first && context_.router != nullptr) listener_.OnConfiguration();
   }
 
   // The control plane's thread reads a copy, so it never waits for this thread.
@@ -134,18 +137,18 @@
   // second half of the grace period idle connections are closed, and the drain is complete once none is left.
   // Requests that could not be finished in time are refused, streams earlier because they may last for
   // seconds: every request that was read gets a response.
-  void LookForEnd() {
-    const Time since = context_.Now() - drain_began_;
-    const bool late = since >= settings_.grace / 2;
-    if (late) listener_.RetireIdle();
-    const double part = static_cast<double>(since) / static_cast<double>(settings_.grace);
-    context_.refusing_streams = part >= kRefuseStreamsFromPart;
-    context_.refusing = part >= kRefuseFromPart;
-    if (context_.refusing) exchanges_.EndUnsent();
-    const bool nothing_waits = listener_.TakeWaiting();
-    const bool nothing_owed = exchanges_.size() == 0 && listener_.connections() == 0;
-    drained_ = late && nothing_waits && nothing_owed;
-    context_.deadlines.Add(context_.Now() + kDrainCheckInterval, [this] { LookForEnd(); });
+  void CheckDrained() {
+    const Time elapsed = context_.Now() - drain_started_at_;
+    const bool in_second_half = elapsed >= settings_.grace / 2;
+    if (in_second_half) listener_.CloseIdle();
+    const double fraction = static_cast<double>(elapsed) / static_cast<double>(settings_.grace);
+    context_.refusing_streams = fraction >= kRefuseStreamsFromFraction;
+    context_.refusing_requests = fraction >= kRefuseFromFraction;
+    if (context_.refusing_requests) exchanges_.RefuseUnsent();
+    const bool backlog_empty = listener_.AcceptWaiting();
+    const bool none_in_progress = exchanges_.size() == 0 && listener_.connections() == 0;
+    drained_ = in_second_half && backlog_empty && none_in_progress;
+    context_.deadlines.Add(context_.Now() + kDrainCheckInterval, [this] { CheckDrained(); });
   }
 
   const Settings settings_;
@@ -154,7 +157,7 @@
   RunnerPool runners_;
   ExchangeTable exchanges_;
   Listener listener_;
-  Time drain_began_ = 0;
+  Time drain_started_at_ = 0;
   std::atomic<bool> drained_ = false;
   std::mutex mutex_;
   Report report_;
@@ -168,7 +171,7 @@
 void DataPlane::Install(std::shared_ptr<const routing::Snapshot> snapshot) {
   impl_->Install(std::move(snapshot));
 }
-void DataPlane::OnNewlyUnserved(std::function<void()> tell) { impl_->OnNewlyUnserved(std::move(tell)); }
+void DataPlane::OnNewlyUnserved(std::function<void()> notify) { impl_->OnNewlyUnserved(std::move(notify)); }
 Report DataPlane::TakeReport() { return impl_->TakeReport(); }
 void DataPlane::BeginDrain() { impl_->BeginDrain(); }
 bool DataPlane::Drained() { return impl_->Drained(); }
--- a/src/dataplane/data_plane.h
+++ b/src/dataplane/data_plane.h
@@ -35,7 +35,7 @@
   void Install(std::shared_ptr<const routing::Snapshot> snapshot);  // any thread
   // Call before Start(). `tell` is called on the data plane's thread when a requested model or adapter was
   // found not to be loaded; TakeReport() then returns an up-to-date report.
-  void OnNewlyUnserved(std::function<void()> tell);
+  void OnNewlyUnserved(std::function<void()> notify);
   Report TakeReport();  // any thread; never blocks for long
   // On SIGTERM: continues to serve existing and new requests; closes connections as they become idle in the
   // second half of the grace period.
--- a/src/dataplane/event_stream.cpp
+++ b/src/dataplane/event_stream.cpp
@@ -23,15 +23,15 @@
 // line that ends with a CR is passed on without waiting for that byte.
 bool EventStream::Next(std::size_t* begin, Event* event) {
   while (true) {
-    const std::size_t end = held_.find_first_of("\r\n", scanned_);
-    if (end == std::string::npos) return scanned_ = held_.size(), false;
-    const bool blank = end == line_, cr = held_[end] == '\r';
-    if (cr && end + 1 == held_.size() && !blank) return scanned_ = end, false;
-    const std::size_t next = end + (cr && end + 1 < held_.size() && held_[end + 1] == '\n' ? 2 : 1);
-    if (!blank) ReadLine(std::string_view(held_).substr(line_, end - line_));
-    line_ = scanned_ = next;
+    const std::size_t end = buffer_.find_first_of("\r\n", scanned_);
+    if (end == std::string::npos) return scanned_ = buffer_.size(), false;
+    const bool blank = end == line_begin_, cr = buffer_[end] == '\r';
+    if (cr && end + 1 == buffer_.size() && !blank) return scanned_ = end, false;
+    const std::size_t next = end + (cr && end + 1 < buffer_.size() && buffer_[end + 1] == '\n' ? 2 : 1);
+    if (!blank) ReadLine(std::string_view(buffer_).substr(line_begin_, end - line_begin_));
+    line_begin_ = scanned_ = next;
     if (!blank) continue;
-    *event = {std::string_view(held_).substr(*begin, next - *begin), id_, has_field_};
+    *event = {std::string_view(buffer_).substr(*begin, next - *begin), id_, has_field_};
     *begin = next, id_.reset(), has_field_ = false;
     return true;
   }
--- a/src/dataplane/event_stream.h
+++ b/src/dataplane/event_stream.h
@@ -17,30 +17,30 @@
     bool has_field = false;           // false: only comments or blank lines
   };
 
-  explicit EventStream(std::size_t max_event) : max_event_(max_event) {}
+  explicit EventStream(std::size_t max_event_bytes) : max_event_bytes_(max_event_bytes) {}
 
   // Invokes `call` with each event that `bytes` completes. False: an event exceeds the size limit.
   template <typename Call>
   bool Feed(std::string_view bytes, Call call) {
-    held_.append(bytes);
+    buffer_.append(bytes);
     Event event;
-    std::size_t used = 0;
-    while (Next(&used, &event)) call(event);
-    held_.erase(0, used);
-    line_ -= used, scanned_ -= used;
-    return held_.size() <= max_event_;
+    std::size_t consumed = 0;
+    while (Next(&consumed, &event)) call(event);
+    buffer_.erase(0, consumed);
+    line_begin_ -= consumed, scanned_ -= consumed;
+    return buffer_.size() <= max_event_bytes_;
   }
 
-  std::string_view rest() const { return held_; }  // the incomplete event
+  std::string_view rest() const { return buffer_; }  // the incomplete event
 
  private:
   bool Next(std::size_t* begin, Event* event);
   void ReadLine(std::string_view line);
 
-  std::size_t max_event_;
-  std::string held_;
-  std::size_t line_ = 0, scanned_ = 0;  // start of the current line; end of its scanned part
-  std::optional<std::uint64_t> id_;     // of the incomplete event
+  std::size_t max_event_bytes_;
+  std::string buffer_;
+  std::size_t line_begin_ = 0, scanned_ = 0;  // start of the current line; end of its scanned part
+  std::optional<std::uint64_t> id_;           // of the incomplete event
   bool has_field_ = false;
 };
 
--- a/src/dataplane/exchange.cpp
+++ b/src/dataplane/exchange.cpp
@@ -14,13 +14,13 @@
 constexpr Time kDeadlineSlack = 20 * kMillisecond;
 constexpr int kFirstServerError = 500;
 constexpr Time kMinRetryAfter = 50 * kMillisecond;
-constexpr std::string_view kBusy =
+constexpr std::string_view kNoRunnerText =
     "no runner is available for the request: retry after the delay given in Retry-After";
-constexpr std::string_view kBroke =
+constexpr std::string_view kRunnerFailedText =
     "the runner failed during the request: retry only if the request may run twice";
-constexpr std::string_view kLate =
+constexpr std::string_view kDeadlineExpiredText =
     "the deadline expired before a response was available: retry with a longer deadline";
-constexpr std::string_view kRouteGone = "the route of the request changed: retry";
+constexpr std::string_view kRouteChangedText = "the route of the request changed: retry";
 
 bool HasNoBody(const Request& request, int status) {
   return request.IsHead() || status == 204 || status == 304;
@@ -28,25 +28,25 @@
 
 }  // namespace
 
-Exchange::Exchange(Origin origin, Context* context, RunnerPool* runners, ExchangeTable* table)
-    : number_(origin.number),
-      request_(std::make_shared<const Request>(std::move(origin.request))),
-      match_(origin.match),
-      router_(std::move(origin.router)),
-      service_(std::move(origin.service)),
-      arrived_(origin.arrived),
-      deadline_(origin.deadline),
-      came_back_(origin.came_back),
-      since_first_try_(origin.since_first_try),
-      sink_(origin.sink),
+Exchange::Exchange(Params params, Context* context, RunnerPool* runners, ExchangeTable* table)
+    : number_(params.number),
+      request_(std::make_shared<const Request>(std::move(params.request))),
+      match_(params.match),
+      router_(std::move(params.router)),
+      service_(std::move(params.service)),
+      arrived_(params.arrived),
+      deadline_(params.deadline),
+      is_retry_(params.is_retry),
+      since_first_try_(params.since_first_try),
+      sink_(params.sink),
       context_(context),
       runners_(runners),
       table_(table),
-      events_(kMaxHeldEvent) {
-  alarm_ = context_->deadlines.Add(deadline_, [this] { DeadlineCame(); });
+      events_(kMaxEventBytes) {
+  deadline_timer_ = context_->deadlines.Add(deadline_, [this] { OnDeadline(); });
 }
 
-Exchange::~Exchange() { context_->deadlines.Remove(&alarm_); }
+Exchange::~Exchange() { context_->deadlines.Remove(&deadline_timer_); }
 
 routing::Arrival Exchange::ToArrival() const {
   routing::Arrival arrival;
@@ -61,11 +61,11 @@
   arrival.output_tokens = request_->output_tokens;
   arrival.kind = match_.kind;
   arrival.repeatable = match_.repeatable;
-  arrival.came_back = came_back_;
+  arrival.came_back = is_retry_;
   arrival.precedence = match_.precedence;
   arrival.tries = std::max(1, static_cast<int>(match_.route->tries()));
   arrival.objective = static_cast<Time>(match_.route->objective_ms() * kMillisecond);
-  arrival.late = came_back_ && since_first_try_ >= arrival.objective;
+  arrival.late = is_retry_ && since_first_try_ >= arrival.objective;
   arrival.deadline = deadline_;
   return arrival;
 }
@@ -74,8 +74,8 @@
 
 // A request may finish under the configuration it started with, but another attempt requires a matching route
 // in the current one.
-bool Exchange::MayStillGo() {
-  if (started_ == 0 || context_->router == router_) return true;
+bool Exchange::StillRoutable() {
+  if (attempts_started_ == 0 || context_->router == router_) return true;
   if (context_->router == nullptr) return false;
   const auto found =
       context_->router->Match(request_->host, request_->message.target, request_->authorization);
@@ -91,9 +91,9 @@
 }
 
 void Exchange::StartAttempt(const routing::StartAttempt& decision) {
-  if (!MayStillGo()) {
+  if (!StillRoutable()) {
     table_->AttemptEnded(number_, decision.attempt, AttemptOutcome::kCancelled, /*final=*/true);
-    return AnswerOwn({503, kRouteGone, kMinRetryAfter, CutReason::kRouteGone});
+    return FinishWith({503, kRouteChangedText, kMinRetryAfter, CutReason::kRouteGone});
   }
   Attempt::Settings settings;
   settings.number = decision.attempt;
@@ -102,9 +102,9 @@
   if (match_.tenant != nullptr) settings.tenant = match_.tenant->name();
   if (head_sent_ && last_id_) settings.last_event_id = std::to_string(*last_id_);
   settings.expects_events = match_.kind == routing::RouteKind::kStream;
-  settings.watches_runner = match_.repeatable;
+  settings.watch_runner = match_.repeatable;
   settings.deadline = deadline_;
-  ++started_;
+  ++attempts_started_;
   last_runner_ = decision.runner_id, last_failure_ = {};
   const auto attempt =
       std::make_shared<Attempt>(std::move(settings), request_, runners_, &context_->deadlines, this);
@@ -116,7 +116,7 @@
   const auto found = std::find_if(attempts_.begin(), attempts_.end(),
                                   [number](const auto& attempt) { return attempt->number() == number; });
   if (found == attempts_.end()) return;
-  const auto attempt = Remove(**found);
+  const auto attempt = RemoveAttempt(**found);
   may_have_run_ = may_have_run_ || attempt->sent();
   attempt->Stop();
   last_failure_ = ToText(AttemptOutcome::kCancelled);
@@ -124,39 +124,39 @@
 }
 
 void Exchange::Refuse(Time retry_after) {
-  AnswerOwn({503, kBusy, std::max(retry_after, kMinRetryAfter),
-             Late() ? CutReason::kDeadline : CutReason::kNoOtherRunner});
+  FinishWith({503, kNoRunnerText, std::max(retry_after, kMinRetryAfter),
+              NearDeadline() ? CutReason::kDeadline : CutReason::kNoOtherRunner});
 }
 
-bool Exchange::Late() const { return context_->Now() >= deadline_ - kDeadlineSlack; }
+bool Exchange::NearDeadline() const { return context_->Now() >= deadline_ - kDeadlineSlack; }
 
 void Exchange::Fail() {
-  const bool late = Late();
-  AnswerOwn({late ? 504 : 502, late ? kLate : kBroke, std::nullopt,
-             late ? CutReason::kDeadline : CutReason::kNoOtherRunner});
+  const bool near_deadline = NearDeadline();
+  FinishWith({near_deadline ? 504 : 502, near_deadline ? kDeadlineExpiredText : kRunnerFailedText,
+              std::nullopt, near_deadline ? CutReason::kDeadline : CutReason::kNoOtherRunner});
 }
 
 // ---- Client events and the deadline ----
 
-void Exchange::ClientGone() {
+void Exchange::OnClientDisconnect() {
   sink_ = nullptr;
-  table_->Gone(number_);
-  Leave();
+  table_->CloseRequest(number_);
+  EndExchange();
 }
 
-void Exchange::ClientDrained() {
+void Exchange::OnClientWritable() {
   if (suspected_ != nullptr) suspected_->PauseReading(false);
   for (const auto& attempt : attempts_)
     if (attempt.get() == streaming_) attempt->PauseReading(false);
 }
 
-void Exchange::EndIfUnsent() {
+void Exchange::RefuseIfUnsent() {
   const bool sent = std::any_of(attempts_.begin(), attempts_.end(), [](const auto& a) { return a->sent(); });
-  if (!sent && !may_have_run_ && !head_sent_) DeadlineCame();
+  if (!sent && !may_have_run_ && !head_sent_) OnDeadline();
 }
 
 // A request that was sent to no runner is guaranteed not to have run.
-void Exchange::DeadlineCame() {
+void Exchange::OnDeadline() {
   const auto self = shared_from_this();
   const bool sent = std::any_of(attempts_.begin(), attempts_.end(), [](const auto& a) { return a->sent(); });
   may_have_run_ = may_have_run_ || sent;
@@ -167,14 +167,14 @@
     attempt->Stop();
     table_->AttemptEnded(number_, attempt->number(), AttemptOutcome::kTimeout, /*final=*/true);
   }
-  table_->Gone(number_);
-  if (may_have_run_) return AnswerOwn({504, kLate, std::nullopt, CutReason::kDeadline});
-  AnswerOwn({503, kBusy, kMinRetryAfter, CutReason::kDeadline});
+  table_->CloseRequest(number_);
+  if (may_have_run_) return FinishWith({504, kDeadlineExpiredText, std::nullopt, CutReason::kDeadline});
+  FinishWith({503, kNoRunnerText, kMinRetryAfter, CutReason::kDeadline});
 }
 
 // ---- Attempts ----
 
-std::shared_ptr<Attempt> Exchange::Remove(const Attempt& attempt) {
+std::shared_ptr<Attempt> Exchange::RemoveAttempt(const Attempt& attempt) {
   const auto found = std::find_if(attempts_.begin(), attempts_.end(),
                                   [&attempt](const auto& known) { return known.get() == &attempt; });
   if (found == attempts_.end()) return nullptr;
@@ -185,38 +185,38 @@
 }
 
 // One attempt's response is forwarded; the others are no longer needed.
-void Exchange::StopOthers(const Attempt& attempt) {
+void Exchange::StopOtherAttempts(const Attempt& attempt) {
   if (suspected_ != nullptr && suspected_.get() != &attempt) std::exchange(suspected_, nullptr)->Stop();
-  after_suspected_.reset();
+  response_after_suspected_.reset();
   const auto all = attempts_;
   for (const auto& other : all) {
     if (other.get() == &attempt) continue;
-    const auto stopped = Remove(*other);
+    const auto stopped = RemoveAttempt(*other);
     stopped->Stop();
     table_->AttemptEnded(number_, stopped->number(), AttemptOutcome::kCancelled, /*final=*/true);
   }
 }
 
-void Exchange::CountStart(const Attempt& attempt) {
+void Exchange::RecordStart(const Attempt& attempt) {
   table_->FirstEvent(number_, attempt.number());
   if (std::exchange(counted_, true) || match_.tenant == nullptr || context_->snapshot == nullptr) return;
   context_->usage.Count(context_->WallNow(), context_->snapshot->bounds.report_window, match_.tenant->name());
 }
 
-void Exchange::AnswerCame(Attempt& attempt, HttpMessage answer) {
+void Exchange::OnResponse(Attempt& attempt, HttpMessage response) {
   const auto self = shared_from_this();
   // A plain response can't replace the rest of a stream.
-  if (head_sent_) return AttemptFailed(attempt, AttemptOutcome::kBroken);
-  TakeBack(attempt);
-  const bool is_error = IsServerError(answer.status);
-  if (is_error && match_.repeatable && !decided_) return ServerErrorCame(attempt, std::move(answer));
-  StopOthers(attempt);
-  const auto removed = Remove(attempt);
-  CountStart(attempt);
-  PassAnswer(std::move(answer));
+  if (head_sent_) return OnAttemptFailed(attempt, AttemptOutcome::kBroken);
+  ResumeSuspected(attempt);
+  const bool is_error = IsServerError(response.status);
+  if (is_error && match_.repeatable && !decisions_closed_) return OnServerError(attempt, std::move(response));
+  StopOtherAttempts(attempt);
+  const auto removed = RemoveAttempt(attempt);
+  RecordStart(attempt);
+  ForwardResponse(std::move(response));
   table_->AttemptEnded(number_, attempt.number(),
                        is_error ? AttemptOutcome::kServerError : AttemptOutcome::kServed, /*final=*/true);
-  Leave();
+  EndExchange();
 }
 
 bool Exchange::IsServerError(int status) const {
@@ -226,85 +226,85 @@
 }
 
 // Another runner may succeed; the error is forwarded if none does.
-void Exchange::ServerErrorCame(Attempt& attempt, HttpMessage answer) {
-  const auto removed = Remove(attempt);
-  CountStart(attempt);
+void Exchange::OnServerError(Attempt& attempt, HttpMessage response) {
+  const auto removed = RemoveAttempt(attempt);
+  RecordStart(attempt);
   may_have_run_ = true;
   last_failure_ = ToText(AttemptOutcome::kServerError);
-  server_error_ = std::move(answer);
+  server_error_ = std::move(response);
   table_->AttemptEnded(number_, attempt.number(), AttemptOutcome::kServerError, /*final=*/false);
 }
 
 // Forwards a runner's complete response.
-void Exchange::PassAnswer(HttpMessage answer) {
-  const bool none = HasNoBody(*request_, answer.status);
-  const bool told = none && answer.status != 204 && answer.has_length && answer.length > 0;
-  const std::uint64_t length = none ? answer.length : answer.body.size();
+void Exchange::ForwardResponse(HttpMessage response) {
+  const bool no_body = HasNoBody(*request_, response.status);
+  const bool states_length = no_body && response.status != 204 && response.has_length && response.length > 0;
+  const std::uint64_t length = no_body ? response.length : response.body.size();
   if (sink_ != nullptr) {
-    sink_->SendHead(answer, none && !told ? Framing::kNone : Framing::kLength, length,
-                    none ? std::string_view() : std::string_view(answer.body));
-    std::exchange(sink_, nullptr)->EndAnswer();
+    sink_->SendHead(response, no_body && !states_length ? Framing::kNone : Framing::kLength, length,
+                    no_body ? std::string_view() : std::string_view(response.body));
+    std::exchange(sink_, nullptr)->EndResponse();
   }
-  ++(answer.status / 100 == 2 ? context_->counters.served : context_->counters.failed);
+  ++(response.status / 100 == 2 ? context_->counters.served : context_->counters.failed);
 }
 
-void Exchange::AttemptFailed(Attempt& attempt, AttemptOutcome outcome) {
+void Exchange::OnAttemptFailed(Attempt& attempt, AttemptOutcome outcome) {
   const auto self = shared_from_this();
-  if (suspected_.get() == &attempt) return SuspectedFailed();
-  const auto removed = Remove(attempt);
+  if (suspected_.get() == &attempt) return OnSuspectedFailed();
+  const auto removed = RemoveAttempt(attempt);
   if (removed == nullptr) return;
   removed->Stop();
   if (last_failure_.empty()) last_failure_ = ToText(outcome);
   may_have_run_ = may_have_run_ || outcome == AttemptOutcome::kBroken;
-  if (decided_) return AnswerOwn({502, kBroke, std::nullopt, CutReason::kNotResumable});
+  if (decisions_closed_) return FinishWith({502, kRunnerFailedText, std::nullopt, CutReason::kNotResumable});
   const bool final = head_sent_ && !Resumable();
   table_->AttemptEnded(number_, attempt.number(), outcome, final);
-  if (final) Cut(CutReason::kNotResumable);
+  if (final) Truncate(CutReason::kNotResumable);
 }
 
 // ---- End of the exchange ----
 
 // A request that may have run must not get a status that says it has not run; a response that has begun can
 // only be truncated.
-void Exchange::AnswerOwn(OwnAnswer answer) {
+void Exchange::FinishWith(LocalResponse response) {
   const auto self = shared_from_this();
-  if (suspected_ != nullptr && !Late()) return void(after_suspected_ = answer);
-  if (head_sent_) return Cut(answer.reason);
+  if (suspected_ != nullptr && !NearDeadline()) return void(response_after_suspected_ = response);
+  if (head_sent_) return Truncate(response.reason);
   if (server_error_) {
-    PassAnswer(*std::exchange(server_error_, std::nullopt));
-    return Leave();
+    ForwardResponse(*std::exchange(server_error_, std::nullopt));
+    return EndExchange();
   }
   for (const auto& attempt : attempts_) may_have_run_ = may_have_run_ || attempt->sent();
-  if (answer.status == 503 && may_have_run_) {
-    const bool late = Late();
-    answer.status = late ? 504 : 502;
-    answer.line = late ? kLate : kBroke;
-    answer.retry_after.reset();
+  if (response.status == 503 && may_have_run_) {
+    const bool near_deadline = NearDeadline();
+    response.status = near_deadline ? 504 : 502;
+    response.line = near_deadline ? kDeadlineExpiredText : kRunnerFailedText;
+    response.retry_after.reset();
   }
-  ++(answer.status == 503 ? context_->counters.refused : context_->counters.failed);
+  ++(response.status == 503 ? context_->counters.refused : context_->counters.failed);
   if (sink_ != nullptr)
-    std::exchange(sink_, nullptr)->SendOwn(answer.status, answer.line, answer.retry_after);
-  Leave();
+    std::exchange(sink_, nullptr)->SendLocalResponse(response.status, response.line, response.retry_after);
+  EndExchange();
 }
 
-void Exchange::Cut(CutReason reason) {
+void Exchange::Truncate(CutReason reason) {
   const Time now = context_->Now();
   dataplane::Cut cut;
   cut.reason = reason;
   cut.attempt_id = request_->attempt_id, cut.route = match_.route->name();
   cut.runner_id = last_runner_, cut.last_failure = last_failure_;
-  cut.since_arrival = now - arrived_, cut.left = deadline_ - now;
+  cut.since_arrival = now - arrived_, cut.time_left = deadline_ - now;
   cut.edition_at_arrival = router_->edition();
   cut.edition_now = context_->router == nullptr ? 0 : context_->router->edition();
   context_->cuts.Record(now, cut);
   ++context_->counters.failed;
   if (sink_ != nullptr) std::exchange(sink_, nullptr)->Abort();
-  Leave();
+  EndExchange();
 }
 
-void Exchange::Leave() {
+void Exchange::EndExchange() {
   const auto self = shared_from_this();
-  context_->deadlines.Remove(&alarm_);
+  context_->deadlines.Remove(&deadline_timer_);
   if (const auto suspected = std::exchange(suspected_, nullptr)) suspected->Stop();
   const auto running = std::move(attempts_);
   attempts_.clear();
--- a/src/dataplane/exchange.h
+++ b/src/dataplane/exchange.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "dataplane/answer_sink.h"
 #include "dataplane/attempt.h"
 #include "dataplane/context.h"
 #include "dataplane/event_stream.h"
 #include "dataplane/request.h"
+#include "dataplane/response_sink.h"
 #include "routing/decisions.h"
 #include "routing/router.h"
 
@@ -19,23 +19,23 @@
 
 class ExchangeTable;
 
-inline constexpr std::size_t kMaxHeldEvent = 1u << 20;  // size limit of an incomplete event
+inline constexpr std::size_t kMaxEventBytes = 1u << 20;  // size limit of an incomplete event
 
 class Exchange : public AttemptOwner, public std::enable_shared_from_this<Exchange> {
  public:
-  struct Origin {
+  struct Params {
     routing::RequestNumber number = 0;
     Request request;
     routing::RouteMatch match;
     std::shared_ptr<const routing::Router> router;  // owns what `match` points to
     std::string service;
     Time arrived = 0, deadline = 0;
-    bool came_back = false;      // estimate: the client was refused before
-    Time since_first_try = 0;    // estimate
-    AnswerSink* sink = nullptr;  // valid until the exchange ends
+    bool is_retry = false;         // estimate: the client was refused before
+    Time since_first_try = 0;      // estimate
+    ResponseSink* sink = nullptr;  // valid until the exchange ends
   };
 
-  Exchange(Origin origin, Context* context, RunnerPool* runners, ExchangeTable* table);
+  Exchange(Params params, Context* context, RunnerPool* runners, ExchangeTable* table);
   ~Exchange() override;
 
   routing::Arrival ToArrival() const;
@@ -48,41 +48,41 @@
   void Fail();
 
   // Events of the client connection and of the process.
-  void ClientGone();
-  void ClientDrained();
-  void EndIfUnsent();  // at shutdown: refuses the request unless a runner may have received it
+  void OnClientDisconnect();
+  void OnClientWritable();
+  void RefuseIfUnsent();  // at shutdown: refuses the request unless a runner may have received it
 
-  void AnswerCame(Attempt& attempt, HttpMessage answer) override;
-  void StreamBegan(Attempt& attempt, const HttpMessage& head, bool events) override;
-  void StreamBytes(Attempt& attempt, std::string_view bytes) override;
-  void StreamEnded(Attempt& attempt) override;
-  void AttemptFailed(Attempt& attempt, routing::AttemptOutcome outcome) override;
-  void RunnerUnreachable(Attempt& attempt) override;
+  void OnResponse(Attempt& attempt, HttpMessage response) override;
+  void OnStreamBegin(Attempt& attempt, const HttpMessage& head, bool events) override;
+  void OnStreamBytes(Attempt& attempt, std::string_view bytes) override;
+  void OnStreamEnd(Attempt& attempt) override;
+  void OnAttemptFailed(Attempt& attempt, routing::AttemptOutcome outcome) override;
+  void OnRunnerUnreachable(Attempt& attempt) override;
 
  private:
-  void DeadlineCame();
-  void TakeBack(const Attempt& attempt);
-  void SuspectedFailed();
-  bool Late() const;
-  bool MayStillGo();
+  void OnDeadline();
+  void ResumeSuspected(const Attempt& attempt);
+  void OnSuspectedFailed();
+  bool NearDeadline() const;
+  bool StillRoutable();
   bool Resumable() const;
-  void PassEvents(std::string_view bytes, std::string* out, bool* first);
+  void AppendNewEvents(std::string_view bytes, std::string* out, bool* first);
   void SendStream(const Attempt& attempt, std::string_view bytes);
-  void CountStart(const Attempt& attempt);
-  std::shared_ptr<Attempt> Remove(const Attempt& attempt);
-  void StopOthers(const Attempt& attempt);
-  struct OwnAnswer {  // `reason` applies if a response head was already sent
+  void RecordStart(const Attempt& attempt);
+  std::shared_ptr<Attempt> RemoveAttempt(const Attempt& attempt);
+  void StopOtherAttempts(const Attempt& attempt);
+  struct LocalResponse {  // `reason` applies if a response head was already sent
     int status = 503;
     std::string_view line;
     std::optional<Time> retry_after;
     CutReason reason = CutReason::kNoOtherRunner;
   };
-  void AnswerOwn(OwnAnswer answer);
-  void Cut(CutReason reason);
+  void FinishWith(LocalResponse response);
+  void Truncate(CutReason reason);
   bool IsServerError(int status) const;
-  void ServerErrorCame(Attempt& attempt, HttpMessage answer);
-  void PassAnswer(HttpMessage answer);
-  void Leave();  // the final step: removes the exchange from the table
+  void OnServerError(Attempt& attempt, HttpMessage response);
+  void ForwardResponse(HttpMessage response);
+  void EndExchange();  // the final step: removes the exchange from the table
 
   const routing::RequestNumber number_;
   const std::shared_ptr<const Request> request_;
@@ -90,9 +90,9 @@
   const std::shared_ptr<const routing::Router> router_;
   const std::string service_;
   const Time arrived_, deadline_;
-  const bool came_back_;
+  const bool is_retry_;
   const Time since_first_try_;
-  AnswerSink* sink_;
+  ResponseSink* sink_;
   Context* const context_;
   RunnerPool* const runners_;
   ExchangeTable* const table_;
@@ -102,11 +102,11 @@
   // another runner. It is kept until that runner starts to respond, because silence does not prove that its
   // own response will not arrive.
   std::shared_ptr<Attempt> suspected_;
-  std::optional<OwnAnswer> after_suspected_;  // sent if the suspected attempt fails
-  std::optional<HttpMessage> server_error_;   // of the last attempt; sent if no other runner succeeds
-  bool decided_ = false;                      // the decision module has finished with the request
-  Deadlines::Key alarm_;
-  int started_ = 0;                // number of attempts
+  std::optional<LocalResponse> response_after_suspected_;  // sent if the suspected attempt fails
+  std::optional<HttpMessage> server_error_;  // of the last attempt; sent if no other runner succeeds
+  bool decisions_closed_ = false;            // the decision module has finished with the request
+  Deadlines::Key deadline_timer_;
+  int attempts_started_ = 0;       // number of attempts
   std::string last_runner_;        // of the last attempt
   std::string_view last_failure_;  // how the last attempt ended; empty: it has not ended
   bool may_have_run_ = false;      // at a runner that did not respond
@@ -115,7 +115,7 @@
   // State of a stream, or of a large response that is forwarded as it arrives.
   const Attempt* streaming_ = nullptr;  // the attempt whose bytes are forwarded
   HttpMessage stream_head_;             // from the first runner
-  bool head_sent_ = false, events_mode_ = true, chunked_ = true;
+  bool head_sent_ = false, is_event_stream_ = true, chunked_ = true;
   EventStream events_;
   std::optional<std::uint64_t> last_id_;  // of the forwarded events
   std::string prelude_;                   // comments before the first event
--- a/src/dataplane/exchange_stream.cpp
+++ b/src/dataplane/exchange_stream.cpp
@@ -13,27 +13,27 @@
 }  // namespace
 
 bool Exchange::Resumable() const {
-  return events_mode_ && match_.route->resumable() && last_id_ && context_->Now() < deadline_;
+  return is_event_stream_ && match_.route->resumable() && last_id_ && context_->Now() < deadline_;
 }
 
-void Exchange::StreamBegan(Attempt& attempt, const HttpMessage& head, bool events) {
+void Exchange::OnStreamBegin(Attempt& attempt, const HttpMessage& head, bool events) {
   const auto self = shared_from_this();
-  if (head_sent_ && !events) return AttemptFailed(attempt, AttemptOutcome::kBroken);
-  TakeBack(attempt);
-  StopOthers(attempt);
+  if (head_sent_ && !events) return OnAttemptFailed(attempt, AttemptOutcome::kBroken);
+  ResumeSuspected(attempt);
+  StopOtherAttempts(attempt);
   streaming_ = &attempt;
   prelude_.clear();  // from an earlier attempt
-  events_ = EventStream(kMaxHeldEvent);
+  events_ = EventStream(kMaxEventBytes);
   if (head_sent_) return;  // the first runner's head was sent already
   stream_head_ = head;
   stream_head_.body.clear();
-  events_mode_ = events;
+  is_event_stream_ = events;
   chunked_ = events || !head.has_length || head.length == 0;
   if (!events) SendStream(attempt, {});
 }
 
 // Appends the events that `bytes` completes, except those that were already forwarded.
-void Exchange::PassEvents(std::string_view bytes, std::string* out, bool* first) {
+void Exchange::AppendNewEvents(std::string_view bytes, std::string* out, bool* first) {
   const bool fits = events_.Feed(bytes, [&](const EventStream::Event& event) {
     if (event.id && last_id_ && *event.id <= *last_id_) return;
     out->append(event.text);
@@ -43,16 +43,16 @@
   if (!fits) out->clear();
 }
 
-void Exchange::StreamBytes(Attempt& attempt, std::string_view bytes) {
+void Exchange::OnStreamBytes(Attempt& attempt, std::string_view bytes) {
   const auto self = shared_from_this();
-  TakeBack(attempt);
-  if (!events_mode_) return SendStream(attempt, bytes);
+  ResumeSuspected(attempt);
+  if (!is_event_stream_) return SendStream(attempt, bytes);
   std::string& out = context_->events_buffer;
   out.assign(prelude_);
   prelude_.clear();
   bool first = false;
-  PassEvents(bytes, &out, &first);
-  if (events_.rest().size() > kMaxHeldEvent) return AttemptFailed(attempt, AttemptOutcome::kBroken);
+  AppendNewEvents(bytes, &out, &first);
+  if (events_.rest().size() > kMaxEventBytes) return OnAttemptFailed(attempt, AttemptOutcome::kBroken);
   if (out.empty()) return;
   if (!head_sent_ && !first) return void(prelude_ = out);
   SendStream(attempt, out);
@@ -68,7 +68,7 @@
     framed = bytes;
   if (!head_sent_) {
     head_sent_ = true;
-    CountStart(attempt);
+    RecordStart(attempt);
     if (sink_ != nullptr)
       sink_->SendHead(stream_head_, chunked_ ? Framing::kChunked : Framing::kLength, stream_head_.length,
                       framed);
@@ -80,19 +80,19 @@
     if (known.get() == &attempt) known->PauseReading(true);
 }
 
-void Exchange::StreamEnded(Attempt& attempt) {
+void Exchange::OnStreamEnd(Attempt& attempt) {
   const auto self = shared_from_this();
-  TakeBack(attempt);
+  ResumeSuspected(attempt);
   const std::string rest = std::exchange(prelude_, {}).append(events_.rest());
   if (!head_sent_ || !rest.empty()) SendStream(attempt, rest);
-  const auto removed = Remove(attempt);
+  const auto removed = RemoveAttempt(attempt);
   if (sink_ != nullptr) {
     if (chunked_) sink_->SendBody(kLastChunk);
-    std::exchange(sink_, nullptr)->EndAnswer();
+    std::exchange(sink_, nullptr)->EndResponse();
   }
   ++context_->counters.served;
   table_->AttemptEnded(number_, attempt.number(), AttemptOutcome::kServed, /*final=*/true);
-  Leave();
+  EndExchange();
 }
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/exchange_table.cpp
+++ b/src/dataplane/exchange_table.cpp
@@ -7,9 +7,9 @@
 
 // Clients of a route are assumed to use the same deadline. A client that retries has spent at least the delay
 // in Retry-After on its earlier tries.
-constexpr double kCameBackPart = 0.02;  // of its remaining time
-constexpr std::size_t kMaxRoutes = 4096;
-constexpr Time kLongestDeadline = 600 * kSecond;  // if neither the client nor the route sets one
+constexpr double kRetryTimeFraction = 0.02;  // of its remaining time
+constexpr std::size_t kMaxTrackedRoutes = 4096;
+constexpr Time kMaxDeadline = 600 * kSecond;  // if neither the client nor the route sets one
 
 }  // namespace
 
@@ -24,24 +24,24 @@
 ExchangeTable::~ExchangeTable() { context_->deadlines.Remove(&timer_); }
 
 routing::RequestNumber ExchangeTable::Begin(Request request, const routing::RouteMatch& match, Time arrived,
-                                            AnswerSink* sink) {
-  if (!HasRoom(request.message.body.size())) return 0;
-  Exchange::Origin origin;
-  origin.number = ++last_number_;
-  Time timeout = std::min(request.timeout.value_or(kLongestDeadline), kLongestDeadline);
+                                            ResponseSink* sink) {
+  if (!CanBuffer(request.message.body.size())) return 0;
+  Exchange::Params params;
+  params.number = ++last_number_;
+  Time timeout = std::min(request.timeout.value_or(kMaxDeadline), kMaxDeadline);
   // Uses the client's own deadline: the route's may change and says nothing about the client.
-  origin.since_first_try = SinceFirstTry(match.route->name(), timeout);
-  origin.came_back =
-      static_cast<double>(origin.since_first_try) > kCameBackPart * static_cast<double>(timeout);
+  params.since_first_try = TimeSinceFirstTry(match.route->name(), timeout);
+  params.is_retry =
+      static_cast<double>(params.since_first_try) > kRetryTimeFraction * static_cast<double>(timeout);
   if (match.route->deadline_ms() > 0)
     timeout = std::min(timeout, static_cast<Time>(match.route->deadline_ms() * kMillisecond));
-  origin.arrived = arrived, origin.deadline = arrived + timeout;
-  origin.service =
+  params.arrived = arrived, params.deadline = arrived + timeout;
+  params.service =
       routing::Router::ChooseService(*match.route, std::uniform_real_distribution<double>(0, 1)(random_));
-  origin.match = match, origin.router = context_->router, origin.sink = sink;
-  origin.request = std::move(request);
-  const routing::RequestNumber number = origin.number;
-  const auto exchange = std::make_shared<Exchange>(std::move(origin), context_, runners_, this);
+  params.match = match, params.router = context_->router, params.sink = sink;
+  params.request = std::move(request);
+  const routing::RequestNumber number = params.number;
+  const auto exchange = std::make_shared<Exchange>(std::move(params), context_, runners_, this);
   exchanges_.emplace(number, exchange);
   body_bytes_ += exchange->body_size();
   decisions_.Arrived(context_->Now(), exchange->ToArrival(), &pending_);
@@ -49,8 +49,8 @@
   return number;
 }
 
-Time ExchangeTable::SinceFirstTry(const std::string& route, Time timeout) {
-  if (longest_timeout_.size() >= kMaxRoutes) longest_timeout_.clear();
+Time ExchangeTable::TimeSinceFirstTry(const std::string& route, Time timeout) {
+  if (longest_timeout_.size() >= kMaxTrackedRoutes) longest_timeout_.clear();
   Time& longest = longest_timeout_[route];
   longest = std::max(longest, timeout);
   return longest - timeout;
@@ -61,18 +61,18 @@
   return found == exchanges_.end() ? nullptr : found->second;
 }
 
-void ExchangeTable::ClientGone(routing::RequestNumber number) {
-  if (const auto exchange = Find(number)) exchange->ClientGone();
+void ExchangeTable::OnClientDisconnect(routing::RequestNumber number) {
+  if (const auto exchange = Find(number)) exchange->OnClientDisconnect();
 }
 
-void ExchangeTable::ClientDrained(routing::RequestNumber number) {
-  if (const auto exchange = Find(number)) exchange->ClientDrained();
+void ExchangeTable::OnClientWritable(routing::RequestNumber number) {
+  if (const auto exchange = Find(number)) exchange->OnClientWritable();
 }
 
-void ExchangeTable::EndUnsent() {
+void ExchangeTable::RefuseUnsent() {
   std::vector<std::shared_ptr<Exchange>> all;  // an exchange that ends is erased from the table
   for (const auto& [number, exchange] : exchanges_) all.push_back(exchange);
-  for (const auto& exchange : all) exchange->EndIfUnsent();
+  for (const auto& exchange : all) exchange->RefuseIfUnsent();
 }
 
 void ExchangeTable::Install(std::shared_ptr<const routing::Snapshot> snapshot) {
@@ -94,7 +94,7 @@
   Execute();
 }
 
-void ExchangeTable::Gone(routing::RequestNumber number) {
+void ExchangeTable::CloseRequest(routing::RequestNumber number) {
   decisions_.Gone(context_->Now(), number, &pending_);
   Execute();
 }
--- a/src/dataplane/exchange_table.h
+++ b/src/dataplane/exchange_table.h
@@ -21,27 +21,27 @@
   // Starts the exchange of a request that matches a route. 0: the request exceeds the limit on buffered
   // bodies and was not accepted. May call the sink before it returns.
   routing::RequestNumber Begin(Request request, const routing::RouteMatch& match, Time arrived,
-                               AnswerSink* sink);
-  void ClientGone(routing::RequestNumber number);
-  void ClientDrained(routing::RequestNumber number);
-  void EndUnsent();  // refuses requests that no runner may have received
+                               ResponseSink* sink);
+  void OnClientDisconnect(routing::RequestNumber number);
+  void OnClientWritable(routing::RequestNumber number);
+  void RefuseUnsent();  // refuses requests that no runner may have received
   void Install(std::shared_ptr<const routing::Snapshot> snapshot);
 
   std::size_t size() const { return exchanges_.size(); }
-  bool HasRoom(std::size_t body_bytes) const { return body_bytes_ + body_bytes <= max_body_bytes_; }
+  bool CanBuffer(std::size_t body_bytes) const { return body_bytes_ + body_bytes <= max_body_bytes_; }
   std::vector<routing::Decisions::Demand> Demand() const;
 
   // Called by exchanges.
   void FirstEvent(routing::RequestNumber number, int attempt);
   void AttemptEnded(routing::RequestNumber number, int attempt, routing::AttemptOutcome outcome, bool final);
-  void Gone(routing::RequestNumber number);
+  void CloseRequest(routing::RequestNumber number);
   bool MayFailOver(routing::RequestNumber number) const;  // whether an attempt that fails now may be replaced
   void Erase(routing::RequestNumber number);
 
  private:
   // How much shorter the client's deadline is than the longest seen on the route: the estimated time it spent
   // on earlier tries.
-  Time SinceFirstTry(const std::string& route, Time timeout);
+  Time TimeSinceFirstTry(const std::string& route, Time timeout);
   std::shared_ptr<Exchange> Find(routing::RequestNumber number) const;
   void Execute();
   void Execute(const routing::Decision& decision);
--- a/src/dataplane/listener.cpp
+++ b/src/dataplane/listener.cpp
@@ -5,8 +5,8 @@
 namespace lichenlug::dataplane {
 namespace {
 
-constexpr Time kAcceptPause = 20 * kMillisecond;     // at the connection limit, or if out of descriptors
-constexpr Time kCheckInterval = 250 * kMillisecond;  // interval of checking the time limits of connections
+constexpr Time kAcceptRetryDelay = 20 * kMillisecond;  // at the connection limit, or if out of descriptors
+constexpr Time kCheckInterval = 250 * kMillisecond;    // interval of checking the time limits of connections
 
 }  // namespace
 
@@ -34,72 +34,73 @@
   return !failure;
 }
 
-void Listener::Start() { Accept(); }
+void Listener::Start() { AwaitConnections(); }
 
 // Waits for readiness instead of accepting asynchronously: a connection that was accepted, but whose handler
 // has not run yet, would be missed when the process exits.
-void Listener::Accept() {
+void Listener::AwaitConnections() {
   acceptor_.async_wait(asio::ip::tcp::acceptor::wait_read, [this](std::error_code error) {
     if (error) return;
-    if (TakeWaiting()) return Accept();
+    if (AcceptWaiting()) return AwaitConnections();
     // Accepting and closing a connection would lose its request, so it stays in the backlog.
-    context_->deadlines.Add(context_->Now() + kAcceptPause, [this] { Accept(); });
+    context_->deadlines.Add(context_->Now() + kAcceptRetryDelay, [this] { AwaitConnections(); });
   });
 }
 
-bool Listener::TakeWaiting() {
-  while (MakeRoom()) {
+bool Listener::AcceptWaiting() {
+  while (EnsureCapacity()) {
     std::error_code error;
     asio::ip::tcp::socket socket = acceptor_.accept(error);
     if (error == asio::error::would_block) return true;
     if (error == asio::error::connection_aborted) continue;
     if (error) return false;
-    Accepted(std::move(socket));
+    AddClient(std::move(socket));
   }
   return false;
 }
 
-void Listener::Accepted(asio::ip::tcp::socket socket) {
+void Listener::AddClient(asio::ip::tcp::socket socket) {
   auto client = std::make_unique<ClientConnection>(std::move(socket), context_, exchanges_);
   ClientConnection* const raw = client.get();
   clients_.emplace(raw, std::move(client));
   raw->Start([this, raw] {
     const auto found = clients_.find(raw);
     // The connection is still executing a member function: it is destroyed after that has returned.
-    asio::post(context_->io, [gone = std::shared_ptr<ClientConnection>(std::move(found->second))] {});
+    asio::post(context_->io,
+               [closed_client = std::shared_ptr<ClientConnection>(std::move(found->second))] {});
     clients_.erase(found);
   });
-  if (!std::exchange(looking_, true)) Look();
+  if (!std::exchange(checking_timeouts_, true)) CheckTimeouts();
 }
 
 // At the limit the connection that has been idle longest is closed.
-bool Listener::MakeRoom() {
+bool Listener::EnsureCapacity() {
   if (clients_.size() < max_connections_) return true;
   ClientConnection* oldest = nullptr;
   for (const auto& [raw, client] : clients_)
-    if (raw->idle() && (oldest == nullptr || raw->since() < oldest->since())) oldest = raw;
-  if (oldest != nullptr) oldest->Retire();
+    if (raw->idle() && (oldest == nullptr || raw->stage_began() < oldest->stage_began())) oldest = raw;
+  if (oldest != nullptr) oldest->CloseIfIdle();
   return clients_.size() < max_connections_;
 }
 
-void Listener::RetireIdle() {
-  for (const auto& [raw, client] : clients_) raw->Retire();
+void Listener::CloseIdle() {
+  for (const auto& [raw, client] : clients_) raw->CloseIfIdle();
 }
 
-void Listener::ConfigurationCame() {
+void Listener::OnConfiguration() {
   std::vector<ClientConnection*> all;
   for (const auto& [raw, client] : clients_) all.push_back(raw);
-  for (ClientConnection* client : all) client->ConfigurationCame();  // may close that one
+  for (ClientConnection* client : all) client->OnConfiguration();  // may close that one
 }
 
-void Listener::Look() {
-  if (clients_.empty()) return void(looking_ = false);
+void Listener::CheckTimeouts() {
+  if (clients_.empty()) return void(checking_timeouts_ = false);
   std::vector<ClientConnection*> all;
   all.reserve(clients_.size());
   for (const auto& [raw, client] : clients_) all.push_back(raw);
   const Time now = context_->Now();
-  for (ClientConnection* client : all) client->Look(now);  // may close that one
-  context_->deadlines.Add(now + kCheckInterval, [this] { Look(); });
+  for (ClientConnection* client : all) client->CheckTimeout(now);  // may close that one
+  context_->deadlines.Add(now + kCheckInterval, [this] { CheckTimeouts(); });
 }
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/listener.h
+++ b/src/dataplane/listener.h
@@ -18,22 +18,22 @@
   std::size_t connections() const { return clients_.size(); }
 
   // Accepts the connections waiting in the backlog. True: the backlog is empty.
-  bool TakeWaiting();
-  void RetireIdle();         // closes connections without a request in progress
-  void ConfigurationCame();  // the first configuration: serves requests that wait for it
+  bool AcceptWaiting();
+  void CloseIdle();        // closes connections without a request in progress
+  void OnConfiguration();  // the first configuration: serves requests that wait for it
 
  private:
-  void Accept();
-  void Accepted(asio::ip::tcp::socket socket);
-  bool MakeRoom();
-  void Look();
+  void AwaitConnections();
+  void AddClient(asio::ip::tcp::socket socket);
+  bool EnsureCapacity();
+  void CheckTimeouts();
 
   Context* const context_;
   ExchangeTable* const exchanges_;
   const std::size_t max_connections_;
   asio::ip::tcp::acceptor acceptor_;
   std::unordered_map<ClientConnection*, std::unique_ptr<ClientConnection>> clients_;
-  bool looking_ = false;
+  bool checking_timeouts_ = false;
 };
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/request.h
+++ b/src/dataplane/request.h
@@ -28,29 +28,29 @@
   bool IsHead() const { return message.method == "HEAD"; }
 };
 
-struct RequestFault {
+struct RequestError {
   int status = 400;
   std::string message;  // one line, for the response body
 };
 
-std::variant<Request, RequestFault> ParseRequest(HttpMessage message);
+std::variant<Request, RequestError> ParseRequest(HttpMessage message);
 
 // Values that the data plane adds to the request head for a runner.
-struct AttemptWords {
+struct AttemptHeaders {
   std::string_view runner_id;
   std::string_view tenant;  // empty: anonymous
-  Time left = 0;            // until the deadline
+  Time time_left = 0;       // until the deadline
   int priority = 5;
   std::string_view last_event_id;  // where a stream is resumed; empty: as sent by the client
 };
 
 // The head including the empty line. The body is sent unchanged.
-std::string FormatRequestHead(const Request& request, const AttemptWords& words);
+std::string FormatRequestHead(const Request& request, const AttemptHeaders& added_headers);
 
 // Whether a header is hop-by-hop. `connection` is the value of the message's Connection header.
 bool IsHopByHop(std::string_view name, std::string_view connection);
 
 // All values of a header, joined with commas.
-std::string JoinedHeader(const HttpMessage& message, std::string_view name);
+std::string JoinHeaderValues(const HttpMessage& message, std::string_view name);
 
 }  // namespace lichenlug::dataplane
--- a/src/dataplane/answer.cpp
+++ b/src/dataplane/response.cpp
@@ -1,4 +1,4 @@
-#include "dataplane/answer.h"
+#include "dataplane/response.h"
 
 #include <cstdio>
 
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-std::string FormatAnswerHead(const HttpMessage& head, Framing framing, std::uint64_t length,
-                             const Persistence& persistence) {
-  const std::string connection = JoinedHeader(head, header::kConnection);
+std::string FormatResponseHead(const HttpMessage& head, Framing framing, std::uint64_t length,
+                               const Persistence& persistence) {
+  const std::string connection = JoinHeaderValues(head, header::kConnection);
   std::string out;
   out.reserve(512);
   AppendStatusLine(head.status, &out);
@@ -40,8 +40,8 @@
   return out.append("\r\n");
 }
 
-std::string FormatOwnAnswer(int status, std::string_view line, std::optional<Time> retry_after,
-                            const Persistence& persistence) {
+std::string FormatLocalResponse(int status, std::string_view line, std::optional<Time> retry_after,
+                                const Persistence& persistence) {
   std::string out;
   AppendStatusLine(status, &out);
   AppendHeader(header::kContentType, "text/plain", &out);
--- a/src/dataplane/answer_sink.h
+++ b/src/dataplane/response_sink.h
@@ -5,18 +5,18 @@
 #include <optional>
 #include <string_view>
 
-#include "dataplane/answer.h"
+#include "dataplane/response.h"
 
 namespace lichenlug::dataplane {
 
-class AnswerSink {
+class ResponseSink {
  public:
-  virtual ~AnswerSink() = default;
+  virtual ~ResponseSink() = default;
 
   // Each of the next three calls ends the exchange.
-  virtual void SendOwn(int status, std::string_view line, std::optional<Time> retry_after) = 0;
-  virtual void EndAnswer() = 0;  // the response is complete
-  virtual void Abort() = 0;      // closes the connection, so that a truncated response can't look complete
+  virtual void SendLocalResponse(int status, std::string_view line, std::optional<Time> retry_after) = 0;
+  virtual void EndResponse() = 0;  // the response is complete
+  virtual void Abort() = 0;        // closes the connection, so that a truncated response can't look complete
 
   virtual void SendHead(const HttpMessage& head, Framing framing, std::uint64_t length,
                         std::string_view body) = 0;    // `body`: the first bytes of the body, framed
--- a/src/dataplane/runner_pool.h
+++ b/src/dataplane/runner_pool.h
@@ -21,10 +21,10 @@
 class RunnerConnectionUser {
  public:
   virtual ~RunnerConnectionUser() = default;
-  virtual void HeadCame(const HttpMessage& head) = 0;
-  virtual void PieceCame(std::string_view piece) = 0;
-  virtual void MessageCame(HttpMessage message) = 0;
-  virtual void ConnectionEnded(HttpConnection::End end) = 0;
+  virtual void OnHead(const HttpMessage& head) = 0;
+  virtual void OnBodyChunk(std::string_view piece) = 0;
+  virtual void OnMessage(HttpMessage message) = 0;
+  virtual void OnConnectionEnd(HttpConnection::End end) = 0;
 };
 
 class RunnerConnection {
@@ -60,31 +60,31 @@
   Connection Connect(const std::string& runner_id, const std::string& address,
                      std::function<void(bool connected)> done);
   // Keeps a connection whose exchange is complete. `answer` states how long the runner keeps it open.
-  void Keep(Connection connection, const HttpMessage& answer);
+  void PutIdle(Connection connection, const HttpMessage& response);
 
   // Watches the runner for an attempt that waits for it (RunnerWatch::Begin); null: the address is invalid.
   std::unique_ptr<RunnerWatch::Wait> Watch(const std::string& runner_id, const std::string& address,
                                            std::function<void()> unreachable);
 
   // Runners limit the total number of connections from all dispatchers.
-  void SetMaxIdle(std::size_t max_per_runner) { max_idle_ = max_per_runner; }
+  void SetMaxIdlePerRunner(std::size_t max_per_runner) { max_idle_per_runner_ = max_per_runner; }
 
   std::size_t idle() const { return idle_count_; }
 
  private:
   void DropIdle(RunnerConnection* connection);
-  bool MakeRoom();
+  bool EnsureCapacity();
   void ArmSweep();
   void Sweep();
 
   asio::io_context& io_;
   Deadlines* deadlines_;
   const std::size_t max_connections_;
-  std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+  std::shared_ptr<std::size_t> open_count_ = std::make_shared<std::size_t>(0);
   std::unordered_map<std::string, std::vector<Connection>> idle_;  // most recently used last
-  std::size_t idle_count_ = 0, max_idle_ = 64;
-  Deadlines::Key sweep_;
-  DelayEstimate connects_;  // how long connections take to be established
+  std::size_t idle_count_ = 0, max_idle_per_runner_ = 64;
+  Deadlines::Key sweep_timer_;
+  DelayEstimate connect_delays_;  // how long connections take to be established
   RunnerWatch watch_;
 };
 
--- a/src/dataplane/runner_watch.h
+++ b/src/dataplane/runner_watch.h
@@ -28,7 +28,7 @@
     Wait(const Wait&) = delete;
     Wait& operator=(const Wait&) = delete;
 
-    void Heard();  // bytes from the runner arrived
+    void OnBytes();  // bytes from the runner arrived
 
    private:
     friend class RunnerWatch;
@@ -40,7 +40,7 @@
   // `connects`: how long connections to runners take to be established. If this machine's own link is
   // saturated, all of them are slow, which does not indicate a fault of one runner's machine. Must outlive
   // the watch, which also records its probes there.
-  RunnerWatch(asio::io_context& io, Deadlines* deadlines, DelayEstimate* connects);
+  RunnerWatch(asio::io_context& io, Deadlines* deadlines, DelayEstimate* connect_delays);
   ~RunnerWatch();
 
   // `unreachable` is called if the runner's machine does not respond; it may destroy any of the waits.
@@ -48,32 +48,32 @@
                               std::function<void()> unreachable);
 
  private:
-  enum class Probe { kNone, kConnecting, kAnswered };
+  enum class Probe { kNone, kConnecting, kResponded };
   struct Runner {
     std::string id;
     asio::ip::tcp::endpoint endpoint;
     std::set<Wait*> waits;
-    bool heard = false;   // since the last check
-    int quiet_looks = 0;  // consecutive checks without bytes
+    bool received_bytes = false;  // since the last check
+    int silent_checks = 0;        // consecutive checks without bytes
     Probe probe = Probe::kNone;
-    int probe_looks = 0;  // checks since the probe started
-    Time asked_at = 0;
+    int checks_since_probe = 0;  // checks since the probe started
+    Time probe_started_at = 0;
     std::unique_ptr<asio::ip::tcp::socket> socket;
   };
 
   void Arm();
-  void Look();
-  void LookAt(const std::shared_ptr<Runner>& runner);
-  bool AnswerIsMissing(const Runner& runner) const;
-  void Ask(const std::shared_ptr<Runner>& runner);
-  static void TellUnreachable(Runner* runner);
+  void CheckRunners();
+  void CheckRunner(const std::shared_ptr<Runner>& runner);
+  bool ProbeTimedOut(const Runner& runner) const;
+  void StartProbe(const std::shared_ptr<Runner>& runner);
+  static void NotifyUnreachable(Runner* runner);
 
   asio::io_context& io_;
   Deadlines* deadlines_;
-  DelayEstimate* connects_;
+  DelayEstimate* connect_delays_;
   std::unordered_map<std::string, std::shared_ptr<Runner>> runners_;  // by id; those with waits only
-  Deadlines::Key next_look_;
-  Time look_due_ = 0;
+  Deadlines::Key check_timer_;
+  Time check_due_ = 0;
 };
 
 }  // namespace lichenlug::dataplane
--- a/tests/system/dataplane/clients_test.cpp
+++ b/tests/system/dataplane/clients_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 #include <thread>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::dataplane::test {
 namespace {
@@ -11,17 +11,17 @@
 void CheckRefused(Testbed* testbed, const std::string& bytes, int status, bool closes) {
   Socket client = testbed->Client();
   client.Send(bytes);
-  const Message answer = client.Read();
-  CHECK(answer.status() == status);
-  CHECK(answer.whole);
-  CHECK(answer.body.size() > 1);
-  CHECK(answer.body.find('\n') == answer.body.size() - 1);
-  CHECK((answer.Header("Connection") == "close") == closes);
+  const Message response = client.Read();
+  CHECK(response.status() == status);
+  CHECK(response.complete);
+  CHECK(response.body.size() > 1);
+  CHECK(response.body.find('\n') == response.body.size() - 1);
+  CHECK((response.Header("Connection") == "close") == closes);
   if (closes) {
     client.EndSending();
     CHECK(client.AtEnd());
   }
-  CHECK_FALSE(testbed->runner(0).Waiting(0));
+  CHECK_FALSE(testbed->runner(0).WaitForConnection(0));
 }
 
 }  // namespace
@@ -30,20 +30,20 @@
   Testbed testbed({{.id = "r1", .models = {}}}, {}, /*install=*/false);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == 503);
-  CHECK(answer.Header("Retry-After") == "0.200");
+  const Message response = client.Read();
+  CHECK(response.status() == 503);
+  CHECK(response.Header("Retry-After") == "0.200");
 }
 
 TEST_CASE("Just after the start a request waits for the configuration and is then served") {
   Testbed testbed({{.id = "r1", .models = {}}}, {}, /*install=*/false, 8 * kSecond, 20 * kSecond);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
-  REQUIRE(testbed.Await([](const Report& report) { return report.requests == 1; }));
-  testbed.Install(UsualConfiguration());
+  REQUIRE(testbed.AwaitReport([](const Report& report) { return report.requests == 1; }));
+  testbed.Install(DefaultConfiguration());
   Socket runner = testbed.runner(0).Accept();
   CHECK(runner.Read().Header("Lichenlug-Try-Id") == "a1");
-  runner.Send(Answer(200, "a1", "hello"));
+  runner.Send(RunnerResponse(200, "a1", "hello"));
   CHECK(client.Read().status() == 200);
 }
 
@@ -51,9 +51,9 @@
   Testbed testbed({{.id = "r1", .models = {}}}, {}, /*install=*/false, 8 * kSecond, 300 * kMillisecond);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == 503);
-  CHECK(answer.Header("Retry-After") == "0.200");
+  const Message response = client.Read();
+  CHECK(response.status() == 503);
+  CHECK(response.Header("Retry-After") == "0.200");
 }
 
 TEST_CASE("Requests without a route or a valid key are refused") {
@@ -100,19 +100,19 @@
 }
 
 TEST_CASE("An incomplete head times out, and an idle connection is closed") {
-  messages::Configuration configuration = UsualConfiguration();
+  messages::Configuration configuration = DefaultConfiguration();
   configuration.mutable_limits()->set_idle_ms(300);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
-  Socket warm = testbed.Client();  // the limits apply once a request matches a route
+  Socket probe = testbed.Client();  // the limits apply once a request matches a route
   for (int status = 503; status == 503;) {
-    warm.Send(Get("/none/x", "a1"));
-    status = warm.Read().status();
+    probe.Send(Get("/none/x", "a1"));
+    status = probe.Read().status();
   }
   Socket slow = testbed.Client(), idle = testbed.Client();
   slow.Send("GET /safe/x HTTP/1.1\r\nHost:");
   CHECK(slow.Read().status() == 408);
   CHECK(idle.AtEnd());
-  CHECK(warm.AtEnd());
+  CHECK(probe.AtEnd());
 }
 
 TEST_CASE("Hop-by-hop headers and the client's key are not forwarded") {
@@ -176,16 +176,16 @@
 }
 
 TEST_CASE("Large bodies are forwarded unchanged in both directions") {
-  messages::Configuration configuration = UsualConfiguration();
+  messages::Configuration configuration = DefaultConfiguration();
   configuration.mutable_limits()->set_body_bytes(3'000'000);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
   std::string large(2'500'000, '\0');
   for (std::size_t i = 0; i < large.size(); ++i) large[i] = static_cast<char>(i * 7919 >> 3);
   Socket client = testbed.Client();
-  Socket warm = testbed.Client();
+  Socket probe = testbed.Client();
   for (int status = 503; status == 503;) {
-    warm.Send(Get("/none/x", "a1"));
-    status = warm.Read().status();
+    probe.Send(Get("/none/x", "a1"));
+    status = probe.Read().status();
   }
   client = testbed.Client();
   client.Send(
@@ -198,21 +198,21 @@
   CHECK(request.Header("Expect").empty());
   CHECK((request.body == large));
   const bool chunked = GENERATE(true, false);
-  const std::string whole = chunked
-                                ? "HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\nLichenlug-Runner-Stamp: s1\r\n"
-                                  "Transfer-Encoding: chunked\r\n\r\n" +
-                                      Chunk(large) + "0\r\n\r\n"
-                                : Answer(200, "a1", large);
+  const std::string complete =
+      chunked ? "HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\nLichenlug-Runner-Stamp: s1\r\n"
+                "Transfer-Encoding: chunked\r\n\r\n" +
+                    Chunk(large) + "0\r\n\r\n"
+              : RunnerResponse(200, "a1", large);
   const bool cut = GENERATE(true, false);
   std::thread sender([&] {
-    runner.Send(cut ? whole.substr(0, whole.size() - 7) : whole);
+    runner.Send(cut ? complete.substr(0, complete.size() - 7) : complete);
     if (cut) runner.Close();
   });
-  const Message answer = client.Read();
+  const Message response = client.Read();
   sender.join();
-  CHECK(answer.status() == 200);
-  CHECK(answer.whole == !cut);
-  if (!cut) CHECK((answer.body == large));
+  CHECK(response.status() == 200);
+  CHECK(response.complete == !cut);
+  if (!cut) CHECK((response.body == large));
 }
 
 TEST_CASE("Responses to HEAD and with status 204 have no body") {
@@ -222,8 +222,8 @@
               Get("/safe/x", "a2") + Get("/safe/x", "a3"));
   Socket runner = testbed.runner(0).Accept();
   CHECK(runner.Read().first_line == "HEAD /safe/x HTTP/1.1");
-  const std::string whole = Answer(200, "a1", "12345");
-  runner.Send(whole.substr(0, whole.size() - 5));
+  const std::string complete = RunnerResponse(200, "a1", "12345");
+  runner.Send(complete.substr(0, complete.size() - 5));
   const Message head = client.Read(/*with_body=*/false);
   CHECK(head.status() == 200);
   CHECK(head.Header("Content-Length") == "5");
@@ -235,7 +235,7 @@
   CHECK(empty.status() == 204);
   CHECK(empty.Header("Content-Length").empty());
   runner.Read();
-  runner.Send(Answer(200, "a3", "abc"));
+  runner.Send(RunnerResponse(200, "a3", "abc"));
   CHECK(client.Read().body == "abc");
 }
 
@@ -243,78 +243,78 @@
   Testbed testbed;
   Socket client = testbed.Client();
   client.Send(Get("/none/x", "a1", "Connection: close\r\n"));
-  const Message answer = client.Read();
-  CHECK(answer.Header("Connection") == "close");
+  const Message response = client.Read();
+  CHECK(response.Header("Connection") == "close");
   CHECK(client.AtEnd());
 }
 
 TEST_CASE("A draining data plane serves existing and new requests until none is left") {
-  Testbed testbed({{.id = "r1", .models = {}}}, UsualConfiguration(), true, /*grace=*/kSecond);
+  Testbed testbed({{.id = "r1", .models = {}}}, DefaultConfiguration(), true, /*grace=*/kSecond);
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/1", "a1", "b"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
   testbed.plane().BeginDrain();
-  runner.Send(Answer(200, "a1", "one"));
+  runner.Send(RunnerResponse(200, "a1", "one"));
   CHECK(client.Read().body == "one");
-  Socket late = testbed.Client();
-  late.Send(Post("/unsafe/2", "a2", "b"));
+  Socket second_client = testbed.Client();
+  second_client.Send(Post("/unsafe/2", "a2", "b"));
   runner.Read();
-  runner.Send(Answer(200, "a2", "two"));
-  const Message answer = late.Read();
-  CHECK(answer.body == "two");
-  CHECK(answer.Header("Connection") == "close");
-  CHECK(late.AtEnd());
-  Socket resting = testbed.Client();
-  CHECK(resting.AtEnd());  // in the second half of the grace period
-  late.Close(), client.Close(), resting.Close();
+  runner.Send(RunnerResponse(200, "a2", "two"));
+  const Message response = second_client.Read();
+  CHECK(response.body == "two");
+  CHECK(response.Header("Connection") == "close");
+  CHECK(second_client.AtEnd());
+  Socket idle_client = testbed.Client();
+  CHECK(idle_client.AtEnd());  // in the second half of the grace period
+  second_client.Close(), client.Close(), idle_client.Close();
   bool drained = false;
-  CHECK(testbed.Await([&](const Report&) { return drained = testbed.plane().Drained(); }));
+  CHECK(testbed.AwaitReport([&](const Report&) { return drained = testbed.plane().Drained(); }));
 }
 
 TEST_CASE(
     "Near the end of the grace period a request is refused at once instead of left without a response") {
-  Testbed testbed(std::vector<RunnerPlan>{}, UsualConfiguration(), true, /*grace=*/200 * kMillisecond);
+  Testbed testbed(std::vector<RunnerSpec>{}, DefaultConfiguration(), true, /*grace=*/200 * kMillisecond);
   testbed.plane().BeginDrain();
   bool refused = false;
   for (int tries = 0; tries < 10000 && !refused; ++tries) {
     Socket client = testbed.Client();
     client.Send(Post("/unsafe/1", "a" + std::to_string(tries), "b"));
-    const Message answer = client.Read();
-    CHECK(answer.Header("Connection") == "close");
-    refused = answer.body.find("this dispatcher is shutting down") != std::string::npos;
+    const Message response = client.Read();
+    CHECK(response.Header("Connection") == "close");
+    refused = response.body.find("this dispatcher is shutting down") != std::string::npos;
   }
   CHECK(refused);
 }
 
 TEST_CASE("A stream that might not end within the grace period is refused while other requests are served") {
-  Testbed testbed(std::vector<RunnerPlan>{}, UsualConfiguration(), true, /*grace=*/4 * kSecond);
-  const auto is_refused_as_it_ends = [&testbed](const std::string& request) {
+  Testbed testbed(std::vector<RunnerSpec>{}, DefaultConfiguration(), true, /*grace=*/4 * kSecond);
+  const auto is_refused_at_shutdown = [&testbed](const std::string& request) {
     Socket client = testbed.Client();
     client.Send(request);
     return client.Read().body.find("this dispatcher is shutting down") != std::string::npos;
   };
-  const std::string brief = "Lichenlug-Deadline-Ms: 20\r\n";
-  CHECK_FALSE(is_refused_as_it_ends(Post("/stream/1", "s1", "b", brief)));
+  const std::string short_deadline = "Lichenlug-Deadline-Ms: 20\r\n";
+  CHECK_FALSE(is_refused_at_shutdown(Post("/stream/1", "s1", "b", short_deadline)));
   testbed.plane().BeginDrain();
   bool refused = false;
   for (int tries = 0; tries < 10000 && !refused; ++tries)
-    refused = is_refused_as_it_ends(Post("/stream/1", "t" + std::to_string(tries), "b", brief));
+    refused = is_refused_at_shutdown(Post("/stream/1", "t" + std::to_string(tries), "b", short_deadline));
   CHECK(refused);
-  CHECK_FALSE(is_refused_as_it_ends(Post("/unsafe/1", "a1", "b", brief)));
+  CHECK_FALSE(is_refused_at_shutdown(Post("/unsafe/1", "a1", "b", short_deadline)));
 }
 
 TEST_CASE("A drain does not close a connection on which a further request has arrived") {
-  Testbed testbed({{.id = "r1", .models = {}}}, UsualConfiguration(), true, /*grace=*/kSecond);
+  Testbed testbed({{.id = "r1", .models = {}}}, DefaultConfiguration(), true, /*grace=*/kSecond);
   Socket client = testbed.Client();
   client.Send(Get("/safe/1", "a1") + Get("/safe/2", "a2"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
   testbed.plane().BeginDrain();
-  runner.Send(Answer(200, "a1", "one"));
+  runner.Send(RunnerResponse(200, "a1", "one"));
   CHECK(client.Read().body == "one");
   runner.Read();
-  runner.Send(Answer(200, "a2", "two"));
+  runner.Send(RunnerResponse(200, "a2", "two"));
   CHECK(client.Read().body == "two");
 }
 
--- a/tests/system/dataplane/event_stream_test.cpp
+++ b/tests/system/dataplane/event_stream_test.cpp
@@ -8,28 +8,28 @@
 namespace lichenlug::dataplane {
 namespace {
 
-struct Seen {
+struct ParseResult {
   std::vector<std::string> texts;
   std::vector<std::optional<std::uint64_t>> ids;
   std::vector<bool> fields;
   std::string rest;
-  bool fits = true;
+  bool within_limit = true;
 };
 
-Seen Feed(const std::vector<std::string>& pieces, std::size_t most = 1000) {
-  EventStream stream(most);
-  Seen seen;
+ParseResult Feed(const std::vector<std::string>& pieces, std::size_t max_bytes = 1000) {
+  EventStream stream(max_bytes);
+  ParseResult result;
   for (const std::string& piece : pieces)
-    seen.fits = stream.Feed(piece, [&seen](const EventStream::Event& event) {
-      seen.texts.emplace_back(event.text);
-      seen.ids.push_back(event.id);
-      seen.fields.push_back(event.has_field);
-    }) && seen.fits;
-  seen.rest = stream.rest();
-  return seen;
+    result.within_limit = stream.Feed(piece, [&result](const EventStream::Event& event) {
+      result.texts.emplace_back(event.text);
+      result.ids.push_back(event.id);
+      result.fields.push_back(event.has_field);
+    }) && result.within_limit;
+  result.rest = stream.rest();
+  return result;
 }
 
-std::vector<std::string> Cut(const std::string& text, std::mt19937* random) {
+std::vector<std::string> Split(const std::string& text, std::mt19937* random) {
   std::vector<std::string> pieces;
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t size = 1 + (*random)() % 9;
@@ -44,15 +44,15 @@
 TEST_CASE("Events end with a blank line, for LF and CR LF line endings") {
   const std::string end = GENERATE("\n", "\r\n");
   const std::string one = "id: 1" + end + "data: x" + end + end, two = "data: y" + end + "id:22" + end + end;
-  const Seen seen = Feed({one + two + "data: z"});
-  CHECK(seen.texts == std::vector<std::string>{one, two});
-  CHECK(seen.ids == std::vector<std::optional<std::uint64_t>>{1, 22});
-  CHECK(seen.rest == "data: z");
+  const ParseResult result = Feed({one + two + "data: z"});
+  CHECK(result.texts == std::vector<std::string>{one, two});
+  CHECK(result.ids == std::vector<std::optional<std::uint64_t>>{1, 22});
+  CHECK(result.rest == "data: z");
 }
 
 TEST_CASE("Lines that end with CR alone also end events") {
-  const Seen seen = Feed({"id: 1\rdata: x\r", "\r"});
-  CHECK(seen.texts == std::vector<std::string>{"id: 1\rdata: x\r\r"});
+  const ParseResult result = Feed({"id: 1\rdata: x\r", "\r"});
+  CHECK(result.texts == std::vector<std::string>{"id: 1\rdata: x\r\r"});
 }
 
 TEST_CASE("An id that is not an unsigned integer is ignored") {
@@ -66,9 +66,9 @@
 }
 
 TEST_CASE("An event beyond the size limit is reported") {
-  CHECK(Feed({std::string(10, 'x')}, 10).fits);
-  CHECK_FALSE(Feed({std::string(11, 'x')}, 10).fits);
-  CHECK(Feed({std::string(8, 'x') + "\n\n" + std::string(8, 'x') + "\n\n"}, 10).fits);
+  CHECK(Feed({std::string(10, 'x')}, 10).within_limit);
+  CHECK_FALSE(Feed({std::string(11, 'x')}, 10).within_limit);
+  CHECK(Feed({std::string(8, 'x') + "\n\n" + std::string(8, 'x') + "\n\n"}, 10).within_limit);
 }
 
 TEST_CASE("Pieces of any size yield the same events and lose no byte") {
@@ -78,7 +78,7 @@
   for (int round = 0; round < 3000; ++round) {
     std::string text;
     for (std::size_t i = 0; i < 30; ++i) text += parts[random() % parts.size()];
-    const Seen whole = Feed({text}), pieces = Feed(Cut(text, &random));
+    const ParseResult complete = Feed({text}), pieces = Feed(Split(text, &random));
     std::string joined;
     for (const std::string& event : pieces.texts) joined += event;
     REQUIRE(joined + pieces.rest == text);
@@ -86,7 +86,7 @@
     std::vector<std::optional<std::uint64_t>> ids, whole_ids;
     for (const auto& id : pieces.ids)
       if (id) ids.push_back(id);
-    for (const auto& id : whole.ids)
+    for (const auto& id : complete.ids)
       if (id) whole_ids.push_back(id);
     REQUIRE(ids == whole_ids);
   }
--- a/tests/system/dataplane/plain_socket.cpp
+++ b/tests/system/dataplane/plain_socket.cpp
@@ -20,7 +20,7 @@
   return address;
 }
 
-bool Same(std::string_view one, std::string_view other) {
+bool EqualsIgnoreCase(std::string_view one, std::string_view other) {
   return one.size() == other.size() && strncasecmp(one.data(), other.data(), one.size()) == 0;
 }
 
@@ -29,8 +29,8 @@
 int Message::status() const { return first_line.size() > 12 ? std::stoi(first_line.substr(9, 3)) : 0; }
 
 std::string Message::Header(std::string_view name) const {
-  for (const auto& [known, value] : headers)
-    if (Same(known, name)) return value;
+  for (const auto& [header_name, value] : headers)
+    if (EqualsIgnoreCase(header_name, name)) return value;
   return {};
 }
 
@@ -49,17 +49,17 @@
 
 Socket& Socket::operator=(Socket&& other) noexcept {
   std::swap(descriptor_, other.descriptor_);
-  std::swap(held_, other.held_);
+  std::swap(buffer_, other.buffer_);
   std::swap(last_chunk_, other.last_chunk_);
   return *this;
 }
 
 Socket Socket::ConnectTo(std::uint16_t port) {
-  Socket made(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  Socket connected(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const sockaddr_in address = Loopback(port);
-  if (connect(made.descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+  if (connect(connected.descriptor_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
     throw std::runtime_error("cannot connect");
-  return made;
+  return connected;
 }
 
 void Socket::Send(std::string_view bytes) {
@@ -87,41 +87,41 @@
   if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
 }
 
-bool Socket::Fill() {
+bool Socket::Receive() {
   char buffer[16384];
   const ssize_t size = recv(descriptor_, buffer, sizeof buffer, 0);
   if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
     throw std::runtime_error("timed out while waiting for bytes");
   if (size <= 0) return false;
-  held_.append(buffer, static_cast<std::size_t>(size));
+  buffer_.append(buffer, static_cast<std::size_t>(size));
   return true;
 }
 
-std::optional<std::string> Socket::Line() {
+std::optional<std::string> Socket::ReadLine() {
   std::size_t end = 0;
-  while ((end = held_.find("\r\n")) == std::string::npos)
-    if (!Fill()) return std::nullopt;
-  std::string line = held_.substr(0, end);
-  held_.erase(0, end + 2);
+  while ((end = buffer_.find("\r\n")) == std::string::npos)
+    if (!Receive()) return std::nullopt;
+  std::string line = buffer_.substr(0, end);
+  buffer_.erase(0, end + 2);
   return line;
 }
 
 std::string Socket::ReadExactly(std::size_t size) {
-  while (held_.size() < size && Fill()) {
+  while (buffer_.size() < size && Receive()) {
   }
-  std::string bytes = held_.substr(0, size);
-  held_.erase(0, bytes.size());
+  std::string bytes = buffer_.substr(0, size);
+  buffer_.erase(0, bytes.size());
   return bytes;
 }
 
 Message Socket::ReadHead() {
   Message message;
   last_chunk_ = false;
-  const auto first = Line();
+  const auto first = ReadLine();
   if (!first) return message;
   message.first_line = *first;
-  while (const auto line = Line()) {
-    if (line->empty()) return message.whole = true, message;
+  while (const auto line = ReadLine()) {
+    if (line->empty()) return message.complete = true, message;
     const std::size_t colon = line->find(": ");
     message.headers.emplace_back(line->substr(0, colon), line->substr(colon + 2));
   }
@@ -129,7 +129,7 @@
 }
 
 std::string Socket::ReadChunk() {
-  const auto line = Line();
+  const auto line = ReadLine();
   if (!line || line->empty()) return {};
   const std::size_t size = std::stoul(*line, nullptr, 16);
   std::string bytes = ReadExactly(size);
@@ -139,26 +139,26 @@
 
 Message Socket::Read(bool with_body) {
   Message message = ReadHead();
-  if (!message.whole || !with_body) return message;
+  if (!message.complete || !with_body) return message;
   if (message.Header("Transfer-Encoding") == "chunked") {
     for (std::string chunk = ReadChunk(); !chunk.empty(); chunk = ReadChunk()) message.body += chunk;
-    message.whole = last_chunk_;
+    message.complete = last_chunk_;
   } else if (const std::string length = message.Header("Content-Length"); !length.empty()) {
     message.body = ReadExactly(std::stoul(length));
-    message.whole = message.body.size() == std::stoul(length);
+    message.complete = message.body.size() == std::stoul(length);
   }
   return message;
 }
 
-bool Socket::AtEnd() { return held_.empty() && !Fill(); }
+bool Socket::AtEnd() { return buffer_.empty() && !Receive(); }
 
 std::string Socket::ReadToEnd() {
-  while (Fill()) {
+  while (Receive()) {
   }
-  return std::exchange(held_, {});
+  return std::exchange(buffer_, {});
 }
 
-Listening::Listening() : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+ListeningSocket::ListeningSocket() : descriptor_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
   sockaddr_in address = Loopback(0);
   socklen_t size = sizeof address;
   if (bind(descriptor_, reinterpret_cast<const sockaddr*>(&address), size) != 0 ||
@@ -168,14 +168,14 @@
   port_ = ntohs(address.sin_port);
 }
 
-Listening::~Listening() { Close(); }
+ListeningSocket::~ListeningSocket() { Close(); }
 
-void Listening::Close() {
+void ListeningSocket::Close() {
   if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
 }
 
 // With a full accept queue the kernel drops the SYN of a new connection.
-void Listening::StopAnswering() {
+void ListeningSocket::StopResponding() {
   constexpr int kFillers = 8;
   if (listen(descriptor_, 0) != 0) throw std::runtime_error("cannot listen");
   const sockaddr_in address = Loopback(port_);
@@ -186,13 +186,14 @@
   }
 }
 
-bool Listening::Waiting(int milliseconds) {
+bool ListeningSocket::WaitForConnection(int milliseconds) {
   pollfd wanted{descriptor_, POLLIN, 0};
   return descriptor_ >= 0 && poll(&wanted, 1, milliseconds) == 1;
 }
 
-Socket Listening::Accept() {
-  if (!Waiting(kTimeoutSeconds * 1000)) throw std::runtime_error("timed out while waiting for a connection");
+Socket ListeningSocket::Accept() {
+  if (!WaitForConnection(kTimeoutSeconds * 1000))
+    throw std::runtime_error("timed out while waiting for a connection");
   return Socket(accept(descriptor_, nullptr, nullptr));
 }
 
--- a/tests/system/dataplane/plain_socket.h
+++ b/tests/system/dataplane/plain_socket.h
@@ -16,7 +16,7 @@
 struct Message {
   std::string first_line, body;
   std::vector<std::pair<std::string, std::string>> headers;
-  bool whole = false;  // the message was received completely
+  bool complete = false;  // the message was received completely
 
   int status() const;
   std::string Header(std::string_view name) const;  // empty: absent
@@ -47,25 +47,25 @@
   std::string ReadToEnd();
 
  private:
-  bool Fill();  // false: end of the stream
-  std::optional<std::string> Line();
+  bool Receive();  // false: end of the stream
+  std::optional<std::string> ReadLine();
 
   int descriptor_ = -1;
-  std::string held_;
+  std::string buffer_;
   bool last_chunk_ = false;
 };
 
 // A listening socket on a port chosen by the system.
-class Listening {
+class ListeningSocket {
  public:
-  Listening();
-  ~Listening();
+  ListeningSocket();
+  ~ListeningSocket();
   std::uint16_t port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   Socket Accept();
-  void Close();                    // further connections are refused
-  void StopAnswering();            // new connections get no response; open connections stay usable
-  bool Waiting(int milliseconds);  // whether a connection is waiting to be accepted
+  void Close();                              // further connections are refused
+  void StopResponding();                     // new connections get no response; open connections stay usable
+  bool WaitForConnection(int milliseconds);  // whether a connection is waiting to be accepted
 
  private:
   int descriptor_ = -1;
--- a/tests/system/dataplane/plain_test.cpp
+++ b/tests/system/dataplane/plain_test.cpp
@@ -1,7 +1,7 @@
 // Requests with plain and streamed responses through a data plane on loopback.
 #include <catch2/catch.hpp>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::dataplane::test {
 
@@ -17,14 +17,14 @@
   CHECK(request.Header("Lichenlug-Try-Id") == "a1");
   CHECK(request.Header("Lichenlug-Expect-Runner") == "r1");
   CHECK(std::stoi(request.Header("Lichenlug-Deadline-Ms")) <= 20000);
-  runner.Send(Answer(200, "a1", "world", "X-Answer: Too\r\n"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == 200);
-  CHECK(answer.whole);
-  CHECK(answer.body == "world");
-  CHECK(answer.Header("Lichenlug-Runner-Stamp") == "s1");
-  CHECK(answer.Header("X-Answer") == "Too");
-  CHECK(answer.Header("Keep-Alive") == "timeout=5");
+  runner.Send(RunnerResponse(200, "a1", "world", "X-Answer: Too\r\n"));
+  const Message response = client.Read();
+  CHECK(response.status() == 200);
+  CHECK(response.complete);
+  CHECK(response.body == "world");
+  CHECK(response.Header("Lichenlug-Runner-Stamp") == "s1");
+  CHECK(response.Header("X-Answer") == "Too");
+  CHECK(response.Header("Keep-Alive") == "timeout=5");
 }
 
 TEST_CASE("Connections on both sides serve one request after another") {
@@ -33,10 +33,10 @@
   client.Send(Get("/safe/1", "a1") + Get("/safe/2", "a2"));
   Socket runner = testbed.runner(0).Accept();
   CHECK(runner.Read().first_line == "GET /safe/1 HTTP/1.1");
-  runner.Send(Answer(200, "a1", "one"));
+  runner.Send(RunnerResponse(200, "a1", "one"));
   CHECK(client.Read().body == "one");
   CHECK(runner.Read().first_line == "GET /safe/2 HTTP/1.1");
-  runner.Send(Answer(200, "a2", "two"));
+  runner.Send(RunnerResponse(200, "a2", "two"));
   CHECK(client.Read().body == "two");
 }
 
--- a/tests/system/dataplane/request_test.cpp
+++ b/tests/system/dataplane/request_test.cpp
@@ -5,23 +5,23 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "dataplane/answer.h"
+#include "dataplane/response.h"
 #include "dataplane/usage_counter.h"
 
 namespace lichenlug::dataplane {
 namespace {
 
-HttpMessage Head(std::vector<std::pair<std::string, std::string>> more) {
+HttpMessage MakeMessage(std::vector<std::pair<std::string, std::string>> extra_headers) {
   HttpMessage message;
   message.method = "POST";
   message.target = "/p/x";
   message.headers = {{"Host", "h.example"}, {"Lichenlug-Try-Id", "a1"}};
-  message.headers.insert(message.headers.end(), more.begin(), more.end());
+  message.headers.insert(message.headers.end(), extra_headers.begin(), extra_headers.end());
   return message;
 }
 
-Request Parsed(std::vector<std::pair<std::string, std::string>> more) {
-  auto parsed = ParseRequest(Head(std::move(more)));
+Request ParseValid(std::vector<std::pair<std::string, std::string>> extra_headers) {
+  auto parsed = ParseRequest(MakeMessage(std::move(extra_headers)));
   REQUIRE(std::holds_alternative<Request>(parsed));
   return std::get<Request>(std::move(parsed));
 }
@@ -36,12 +36,12 @@
 }  // namespace
 
 TEST_CASE("The headers of a request are parsed") {
-  const Request request = Parsed({{"lichenlug-model", "m1/a2"},
-                                  {"Lichenlug-Token-Count", "1460,80"},
-                                  {"Lichenlug-Prompt-Prefix", "5c1e:800, 91bd:410,e440:250"},
-                                  {"Lichenlug-Deadline-Ms", "12000"},
-                                  {"Last-Event-Id", "12"},
-                                  {"Authorization", "Bearer k"}});
+  const Request request = ParseValid({{"lichenlug-model", "m1/a2"},
+                                      {"Lichenlug-Token-Count", "1460,80"},
+                                      {"Lichenlug-Prompt-Prefix", "5c1e:800, 91bd:410,e440:250"},
+                                      {"Lichenlug-Deadline-Ms", "12000"},
+                                      {"Last-Event-Id", "12"},
+                                      {"Authorization", "Bearer k"}});
   CHECK(request.host == "h.example");
   CHECK(request.attempt_id == "a1");
   CHECK(request.model == "m1");
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("Invalid hints are ignored") {
-  const Request request = Parsed(
+  const Request request = ParseValid(
       {{"Lichenlug-Model", ""}, {"Lichenlug-Token-Count", "x,-1"}, {"Lichenlug-Prompt-Prefix", ",:5,,a"}});
   CHECK(request.model.empty());
   CHECK(request.adapter.empty());
@@ -66,36 +66,37 @@
 }
 
 TEST_CASE("Targets that are not a path are refused") {
-  HttpMessage head = Head({});
+  HttpMessage head = MakeMessage({});
   head.target = GENERATE("", "*", "x", "http://h/x", "/a b", "/a#b", "/a\x7f");
-  CHECK(std::get<RequestFault>(ParseRequest(head)).status == 400);
+  CHECK(std::get<RequestError>(ParseRequest(head)).status == 400);
 }
 
 TEST_CASE(
     "The head for a runner holds the client's headers without hop-by-hop headers, and the added headers") {
-  Request request = Parsed({{"Connection", "close , x-hop"},
-                            {"X-Hop", "1"},
-                            {"Proxy-Any", "1"},
-                            {"X-Kept", "1"},
-                            {"Last-Event-Id", "3"},
-                            {"Authorization", "Bearer k"},
-                            {"LICHENLUG-SENDER", "forged"}});
+  Request request = ParseValid({{"Connection", "close , x-hop"},
+                                {"X-Hop", "1"},
+                                {"Proxy-Any", "1"},
+                                {"X-Kept", "1"},
+                                {"Last-Event-Id", "3"},
+                                {"Authorization", "Bearer k"},
+                                {"LICHENLUG-SENDER", "forged"}});
   request.message.has_length = true;
-  AttemptWords words;
-  words.runner_id = "r1", words.tenant = "t1", words.left = 1500 * kMillisecond + 999, words.priority = 2;
-  CHECK(Lines(FormatRequestHead(request, words)) ==
+  AttemptHeaders added_headers;
+  added_headers.runner_id = "r1", added_headers.tenant = "t1",
+  added_headers.time_left = 1500 * kMillisecond + 999, added_headers.priority = 2;
+  CHECK(Lines(FormatRequestHead(request, added_headers)) ==
         std::vector<std::string>{"POST /p/x HTTP/1.1", "Host: h.example", "Lichenlug-Try-Id: a1", "X-Kept: 1",
                                  "Last-Event-Id: 3", "Lichenlug-Deadline-Ms: 1500",
                                  "Lichenlug-Expect-Runner: r1", "Lichenlug-Sender: t1", "Priority: 2",
                                  "Content-Length: 0", ""});
-  words.last_event_id = "9";
-  const std::string again = FormatRequestHead(request, words);
+  added_headers.last_event_id = "9";
+  const std::string again = FormatRequestHead(request, added_headers);
   CHECK(again.find("Last-Event-Id: 9\r\n") != std::string::npos);
   CHECK(again.find("Last-Event-Id: 3\r\n") == std::string::npos);
 }
 
 TEST_CASE("A Connection header cannot remove required headers") {
-  const Request request = Parsed({{"Connection", "host, lichenlug-try-id"}});
+  const Request request = ParseValid({{"Connection", "host, lichenlug-try-id"}});
   const std::string head = FormatRequestHead(request, {});
   CHECK(head.find("Host: h.example\r\n") != std::string::npos);
   CHECK(head.find("Lichenlug-Try-Id: a1\r\n") != std::string::npos);
@@ -123,9 +124,9 @@
     const auto parsed = ParseRequest(message);
     const auto* request = std::get_if<Request>(&parsed);
     if (request == nullptr) continue;
-    AttemptWords words;
-    words.runner_id = "r1", words.tenant = "t1";
-    const auto lines = Lines(FormatRequestHead(*request, words));
+    AttemptHeaders added_headers;
+    added_headers.runner_id = "r1", added_headers.tenant = "t1";
+    const auto lines = Lines(FormatRequestHead(*request, added_headers));
     const auto count = [&lines](const std::string& name) {
       return std::count_if(lines.begin(), lines.end(), [&name](const std::string& line) {
         return SameName(std::string_view(line).substr(0, name.size()), name);
@@ -146,14 +147,14 @@
   head.headers = {
       {"Connection", "close"},         {"Keep-Alive", "timeout=1"}, {"Transfer-Encoding", "chunked"},
       {"Lichenlug-Runner-Stamp", "s"}, {"Versions", "4"},           {"Content-Length", "9"}};
-  CHECK(Lines(FormatAnswerHead(head, Framing::kLength, 5, {false, 2500 * kMillisecond})) ==
+  CHECK(Lines(FormatResponseHead(head, Framing::kLength, 5, {false, 2500 * kMillisecond})) ==
         std::vector<std::string>{"HTTP/1.1 200 OK", "Lichenlug-Runner-Stamp: s", "Versions: 4",
                                  "Keep-Alive: timeout=2", "Content-Length: 5", ""});
-  CHECK(Lines(FormatAnswerHead(head, Framing::kChunked, 0, {true, 0})).back().empty());
+  CHECK(Lines(FormatResponseHead(head, Framing::kChunked, 0, {true, 0})).back().empty());
 }
 
 TEST_CASE("Responses of the data plane state Retry-After in fractional seconds") {
-  CHECK(Lines(FormatOwnAnswer(503, "why", 250 * kMillisecond, {})) ==
+  CHECK(Lines(FormatLocalResponse(503, "why", 250 * kMillisecond, {})) ==
         std::vector<std::string>{"HTTP/1.1 503 Service Unavailable", "Content-Type: text/plain",
                                  "Retry-After: 0.250", "Content-Length: 4", ""});
 }
--- a/tests/system/dataplane/retries_test.cpp
+++ b/tests/system/dataplane/retries_test.cpp
@@ -1,23 +1,23 @@
 // Handling of requests whose runner rejects them, fails or sends an invalid response.
 #include <catch2/catch.hpp>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::dataplane::test {
 namespace {
 
-const std::vector<RunnerPlan> kTwo = {{.id = "r1", .models = {}}, {.id = "r2", .models = {}}};
+const std::vector<RunnerSpec> kTwoRunners = {{.id = "r1", .models = {}}, {.id = "r2", .models = {}}};
 
 // The runner of the first attempt sends `first`; the runner of the next attempt serves the request.
 Message ServedBySecond(Testbed* testbed, Socket* client, const std::string& first, bool other_runner = true) {
-  auto [runner, which] = testbed->AcceptAny();
+  auto [runner, runner_index] = testbed->AcceptAny();
   const std::string id = runner.Read().Header("Lichenlug-Try-Id");
   runner.Send(first);
   if (first.empty()) runner.Close();
   if (!other_runner) return client->Read();
-  Socket second = testbed->runner(1 - which).Accept();
-  CHECK(second.Read().Header("Lichenlug-Expect-Runner") == (which == 0 ? "r2" : "r1"));
-  second.Send(Answer(200, id, "served"));
+  Socket second = testbed->runner(1 - runner_index).Accept();
+  CHECK(second.Read().Header("Lichenlug-Expect-Runner") == (runner_index == 0 ? "r2" : "r1"));
+  second.Send(RunnerResponse(200, id, "served"));
   return client->Read();
 }
 
@@ -26,43 +26,43 @@
 TEST_CASE("A request that a runner reports as not run is sent to another runner") {
   const int status = GENERATE(503, 429, 421);
   const std::string target = GENERATE("/safe/x", "/unsafe/x", "/stream/x");
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Post(target, "a1", "b"));
-  const Message answer = ServedBySecond(&testbed, &client, NotRun(status, "a1"));
-  CHECK(answer.status() == 200);
-  CHECK(answer.body == "served");
+  const Message response = ServedBySecond(&testbed, &client, NotRun(status, "a1"));
+  CHECK(response.status() == 200);
+  CHECK(response.body == "served");
 }
 
 TEST_CASE("After a server error a repeatable request is sent to another runner") {
   const std::string target = GENERATE("/safe/x", "/resume/x");
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Post(target, "a1", "b"));
-  const Message answer = ServedBySecond(&testbed, &client, Answer(500, "a1", "no"));
-  CHECK(answer.status() == 200);
-  CHECK(answer.body == "served");
+  const Message response = ServedBySecond(&testbed, &client, RunnerResponse(500, "a1", "no"));
+  CHECK(response.status() == 200);
+  CHECK(response.body == "served");
 }
 
 TEST_CASE("A runner's error is forwarded if no other attempt succeeds") {
   const std::string target = GENERATE("/safe/x", "/resume/x", "/unsafe/x", "/stream/x");
   const bool repeatable = target == "/safe/x" || target == "/resume/x";
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Post(target, "a1", "b"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
-  runner.Send(Answer(500, "a1", "first"));
+  runner.Send(RunnerResponse(500, "a1", "first"));
   if (repeatable) {
-    Socket second = testbed.runner(1 - which).Accept();
+    Socket second = testbed.runner(1 - runner_index).Accept();
     second.Read();
     SECTION("the other runner rejects the request") { second.Send(NotRun(503, "a1")); }
     SECTION("the other runner closes the connection") { second.Close(); }
   }
-  const Message answer = client.Read();
-  CHECK(answer.status() == 500);
-  CHECK(answer.body == "first");
-  CHECK(answer.Header("Lichenlug-Runner-Stamp") == "s1");
+  const Message response = client.Read();
+  CHECK(response.status() == 500);
+  CHECK(response.body == "first");
+  CHECK(response.Header("Lichenlug-Runner-Stamp") == "s1");
 }
 
 TEST_CASE("Without another runner an error is forwarded at once") {
@@ -71,26 +71,26 @@
   client.Send(Post("/safe/x", "a1", "b"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(502, "a1", "no"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == 502);
-  CHECK(answer.body == "no");
+  runner.Send(RunnerResponse(502, "a1", "no"));
+  const Message response = client.Read();
+  CHECK(response.status() == 502);
+  CHECK(response.body == "no");
 }
 
 TEST_CASE("A runner that responded with an error is avoided by subsequent requests") {
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/x", "a1", "b"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
-  runner.Send(Answer(500, "a1", "no"));
+  runner.Send(RunnerResponse(500, "a1", "no"));
   CHECK(client.Read().status() == 500);
   client.Send(Post("/unsafe/x", "a2", "b"));
-  Socket second = testbed.runner(1 - which).Accept();
+  Socket second = testbed.runner(1 - runner_index).Accept();
   for (const char* id : {"a2", "a3", "a4"}) {
     if (std::string(id) != "a2") client.Send(Post("/unsafe/x", id, "b"));
     CHECK(second.Read().Header("Lichenlug-Try-Id") == id);
-    second.Send(Answer(200, id, "served"));
+    second.Send(RunnerResponse(200, id, "served"));
     CHECK(client.Read().body == "served");
   }
 }
@@ -98,44 +98,45 @@
 TEST_CASE("A runner without the model is avoided by this and subsequent requests") {
   Testbed testbed({{.id = "r1", .service = "engine", .models = {"m1"}},
                    {.id = "r2", .service = "engine", .models = {"m1"}}});
-  const std::string words = "Lichenlug-Model: m1\r\nLichenlug-Token-Count: 10,5\r\n";
+  const std::string model_headers = "Lichenlug-Model: m1\r\nLichenlug-Token-Count: 10,5\r\n";
   Socket client = testbed.Client();
-  client.Send(Post("/model/x", "a1", "b", words));
-  auto [runner, which] = testbed.AcceptAny();
+  client.Send(Post("/model/x", "a1", "b", model_headers));
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
   runner.Send(NotRun(421, "a1"));
-  Socket second = testbed.runner(1 - which).Accept();
+  Socket second = testbed.runner(1 - runner_index).Accept();
   for (const char* id : {"a1", "a2", "a3"}) {
-    if (std::string(id) != "a1") client.Send(Post("/model/x", id, "b", words));
+    if (std::string(id) != "a1") client.Send(Post("/model/x", id, "b", model_headers));
     CHECK(second.Read().Header("Lichenlug-Try-Id") == id);
-    second.Send(Answer(200, id, "served"));
+    second.Send(RunnerResponse(200, id, "served"));
     CHECK(client.Read().body == "served");
   }
 }
 
 TEST_CASE("The retry of a client for a model that is loaded nowhere waits until the model is loaded") {
-  const std::vector<RunnerPlan> plans = {{.id = "r1", .service = "engine", .models = {}}};
-  Testbed testbed(plans);
-  const std::string words = "Lichenlug-Model: m1\r\nLichenlug-Token-Count: 10,5\r\nLichenlug-Deadline-Ms: ";
+  const std::vector<RunnerSpec> specs = {{.id = "r1", .service = "engine", .models = {}}};
+  Testbed testbed(specs);
+  const std::string model_headers =
+      "Lichenlug-Model: m1\r\nLichenlug-Token-Count: 10,5\r\nLichenlug-Deadline-Ms: ";
   Socket client = testbed.Client();
-  client.Send(Post("/model/x", "a1", "b", words + "9000\r\n"));
+  client.Send(Post("/model/x", "a1", "b", model_headers + "9000\r\n"));
   const Message refusal = client.Read();
   CHECK(refusal.status() == 503);
   CHECK(!refusal.Header("Retry-After").empty());
-  CHECK(testbed.Await([](const Report& report) {
+  CHECK(testbed.AwaitReport([](const Report& report) {
     return report.demand.size() == 1 && report.demand[0].unserved > 0;  // reported at once
   }));
-  client.Send(Post("/model/x", "a2", "b", words + "8000\r\n"));  // left after the first try
-  CHECK(testbed.Await([](const Report& report) { return report.in_work == 1; }));
-  testbed.Load(0, "m1");
+  client.Send(Post("/model/x", "a2", "b", model_headers + "8000\r\n"));  // left after the first try
+  CHECK(testbed.AwaitReport([](const Report& report) { return report.in_work == 1; }));
+  testbed.LoadModel(0, "m1");
   Socket runner = testbed.runner(0).Accept();
   CHECK(runner.Read().Header("Lichenlug-Try-Id") == "a2");
-  runner.Send(Answer(200, "a2", "served"));
+  runner.Send(RunnerResponse(200, "a2", "served"));
   CHECK(client.Read().body == "served");
 }
 
 TEST_CASE("A retry after the objective has passed gets the lowest priority at runners") {
-  auto configuration = UsualConfiguration();
+  auto configuration = DefaultConfiguration();
   for (auto& route : *configuration.mutable_routes()) route.set_objective_ms(500);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
   Socket client = testbed.Client();
@@ -144,7 +145,7 @@
     client.Send(Post("/unsafe/1", id, "b", "Lichenlug-Deadline-Ms: " + std::to_string(timeout) + "\r\n"));
     if (!runner) runner.emplace(testbed.runner(0).Accept());
     const std::string priority = runner->Read().Header("Priority");
-    runner->Send(Answer(200, id, "served"));
+    runner->Send(RunnerResponse(200, id, "served"));
     CHECK(client.Read().body == "served");
     return priority;
   };
@@ -156,7 +157,7 @@
 }
 
 TEST_CASE("A change of a route's deadline does not make first tries count as retries") {
-  auto configuration = UsualConfiguration();
+  auto configuration = DefaultConfiguration();
   for (auto& route : *configuration.mutable_routes()) route.set_objective_ms(500);
   Testbed testbed({{.id = "r1", .models = {}}}, configuration);
   Socket client = testbed.Client();
@@ -165,7 +166,7 @@
     client.Send(Post("/unsafe/1", id, "b", "Lichenlug-Deadline-Ms: " + timeout + "\r\n"));
     if (!runner) runner.emplace(testbed.runner(0).Accept());
     const std::string priority = runner->Read().Header("Priority");
-    runner->Send(Answer(200, id, "served"));
+    runner->Send(RunnerResponse(200, id, "served"));
     CHECK(client.Read().body == "served");
     return priority;
   };
@@ -185,23 +186,23 @@
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
   runner.Send(NotRun(503, "a1"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == 503);
-  CHECK(answer.Header("Lichenlug-Runner-Stamp").empty());
-  CHECK(std::stod(answer.Header("Retry-After")) > 0);
-  CHECK(answer.Header("Connection").empty());
+  const Message response = client.Read();
+  CHECK(response.status() == 503);
+  CHECK(response.Header("Lichenlug-Runner-Stamp").empty());
+  CHECK(std::stod(response.Header("Retry-After")) > 0);
+  CHECK(response.Header("Connection").empty());
 }
 
 TEST_CASE("After a broken response the request is repeated if the route allows it, else the status is 502") {
   const std::string broken = GENERATE(
       std::string(),                                               // closed without a response
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\n"),  // half a head
-      Answer(200, "a1", "half.").substr(0, Answer(200, "a1", "half.").size() - 1),
-      std::string("nonsense\r\n\r\n"), Answer(200, "a1", "coded", "Content-Encoding: gzip\r\n"),
+      RunnerResponse(200, "a1", "half.").substr(0, RunnerResponse(200, "a1", "half.").size() - 1),
+      std::string("nonsense\r\n\r\n"), RunnerResponse(200, "a1", "coded", "Content-Encoding: gzip\r\n"),
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\nContent-Length: 0\r\n\r\n"),        // no stamp
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Runner-Stamp: s1\r\nContent-Length: 0\r\n\r\n"),  // no id
-      Answer(503, "a1", ""), Answer(429, "a1", ""),
-      Answer(408, "a1", ""),  // without the runner's Not-Run header
+      RunnerResponse(503, "a1", ""), RunnerResponse(429, "a1", ""),
+      RunnerResponse(408, "a1", ""),  // without the runner's Not-Run header
       std::string("HTTP/1.1 404 No\r\nLichenlug-Try-Id: a1\r\nContent-Length: 0\r\n\r\n"),
       std::string("HTTP/1.1 200 OK\r\nLichenlug-Try-Id: a1\r\nLichenlug-Runner-Stamp: s1\r\n"
                   "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"),
@@ -210,30 +211,30 @@
   const bool closes =
       broken.empty() || broken.find("half") != std::string::npos || broken.ends_with("a1\r\n");
   SECTION("safe") {
-    Testbed testbed(kTwo);
+    Testbed testbed(kTwoRunners);
     Socket client = testbed.Client();
     client.Send(Get("/safe/x", "a1"));
-    auto [runner, which] = testbed.AcceptAny();
+    auto [runner, runner_index] = testbed.AcceptAny();
     runner.Read();
     runner.Send(broken);
     if (closes) runner.Close();
-    Socket second = testbed.runner(1 - which).Accept();
+    Socket second = testbed.runner(1 - runner_index).Accept();
     second.Read();
-    second.Send(Answer(200, "a1", "served"));
+    second.Send(RunnerResponse(200, "a1", "served"));
     CHECK(client.Read().body == "served");
   }
   SECTION("unsafe") {
-    Testbed testbed(kTwo);
+    Testbed testbed(kTwoRunners);
     Socket client = testbed.Client();
     client.Send(Post("/unsafe/x", "a1", "b"));
-    auto [runner, which] = testbed.AcceptAny();
+    auto [runner, runner_index] = testbed.AcceptAny();
     runner.Read();
     runner.Send(broken);
     if (closes) runner.Close();
-    const Message answer = client.Read();
-    CHECK(answer.status() == 502);
-    CHECK(answer.Header("Lichenlug-Runner-Stamp").empty());
-    CHECK_FALSE(testbed.runner(1 - which).Waiting(0));
+    const Message response = client.Read();
+    CHECK(response.status() == 502);
+    CHECK(response.Header("Lichenlug-Runner-Stamp").empty());
+    CHECK_FALSE(testbed.runner(1 - runner_index).WaitForConnection(0));
   }
 }
 
@@ -244,11 +245,11 @@
   client.Send(Post("/unsafe/x", "a1", "b"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(status, "a1", "why"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == status);
-  CHECK(answer.Header("Lichenlug-Runner-Stamp") == "s1");
-  CHECK(answer.body == "why");
+  runner.Send(RunnerResponse(status, "a1", "why"));
+  const Message response = client.Read();
+  CHECK(response.status() == status);
+  CHECK(response.Header("Lichenlug-Runner-Stamp") == "s1");
+  CHECK(response.body == "why");
 }
 
 TEST_CASE("A surplus response after a complete one is never used for the next request") {
@@ -257,12 +258,12 @@
   client.Send(Get("/safe/1", "a1"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(200, "a1", "one") + Answer(200, "a0", "surplus"));
+  runner.Send(RunnerResponse(200, "a1", "one") + RunnerResponse(200, "a0", "surplus"));
   CHECK(client.Read().body == "one");
   client.Send(Get("/safe/2", "a2"));
-  Socket fresh = testbed.runner(0).Accept();
-  CHECK(fresh.Read().Header("Lichenlug-Try-Id") == "a2");
-  fresh.Send(Answer(200, "a2", "two"));
+  Socket second_connection = testbed.runner(0).Accept();
+  CHECK(second_connection.Read().Header("Lichenlug-Try-Id") == "a2");
+  second_connection.Send(RunnerResponse(200, "a2", "two"));
   CHECK(client.Read().body == "two");
   CHECK(runner.AtEnd());
 }
@@ -273,7 +274,7 @@
   client.Send(Post("/unsafe/1", "a1", "b"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(200, "a0", "surplus") + Answer(200, "a1", "one"));
+  runner.Send(RunnerResponse(200, "a0", "surplus") + RunnerResponse(200, "a1", "one"));
   CHECK(client.Read().body == "one");
   CHECK(runner.AtEnd());
 }
@@ -284,42 +285,42 @@
   client.Send(Post("/unsafe/1", "a1", "b"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(200, "a1", "one"));
+  runner.Send(RunnerResponse(200, "a1", "one"));
   runner.Close();
   CHECK(client.Read().body == "one");
   client.Send(Post("/unsafe/2", "a2", "b"));
-  Socket fresh = testbed.runner(0).Accept();
-  fresh.Read();
-  fresh.Send(Answer(200, "a2", "two", "Connection: close\r\n"));
+  Socket second_connection = testbed.runner(0).Accept();
+  second_connection.Read();
+  second_connection.Send(RunnerResponse(200, "a2", "two", "Connection: close\r\n"));
   CHECK(client.Read().body == "two");
-  CHECK(fresh.AtEnd());
+  CHECK(second_connection.AtEnd());
 }
 
 TEST_CASE("A runner that cannot be reached is avoided") {
-  messages::Configuration configuration = UsualConfiguration();
-  Testbed testbed(kTwo);
+  messages::Configuration configuration = DefaultConfiguration();
+  Testbed testbed(kTwoRunners);
   // The port of the closed runner refuses connections, so nothing can have run there.
   Socket client = testbed.Client();
   client.Send(Post("/unsafe/1", "a1", "b"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
-  runner.Send(Answer(200, "a1", "one", "Connection: close\r\n"));
+  runner.Send(RunnerResponse(200, "a1", "one", "Connection: close\r\n"));
   CHECK(client.Read().body == "one");
-  testbed.CloseRunner(which);
+  testbed.CloseRunner(runner_index);
   client.Send(Post("/unsafe/2", "a2", "b"));
-  Socket other = testbed.runner(1 - which).Accept();
+  Socket other = testbed.runner(1 - runner_index).Accept();
   other.Read();
-  other.Send(Answer(200, "a2", "two"));
+  other.Send(RunnerResponse(200, "a2", "two"));
   CHECK(client.Read().body == "two");
 }
 
 TEST_CASE("Another attempt requires a route in the current configuration") {
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Get("/safe/x", "a1"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
-  messages::Configuration changed = UsualConfiguration();
+  messages::Configuration changed = DefaultConfiguration();
   changed.mutable_routes()->DeleteSubrange(0, 1);
   testbed.Install(changed);
   Socket probe = testbed.Client();
@@ -340,7 +341,7 @@
   runner.Read();
   client.Close();
   CHECK(runner.AtEnd());
-  CHECK(testbed.Await([](const Report& report) { return report.in_work == 0; }));
+  CHECK(testbed.AwaitReport([](const Report& report) { return report.in_work == 0; }));
 }
 
 TEST_CASE("At its deadline a request gets a response, and the connection to the runner is closed") {
@@ -349,9 +350,9 @@
   const std::string target = GENERATE("/short/x", "/unsafe/x");
   client.Send(Post(target, "a1", "b", "Lichenlug-Deadline-Ms: 200\r\n"));
   Socket runner = testbed.runner(0).Accept();
-  const int left = std::stoi(runner.Read().Header("Lichenlug-Deadline-Ms"));
-  CHECK(left <= (target == "/short/x" ? 150 : 200));
-  CHECK(left > 0);
+  const int time_left = std::stoi(runner.Read().Header("Lichenlug-Deadline-Ms"));
+  CHECK(time_left <= (target == "/short/x" ? 150 : 200));
+  CHECK(time_left > 0);
   CHECK(client.Read().status() == 504);
   CHECK(runner.AtEnd());
 }
--- a/tests/system/dataplane/runner_watch_test.cpp
+++ b/tests/system/dataplane/runner_watch_test.cpp
@@ -19,17 +19,17 @@
 // power.
 class Machine {
  public:
-  explicit Machine(bool answers) : listening_(::socket(AF_INET, SOCK_STREAM, 0)) {
+  explicit Machine(bool responds) : listening_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof address;
     auto* generic = reinterpret_cast<sockaddr*>(&address);
-    if (::bind(listening_, generic, size) != 0 || ::listen(listening_, answers ? 16 : 0) != 0 ||
+    if (::bind(listening_, generic, size) != 0 || ::listen(listening_, responds ? 16 : 0) != 0 ||
         ::getsockname(listening_, generic, &size) != 0)
       throw std::runtime_error("no free port on the loopback interface");
     port_ = ntohs(address.sin_port);
-    for (int i = 0; i < 8 && !answers; ++i) {
+    for (int i = 0; i < 8 && !responds; ++i) {
       fillers_.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
       ::connect(fillers_.back(), generic, size);
     }
@@ -49,7 +49,7 @@
   std::uint16_t port_ = 0;
 };
 
-struct Watching {
+struct WatchFixture {
   void RunFor(Time span) {
     Deadlines::Key key = deadlines.Add(deadlines.Now() + span, [this] { io.stop(); });
     io.restart();
@@ -63,78 +63,78 @@
   asio::io_context io{1};
   Clock clock;
   Deadlines deadlines{io, clock};
-  DelayEstimate connects{400 * kMillisecond, kSecond};
-  RunnerWatch watch{io, &deadlines, &connects};
+  DelayEstimate connect_delays{400 * kMillisecond, kSecond};
+  RunnerWatch watch{io, &deadlines, &connect_delays};
   std::vector<std::string> unreachable;
 };
 
 TEST_CASE("all waits for a machine that does not respond are notified within 1.4 s") {
-  const Machine dark(false), sound(true);
-  Watching watching;
-  const auto first = watching.Wait(dark), second = watching.Wait(dark);
-  const auto other = watching.Wait(sound, "r2");
-  watching.RunFor(300 * kMillisecond);
-  CHECK(watching.unreachable.empty());
-  watching.RunFor(1100 * kMillisecond);
-  CHECK(watching.unreachable == std::vector<std::string>{"r1", "r1"});
+  const Machine unreachable_machine(false), healthy_machine(true);
+  WatchFixture fixture;
+  const auto first = fixture.Wait(unreachable_machine), second = fixture.Wait(unreachable_machine);
+  const auto other = fixture.Wait(healthy_machine, "r2");
+  fixture.RunFor(300 * kMillisecond);
+  CHECK(fixture.unreachable.empty());
+  fixture.RunFor(1100 * kMillisecond);
+  CHECK(fixture.unreachable == std::vector<std::string>{"r1", "r1"});
 }
 
 TEST_CASE("slow connections lengthen the wait for a machine") {
-  const Machine dark(false);
-  Watching watching;
-  for (int time = 0; time < 8; ++time) watching.connects.Note(700 * kMillisecond);
-  const auto wait = watching.Wait(dark);
-  watching.RunFor(1150 * kMillisecond);  // 0.45 s of silence and more than the shortest wait
-  CHECK(watching.unreachable.empty());
-  watching.RunFor(900 * kMillisecond);
-  CHECK(watching.unreachable == std::vector<std::string>{"r1"});
+  const Machine unreachable_machine(false);
+  WatchFixture fixture;
+  for (int time = 0; time < 8; ++time) fixture.connect_delays.Note(700 * kMillisecond);
+  const auto wait = fixture.Wait(unreachable_machine);
+  fixture.RunFor(1150 * kMillisecond);  // 0.45 s of silence and more than the shortest wait
+  CHECK(fixture.unreachable.empty());
+  fixture.RunFor(900 * kMillisecond);
+  CHECK(fixture.unreachable == std::vector<std::string>{"r1"});
 }
 
 TEST_CASE("a silent runner on a machine that responds is not reported") {
-  const Machine sound(true);
-  Watching watching;
-  const auto wait = watching.Wait(sound);
-  watching.RunFor(2500 * kMillisecond);
-  CHECK(watching.unreachable.empty());
+  const Machine healthy_machine(true);
+  WatchFixture fixture;
+  const auto wait = fixture.Wait(healthy_machine);
+  fixture.RunFor(2500 * kMillisecond);
+  CHECK(fixture.unreachable.empty());
 }
 
 TEST_CASE("a machine that refuses connections counts as responding") {
   std::optional<Machine> machine(std::in_place, true);
   const asio::ip::tcp::endpoint endpoint = machine->endpoint();
   machine.reset();
-  Watching watching;
-  const auto wait = watching.watch.Begin("r1", endpoint, [&] { watching.unreachable.push_back("r1"); });
-  watching.RunFor(1500 * kMillisecond);
-  CHECK(watching.unreachable.empty());
+  WatchFixture fixture;
+  const auto wait = fixture.watch.Begin("r1", endpoint, [&] { fixture.unreachable.push_back("r1"); });
+  fixture.RunFor(1500 * kMillisecond);
+  CHECK(fixture.unreachable.empty());
 }
 
 TEST_CASE("a runner that sends bytes is not probed") {
-  const Machine dark(false);
-  Watching watching;
-  const auto wait = watching.Wait(dark);
+  const Machine unreachable_machine(false);
+  WatchFixture fixture;
+  const auto wait = fixture.Wait(unreachable_machine);
   for (int i = 0; i < 15; ++i) {
-    wait->Heard();
-    watching.RunFor(100 * kMillisecond);
+    wait->OnBytes();
+    fixture.RunFor(100 * kMillisecond);
   }
-  CHECK(watching.unreachable.empty());
+  CHECK(fixture.unreachable.empty());
 }
 
 TEST_CASE("a wait that has ended is not notified, even if it ends within a notification") {
-  const Machine dark(false);
-  Watching watching;
-  auto gone = watching.Wait(dark);
-  gone.reset();
-  watching.RunFor(1500 * kMillisecond);
-  CHECK(watching.unreachable.empty());
+  const Machine unreachable_machine(false);
+  WatchFixture fixture;
+  auto ended_wait = fixture.Wait(unreachable_machine);
+  ended_wait.reset();
+  fixture.RunFor(1500 * kMillisecond);
+  CHECK(fixture.unreachable.empty());
   std::vector<std::unique_ptr<RunnerWatch::Wait>> waits;
-  int told = 0;
+  int notified = 0;
   for (int i = 0; i < 3; ++i)
-    waits.push_back(watching.watch.Begin("r1", dark.endpoint(), [&] {
-      ++told;
+    waits.push_back(fixture.watch.Begin("r1", unreachable_machine.endpoint(), [&] {
+      ++notified;
       waits.clear();
     }));
-  watching.RunFor(1500 * kMillisecond);
-  CHECK(told >= 1);
+  fixture.RunFor(1500 * kMillisecond);
+  CHECK(notified >= 1);
   CHECK(waits.empty());
 }
 
--- a/tests/system/dataplane/streams_test.cpp
+++ b/tests/system/dataplane/streams_test.cpp
@@ -1,27 +1,27 @@
 // Streams that break, are resumed, stall or end early.
 #include <catch2/catch.hpp>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::dataplane::test {
 namespace {
 
-const std::vector<RunnerPlan> kTwo = {{.id = "r1", .models = {}}, {.id = "r2", .models = {}}};
+const std::vector<RunnerSpec> kTwoRunners = {{.id = "r1", .models = {}}, {.id = "r2", .models = {}}};
 
 }  // namespace
 
 TEST_CASE("A resumable stream is continued by another runner within one response") {
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Post("/resume/x", "a1", "b", "Last-Event-Id: 4\r\n"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   CHECK(runner.Read().Header("Last-Event-Id") == "4");
   runner.Send(StreamHead("a1", "first") + Chunk(Event(5, "five") + Event(6, "six") + "id: 7\ndata: sev"));
   const Message head = client.ReadHead();
   CHECK(head.Header("Lichenlug-Runner-Stamp") == "first");
   CHECK(client.ReadChunk() == Event(5, "five") + Event(6, "six"));
   runner.Reset();
-  Socket second = testbed.runner(1 - which).Accept();
+  Socket second = testbed.runner(1 - runner_index).Accept();
   const Message request = second.Read();
   CHECK(request.Header("Last-Event-Id") == "6");
   CHECK(request.Header("Lichenlug-Try-Id") == "a1");
@@ -35,30 +35,30 @@
 
 TEST_CASE("A stream that cannot continue is truncated and never looks complete") {
   const std::string target = GENERATE("/stream/x", "/resume/x");
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   client.Send(Post(target, "a1", "b"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
   runner.Send(StreamHead("a1") + Chunk(Event(1, "one")));
   CHECK(client.ReadHead().status() == 200);
   CHECK(client.ReadChunk() == Event(1, "one"));
   runner.Close();
   if (target == "/resume/x") {  // the resumed attempt fails, and no tries are left
-    Socket second = testbed.runner(1 - which).Accept();
+    Socket second = testbed.runner(1 - runner_index).Accept();
     second.Read();
-    second.Send(Answer(500, "a1", "no", "Connection: close\r\n"));
+    second.Send(RunnerResponse(500, "a1", "no", "Connection: close\r\n"));
   }
   CHECK(client.ReadChunk().empty());
   CHECK_FALSE(client.last_chunk_seen());
 }
 
 TEST_CASE("A stream that breaks before its first event is retried only if the route allows it") {
-  Testbed testbed(kTwo);
+  Testbed testbed(kTwoRunners);
   Socket client = testbed.Client();
   const bool resumable = GENERATE(true, false);
   client.Send(Post(resumable ? "/resume/x" : "/stream/x", "a1", "b"));
-  auto [runner, which] = testbed.AcceptAny();
+  auto [runner, runner_index] = testbed.AcceptAny();
   runner.Read();
   runner.Send(StreamHead("a1", "first") + Chunk(": a comment\n\nid: 1\ndata: on"));
   runner.Close();
@@ -66,13 +66,13 @@
     CHECK(client.Read().status() == 502);
     return;
   }
-  Socket second = testbed.runner(1 - which).Accept();
+  Socket second = testbed.runner(1 - runner_index).Accept();
   CHECK(second.Read().Header("Last-Event-Id").empty());
   second.Send(StreamHead("a1", "second") + Chunk(Event(1, "one")) + "0\r\n\r\n");
-  const Message answer = client.Read();
-  CHECK(answer.Header("Lichenlug-Runner-Stamp") == "second");
-  CHECK(answer.whole);
-  CHECK(answer.body == Event(1, "one"));
+  const Message response = client.Read();
+  CHECK(response.Header("Lichenlug-Runner-Stamp") == "second");
+  CHECK(response.complete);
+  CHECK(response.body == Event(1, "one"));
 }
 
 TEST_CASE("A stream without events or with an incomplete last event is forwarded as the runner sent it") {
@@ -83,10 +83,10 @@
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
   runner.Send(StreamHead("a1") + (body.empty() ? "" : Chunk(body)) + "0\r\n\r\n");
-  const Message answer = client.Read();
-  CHECK(answer.status() == 200);
-  CHECK(answer.whole);
-  CHECK(answer.body == body);
+  const Message response = client.Read();
+  CHECK(response.status() == 200);
+  CHECK(response.complete);
+  CHECK(response.body == body);
 }
 
 TEST_CASE("A plain error response to a stream request is forwarded") {
@@ -95,10 +95,10 @@
   client.Send(Post("/stream/x", "a1", "b"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(500, "a1", "no"));
-  const Message answer = client.Read();
-  CHECK(answer.status() == 500);
-  CHECK(answer.body == "no");
+  runner.Send(RunnerResponse(500, "a1", "no"));
+  const Message response = client.Read();
+  CHECK(response.status() == 500);
+  CHECK(response.body == "no");
 }
 
 TEST_CASE("A client that does not read slows down its runner and finally receives all bytes") {
@@ -113,16 +113,16 @@
   while (sent < 1000 && runner.CanSend(200)) runner.Send(Chunk(Event(++sent, text)));
   CHECK(sent > 1);
   CHECK(sent < 1000);  // the system buffers some megabytes
-  std::string got;
+  std::string received;
   CHECK(client.ReadHead().status() == 200);
   const std::size_t all = static_cast<std::size_t>(sent) * Event(1, text).size();
-  while (got.size() < all) got += client.ReadChunk();
+  while (received.size() < all) received += client.ReadChunk();
   runner.Send("0\r\n\r\n");
   CHECK(client.ReadChunk().empty());
   CHECK(client.last_chunk_seen());
   std::string expected;
   for (int i = 1; i <= sent; ++i) expected += Event(i, text);
-  CHECK(got == expected);
+  CHECK(received == expected);
 }
 
 TEST_CASE("At its deadline a stream that has begun is truncated") {
@@ -157,9 +157,9 @@
   client.Send(Get("/key/x", "a1", "Authorization: Bearer k1\r\n"));
   Socket runner = testbed.runner(0).Accept();
   runner.Read();
-  runner.Send(Answer(200, "a1", "one"));
+  runner.Send(RunnerResponse(200, "a1", "one"));
   client.Read();
-  CHECK(testbed.Await([](const Report& report) {
+  CHECK(testbed.AwaitReport([](const Report& report) {
     return report.usage.size() == 1 && report.usage.begin()->second.at("t1") == 1 && report.served == 1;
   }));
 }
--- a/tests/system/dataplane/world.cpp
+++ b/tests/system/dataplane/testbed.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "testbed.h"
 
 #include <poll.h>
 
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-messages::Configuration UsualConfiguration() {
+messages::Configuration DefaultConfiguration() {
   messages::Configuration configuration;
   configuration.set_edition(1);
   AddRoute(&configuration, "safe", "safe", "plain");
@@ -57,11 +57,11 @@
   return configuration;
 }
 
-Testbed::Testbed(const std::vector<RunnerPlan>& runners, messages::Configuration configuration, bool install,
+Testbed::Testbed(const std::vector<RunnerSpec>& runners, messages::Configuration configuration, bool install,
                  Time grace, Time configuration_wait)
-    : plans_(runners) {
-  for (std::size_t i = 0; i < runners.size(); ++i) listening_.push_back(std::make_unique<Listening>());
-  port_ = Listening().port();
+    : runner_specs_(runners) {
+  for (std::size_t i = 0; i < runners.size(); ++i) listeners_.push_back(std::make_unique<ListeningSocket>());
+  port_ = ListeningSocket().port();
   Settings settings;
   settings.listen_address = "127.0.0.1:" + std::to_string(port_);
   settings.name = "test";
@@ -79,15 +79,15 @@
   snapshot->revision = ++revision_;
   snapshot->configuration = std::make_shared<const messages::Configuration>(std::move(configuration));
   auto records = std::make_shared<std::vector<messages::RunnerRecord>>();
-  for (std::size_t i = 0; i < plans_.size(); ++i) {
+  for (std::size_t i = 0; i < runner_specs_.size(); ++i) {
     messages::RunnerRecord record;
-    record.set_runner_id(plans_[i].id);
-    record.set_service(plans_[i].service);
-    record.set_address(listening_[i]->address());
+    record.set_runner_id(runner_specs_[i].id);
+    record.set_service(runner_specs_[i].service);
+    record.set_address(listeners_[i]->address());
     record.set_zone("z1");
     record.set_slots(8);
     record.set_call_count(revision_);
-    for (const std::string& model : plans_[i].models) record.add_models()->set_name(model);
+    for (const std::string& model : runner_specs_[i].models) record.add_models()->set_name(model);
     records->push_back(std::move(record));
   }
   snapshot->runners = std::move(records);
@@ -96,50 +96,52 @@
   plane_->Install(std::move(snapshot));
 }
 
-void Testbed::Load(std::size_t runner, const std::string& model) {
-  plans_[runner].models.push_back(model);
-  Install(UsualConfiguration());
+void Testbed::LoadModel(std::size_t runner, const std::string& model) {
+  runner_specs_[runner].models.push_back(model);
+  Install(DefaultConfiguration());
 }
 
 std::size_t Testbed::RunnerIndex(const std::string& runner_id) const {
-  for (std::size_t i = 0; i < plans_.size(); ++i)
-    if (plans_[i].id == runner_id) return i;
+  for (std::size_t i = 0; i < runner_specs_.size(); ++i)
+    if (runner_specs_[i].id == runner_id) return i;
   throw std::runtime_error("unknown runner id");
 }
 
 std::pair<Socket, std::size_t> Testbed::AcceptAny() {
   for (int tries = 0; tries < kTimeoutSeconds * 100; ++tries)
-    for (std::size_t i = 0; i < listening_.size(); ++i)
-      if (listening_[i]->Waiting(10 / static_cast<int>(listening_.size())))
-        return {listening_[i]->Accept(), i};
+    for (std::size_t i = 0; i < listeners_.size(); ++i)
+      if (listeners_[i]->WaitForConnection(10 / static_cast<int>(listeners_.size())))
+        return {listeners_[i]->Accept(), i};
   throw std::runtime_error("timed out while waiting for a connection to a runner");
 }
 
 void Testbed::Pause() { poll(nullptr, 0, 5); }
 
-std::string Get(std::string_view target, std::string_view id, std::string_view more) {
+std::string Get(std::string_view target, std::string_view id, std::string_view extra_headers) {
   std::string out;
   out.append("GET ").append(target).append(" HTTP/1.1\r\nHost: h.example\r\nLichenlug-Try-Id: ").append(id);
-  return out.append("\r\n").append(more).append("\r\n");
+  return out.append("\r\n").append(extra_headers).append("\r\n");
 }
 
-std::string Post(std::string_view target, std::string_view id, std::string_view body, std::string_view more) {
+std::string Post(std::string_view target, std::string_view id, std::string_view body,
+                 std::string_view extra_headers) {
   std::string out;
   out.append("POST ").append(target).append(" HTTP/1.1\r\nHost: h.example\r\nLichenlug-Try-Id: ").append(id);
   out.append("\r\nContent-Length: ").append(std::to_string(body.size())).append("\r\n");
-  return out.append(more).append("\r\n").append(body);
+  return out.append(extra_headers).append("\r\n").append(body);
 }
 
-std::string Answer(int status, std::string_view id, std::string_view body, std::string_view more) {
+std::string RunnerResponse(int status, std::string_view id, std::string_view body,
+                           std::string_view extra_headers) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " Any\r\nLichenlug-Try-Id: ";
-  out.append(id).append("\r\nLichenlug-Runner-Stamp: s1\r\nKeep-Alive: timeout=10\r\n").append(more);
+  out.append(id).append("\r\nLichenlug-Runner-Stamp: s1\r\nKeep-Alive: timeout=10\r\n").append(extra_headers);
   out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n");
   return out.append(body);
 }
 
-std::string NotRun(int status, std::string_view id, std::string_view more) {
+std::string NotRun(int status, std::string_view id, std::string_view extra_headers) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " Any\r\nLichenlug-Try-Id: ";
-  out.append(id).append("\r\nLichenlug-Not-Run: 1\r\nKeep-Alive: timeout=10\r\n").append(more);
+  out.append(id).append("\r\nLichenlug-Not-Run: 1\r\nKeep-Alive: timeout=10\r\n").append(extra_headers);
   return out.append("Content-Length: 0\r\n\r\n");
 }
 
