--- a/src/dataplane/client_connection.h
+++ b/src/dataplane/client_connection.h
@@ -18,8 +18,8 @@
   ClientConnection(asio::ip::tcp::socket socket, Context* context, ExchangeTable* exchanges);
   ~ClientConnection() override;
 
-  // `over` is called once, when the connection is closed. The object must outlive that call by one iteration
-  // of the event loop.
+  // `on_closed` is called once, when the connection is closed. The object must outlive that call by one
+  // iteration of the event loop.
   void Start(std::function<void()> on_closed);
   void CheckTimeout(Time now);  // applies the time limit of the stage; called a few times per second
   // Closes the connection gracefully if it is idle and has no unread bytes.
--- a/src/dataplane/data_plane.h
+++ b/src/dataplane/data_plane.h
@@ -33,7 +33,7 @@
   bool Start(std::string* error);  // listens and serves; requests wait, then get 503, until a snapshot
                                    // with a configuration is installed
   void Install(std::shared_ptr<const routing::Snapshot> snapshot);  // any thread
-  // Call before Start(). `tell` is called on the data plane's thread when a requested model or adapter was
+  // Call before Start(). `notify` is called on the data plane's thread when a requested model or adapter was
   // found not to be loaded; TakeReport() then returns an up-to-date report.
   void OnNewlyUnserved(std::function<void()> notify);
   Report TakeReport();  // any thread; never blocks for long
--- a/src/dataplane/runner_pool.h
+++ b/src/dataplane/runner_pool.h
@@ -59,7 +59,7 @@
   // connection was established, unless the connection is released before.
   Connection Connect(const std::string& runner_id, const std::string& address,
                      std::function<void(bool connected)> done);
-  // Keeps a connection whose exchange is complete. `answer` states how long the runner keeps it open.
+  // Keeps a connection whose exchange is complete. `response` states how long the runner keeps it open.
   void PutIdle(Connection connection, const HttpMessage& response);
 
   // Watches the runner for an attempt that waits for it (RunnerWatch::Begin); null: the address is invalid.
--- a/src/dataplane/runner_watch.h
+++ b/src/dataplane/runner_watch.h
@@ -37,7 +37,7 @@
     std::function<void()> unreachable_;
   };
 
-  // `connects`: how long connections to runners take to be established. If this machine's own link is
+  // `connect_delays`: how long connections to runners take to be established. If this machine's own link is
   // saturated, all of them are slow, which does not indicate a fault of one runner's machine. Must outlive
   // the watch, which also records its probes there.
   RunnerWatch(asio::io_context& io, Deadlines* deadlines, DelayEstimate* connect_delays);
--- a/tests/system/dataplane/plain_socket.h
+++ b/tests/system/dataplane/plain_socket.h
@@ -37,7 +37,7 @@
   void Reset();  // closes with a reset
   void Close();
 
-  // The next message; `with_body` false for an answer to HEAD.
+  // The next message; `with_body` false for a response to HEAD.
   Message Read(bool with_body = true);
   Message ReadHead();
   std::string ReadChunk();  // the next chunk of a chunked body; empty: the last chunk or a truncated body
