--- a/src/branch/branches.h
+++ b/src/branch/branches.h
@@ -41,7 +41,7 @@
   // attempt (ended, cancelled, or of an earlier run of this process) is ignored.
   bool HandleCallback(const std::string& body) override;
 
-  std::size_t out() const { return attempts_.size(); }
+  std::size_t in_flight() const { return attempts_.size(); }
 
  private:
   enum class Stage { kUnsent, kSent, kAccepted, kCancelling };
