--- a/tests/system/routing/budget_storm_test.cpp
+++ b/tests/system/routing/budget_storm_test.cpp
@@ -96,7 +96,7 @@
       }
     }
   }
-  std::printf("storm: %zu repeats of %llu requests, %zu refused, worst window at %.2f of the budget\n",
+  std::printf("storm: %zu retries of %llu requests, %zu refused, worst window at %.2f of the budget\n",
               checker.retries(), static_cast<unsigned long long>(number), refused, checker.MaxUsage());
   CHECK(checker.retries() > 100);
   CHECK(checker.MaxUsage() <= 1.0);
