--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -41,7 +41,7 @@
 
 std::string FounderIdentity(const std::string& address) { return "founder:" + address; }
 
-messages::Founding FoundingOfFirstStart(const std::vector<std::string>& seats) {
+messages::Founding FirstStartFounding(const std::vector<std::string>& seats) {
   std::vector<messages::ReplicaIdentity> members;
   for (const std::string& address : seats) {
     messages::ReplicaIdentity& member = members.emplace_back();
--- a/src/consensus/founding.h
+++ b/src/consensus/founding.h
@@ -26,7 +26,7 @@
 
 // The group of the first start: a store at each seat, with the identity that only a first start gives.
 std::string FounderIdentity(const std::string& address);
-messages::Founding FoundingOfFirstStart(const std::vector<std::string>& seats);
+messages::Founding FirstStartFounding(const std::vector<std::string>& seats);
 
 struct FoundingSend {
   std::string address;
--- a/src/consensus/register_node.cpp
+++ b/src/consensus/register_node.cpp
@@ -87,7 +87,8 @@
     }
   }
 
-  void Refound(const std::vector<messages::ReplicaIdentity>& founding_group, const std::string& proposer) {
+  void ReplaceFoundingGroup(const std::vector<messages::ReplicaIdentity>& founding_group,
+                            const std::string& proposer) {
     proposers_.clear();
     context_.founding = FoundingGroup(founding_group);
     context_.proposer = proposer;
@@ -220,9 +221,9 @@
   return accepted != nullptr ? std::optional(*accepted->value) : std::nullopt;
 }
 
-void RegisterNode::Refound(const std::vector<messages::ReplicaIdentity>& founding_group,
-                           const std::string& proposer) {
-  impl_->Refound(founding_group, proposer);
+void RegisterNode::ReplaceFoundingGroup(const std::vector<messages::ReplicaIdentity>& founding_group,
+                                        const std::string& proposer) {
+  impl_->ReplaceFoundingGroup(founding_group, proposer);
 }
 
 void RegisterNode::SetVoting(bool voting) { impl_->SetVoting(voting); }
--- a/src/consensus/register_node.h
+++ b/src/consensus/register_node.h
@@ -124,7 +124,8 @@
 
   // Moves to a founding group that another one was given up for (consensus/founding.h). Ends all operations
   // without completions; what the replica has promised stays. `proposer` is unique to this life and founding.
-  void Refound(const std::vector<messages::ReplicaIdentity>& founding_group, const std::string& proposer);
+  void ReplaceFoundingGroup(const std::vector<messages::ReplicaIdentity>& founding_group,
+                            const std::string& proposer);
   // While its store's vote for another founding is open, the replica neither promises, accepts nor answers.
   void SetVoting(bool voting);
   bool HoldsValues() const;  // its replica has accepted one, or is writing one
--- a/src/node/register_service.cpp
+++ b/src/node/register_service.cpp
@@ -29,7 +29,7 @@
 RegisterService::RegisterService(NodeHost* host, const NodeSettings& settings, const NodeIdentity& identity)
     : host_(host), settings_(settings), identity_(identity) {
   if (settings_.first_run)
-    LearnFounding(consensus::FoundingOfFirstStart(settings_.seed_addresses), /*proven=*/false);
+    LearnFounding(consensus::FirstStartFounding(settings_.seed_addresses), /*proven=*/false);
 }
 
 consensus::RegisterNodeSettings RegisterService::NodeSettingsFor(const std::string& role,
@@ -73,7 +73,8 @@
   LOG(WARNING) << "registers: the seats have agreed on another founding group than the first start's";
   hints_.clear();
   const auto& members = founding_->group().members();
-  node_->Refound({members.begin(), members.end()}, ProposerName(replicates_ ? "replica" : "proposer"));
+  node_->ReplaceFoundingGroup({members.begin(), members.end()},
+                              ProposerName(replicates_ ? "replica" : "proposer"));
   EndOperations();
 }
 
--- a/tests/system/consensus/founding_world.cpp
+++ b/tests/system/consensus/founding_world.cpp
@@ -18,7 +18,7 @@
     } else {
       seats_[i].replica_id = FounderIdentity(Address(i));
       if (first_start[i] == FirstStart::kFounded) {
-        *seats_[i].record.mutable_founding() = FoundingOfFirstStart(SeatAddresses());
+        *seats_[i].record.mutable_founding() = FirstStartFounding(SeatAddresses());
         seats_[i].record.set_established(true);
       }
     }
@@ -84,7 +84,7 @@
 
 void FoundingWorld::TellFirstFounding(std::size_t seat) {
   FoundingOutput output;
-  seats_[seat].agreement->Learn(FoundingOfFirstStart(SeatAddresses()), /*proven=*/false, &output);
+  seats_[seat].agreement->Learn(FirstStartFounding(SeatAddresses()), /*proven=*/false, &output);
   Carry(seat, std::move(output));
 }
 
--- a/tests/system/node/register_service_test.cpp
+++ b/tests/system/node/register_service_test.cpp
@@ -74,7 +74,7 @@
 }
 
 messages::Founding FirstFounding() {
-  return consensus::FoundingOfFirstStart({"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"});
+  return consensus::FirstStartFounding({"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"});
 }
 
 // One life of a process: the loop, the disk and the service on them. Nobody else is there.
