--- a/src/consensus/ballot.h
+++ b/src/consensus/ballot.h
@@ -1,4 +1,4 @@
-// Order of ballots: by round, then by proposer. Round 0 stands for no ballot.
+// Ballots are ordered by round, then by proposer. Round 0 means "no ballot".
 #pragma once
 
 #include <tuple>
--- a/src/consensus/checksum.cpp
+++ b/src/consensus/checksum.cpp
@@ -7,7 +7,7 @@
 namespace lichenlug::consensus {
 namespace {
 
-// Promise and ReadReply. The value is bound by its digest; whether there is one is not.
+// For Promise and ReadReply. The digest covers the value, but not whether one is present.
 void AddAnswer(const auto& answer, std::string* fields) {
   AddField(answer.ballot().SerializeAsString(), fields);
   AddField(answer.accepted().SerializeAsString(), fields);
--- a/src/consensus/checksum.h
+++ b/src/consensus/checksum.h
@@ -1,5 +1,5 @@
-// The checksum of a message of the register: binds its parts to one another, so that what was altered on the
-// way, or put together from two messages, is dropped. No protection from a forger.
+// Checksum of a register message. It covers all parts, so that a message that was corrupted in transit or
+// mixed from two messages is dropped. It does not protect against forgery.
 #pragma once
 
 #include "messages/generated/consensus.pb.h"
--- a/src/consensus/decision.cpp
+++ b/src/consensus/decision.cpp
@@ -10,7 +10,7 @@
 
 enum class Lineage { kAbsent, kContained, kUnclear };
 
-// Whether one of this operation's proposals is the value or came before it.
+// Whether one of this operation's proposals is the value or one of its predecessors.
 Lineage FindInLineage(const std::vector<messages::Ballot>& sent, const messages::RegisterValue& value) {
   if (sent.empty()) return Lineage::kAbsent;
   for (const auto& origin : value.origins()) {
@@ -18,7 +18,7 @@
     if (std::any_of(sent.begin(), sent.end(), same)) return Lineage::kContained;
   }
   const bool whole = value.origins_size() < kMaxOrigins;
-  // Origins fall, so an older proposal would stand behind the last one kept.
+  // Origins descend, so an older proposal would come after the last origin that was kept.
   return whole || Less(value.origins(value.origins_size() - 1), sent.front()) ? Lineage::kAbsent
                                                                               : Lineage::kUnclear;
 }
@@ -33,7 +33,8 @@
   return next;
 }
 
-// Ends the operation with `outcome` once the found value is known to be chosen: at once, or by a write-back.
+// Ends the operation with `outcome` once the found value is known to be chosen: immediately, or after a
+// write-back.
 Decision EndWithFound(const FoundValue& found, bool known, Outcome outcome, int reason) {
   Decision decision;
   decision.kind = known ? Decision::Kind::kEnd : Decision::Kind::kWrite;
@@ -43,7 +44,7 @@
   return decision;
 }
 
-// A joint group is chosen first, and then replaced by its next members.
+// A joint group must be chosen before it is replaced by its next members.
 Decision AdvanceGroup(const FoundValue& found, bool own, const messages::Ballot& ballot) {
   Decision decision;
   decision.kind = Decision::Kind::kAdvance;
@@ -93,7 +94,8 @@
   if (IsJoint(found.value->group())) return AdvanceGroup(found, contained, ballot);
   if (contained) return EndWithFound(found, found.chosen, Outcome::kChosen, 0);
 
-  // An own proposal that was not found may yet come back, unless a higher ballot is chosen without it.
+  // A proposal of this operation that was not found may still be chosen, unless a value at a higher ballot
+  // is chosen without it.
   const bool known = found.chosen && (operation.sent.empty() || Less(operation.sent.back(), found.ballot));
   const Change change = operation.change(found.value->payload());
   if (const auto* keep = std::get_if<KeepPayload>(&change)) {
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kMaxSeats = 9;
-constexpr std::uint64_t kMaxBallotStep = 1ull << 32;  // a ballot further ahead is a damaged one
+constexpr std::uint64_t kMaxBallotStep = 1ull << 32;  // a larger step means a corrupt ballot
 
 bool HoldsIdentity(const auto& members, const std::string& replica_id) {
   return std::any_of(members.begin(), members.end(),
@@ -106,14 +106,14 @@
   const std::optional<Time> timer = NextTimer();
   if (!timer || now < *timer) return;
   next_round_ = now + settings_.round_time;
-  if (to_learn_) return WriteLearned(output);  // a write was refused
+  if (to_learn_) return WriteLearned(output);  // an earlier write failed
   BeginRound(now, holds_values, output);
 }
 
-// ---- The seat that asks ----------------------------------------------------------------------------------
+// ---- Proposer --------------------------------------------------------------------------------------------
 
-// Seats that begin at once would outbid one another for ever: each waits as long as its place in the list
-// says.
+// Seats that start rounds simultaneously would preempt one another forever, so each seat's retry interval
+// depends on its position in the list.
 void FoundingAgreement::BeginRound(Time now, bool holds_values, FoundingOutput* output) {
   const auto self = std::find(settings_.seats.begin(), settings_.seats.end(), settings_.self_address);
   const auto place = self - settings_.seats.begin();
@@ -134,7 +134,7 @@
   if (proposed_ || !Equal(promise.ballot(), ballot_)) return;
   if (promise.has_founding() && AddressesOf(promise.founding()) != settings_.seats) {
     if (record_.has_founding()) return;
-    settings_.seats = AddressesOf(promise.founding());  // what was founded goes before the settings
+    settings_.seats = AddressesOf(promise.founding());  // an existing founding overrides the settings
     answers_.clear();
     return;
   }
@@ -149,7 +149,7 @@
   if (complete) Decide(now, holds_values, output);
 }
 
-// All seats have promised to take part in no older ballot, and have told their votes.
+// All seats have promised to ignore older ballots and have reported their votes.
 void FoundingAgreement::Decide(Time now, bool holds_values, FoundingOutput* output) {
   const auto is_present = [&](const std::string& replica_id) {
     return std::any_of(answers_.begin(), answers_.end(),
@@ -180,21 +180,21 @@
   }
   if (IsQuorum(newest->group(), is_present)) {
     if (all_voted) return Establish(now, *newest, output);
-    if (of_first_start) {  // its stores need nobody's vote
+    if (of_first_start) {  // needs no votes
       output->found = *newest;
       return;
     }
     return Propose(now, with_values != nullptr ? newest->group() : messages::ReplicaGroup(), holds_values,
                    output);
   }
-  // Too few of its stores are left. It may hold what was acknowledged unless no store has accepted anything
-  // and it is known that not all had voted, or, of the first start, that at most one of its stores ever
-  // voted.
+  // Too few of its stores are left for a quorum. Its group may have acknowledged values unless no store has
+  // accepted anything and it is known that not all seats had voted or, for the first start, that at most one
+  // of its stores ever voted.
   if (with_values != nullptr || all_voted) return;
   Propose(now, {}, holds_values, output);
 }
 
-// An empty group stands for the present stores of all seats.
+// An empty group means the current stores of all seats.
 void FoundingAgreement::Propose(Time now, const messages::ReplicaGroup& group, bool holds_values,
                                 FoundingOutput* output) {
   std::vector<messages::ReplicaIdentity> seats;
@@ -228,11 +228,12 @@
   Broadcast(now, message, /*holds_values=*/false, output);
 }
 
-// ---- The seat that is asked ------------------------------------------------------------------------------
+// ---- Acceptor --------------------------------------------------------------------------------------------
 
 bool FoundingAgreement::Takes(const messages::FoundingMessage& message) const {
   if (message.replica_id().empty() || message.seats_size() > kMaxSeats) return false;
-  // One with an empty store answers only who counts the same seats; one that knows of a founding tells it.
+  // A seat with an empty store answers only senders with the same list of seats; a seat that knows a founding
+  // reports it to any sender.
   return record_.has_founding() || std::equal(message.seats().begin(), message.seats().end(),
                                               settings_.seats.begin(), settings_.seats.end());
 }
@@ -327,7 +328,7 @@
 
 // ---- Disk and messages -----------------------------------------------------------------------------------
 
-// What comes while a record is being written is not answered: its sender comes again.
+// Requests that arrive while a record is being written are not answered; the sender retries.
 void FoundingAgreement::Write(WriteKind kind, messages::FoundingRecord record, const std::string& reply_to,
                               FoundingOutput* output) {
   if (writing_) return;
@@ -357,11 +358,11 @@
 
 void FoundingAgreement::Broadcast(Time now, const messages::FoundingMessage& message, bool holds_values,
                                   FoundingOutput* output) {
-  const std::vector<std::string> seats = settings_.seats;  // an answer may name others
+  const std::vector<std::string> seats = settings_.seats;  // copied: an answer may replace them
   for (const std::string& seat : seats) SendOrHandle(now, seat, message, holds_values, output);
 }
 
-// A message to this very seat does not leave.
+// Messages to this seat itself are handled directly.
 void FoundingAgreement::SendOrHandle(Time now, const std::string& address, messages::FoundingMessage message,
                                      bool holds_values, FoundingOutput* output) {
   message.set_replica_id(settings_.replica_id);
--- a/src/consensus/founding.h
+++ b/src/consensus/founding.h
@@ -1,12 +1,13 @@
-// Agreement on the first replica group, where the first start was cut short before its stores were made.
+// Consensus on the first replica group, for a first start that was interrupted before its stores were
+// created.
 //
-// The founding group of the first start is derived from its settings and needs no agreement. A process of a
-// later start with an empty store can't tell whether it was wiped or nothing was ever founded. So the seats
-// (the machines that were to found) agree by ballots, as in Paxos with a write quorum of all seats: a
-// founding is established once the present store of every seat has voted for it. A later ballot asks all
-// seats as well; as long as one of these stores lives it tells of its vote, so two foundings are never
-// established. A seat whose store holds a register's value votes for no other group. docs/design/system.md
-// holds the proof.
+// The founding group of the first start is derived from its settings and needs no consensus. After a later
+// start, a process with an empty store cannot distinguish a wiped store from one that was never founded.
+// Therefore the seats (the machines of the founding group) agree by ballots, as in Paxos with a write quorum
+// of all seats: a founding is established once the current store of every seat has voted for it. A later
+// ballot must ask all seats too; if any of those stores still exists, it reports its vote, so two foundings
+// are never established. A seat whose store holds a register value votes for no other group. The proof is in
+// docs/design/system.md.
 //
 // A state machine: it does no I/O and reads no clock.
 #pragma once
@@ -22,9 +23,9 @@
 
 namespace lichenlug::consensus {
 
-inline constexpr std::uint64_t kFirstStartRound = 1;  // ballots of foundings that were agreed on are higher
+inline constexpr std::uint64_t kFirstStartRound = 1;  // foundings established by votes have higher rounds
 
-// The group of the first start: a store at each seat, with the identity that only a first start gives.
+// The group of the first start: one store at each seat, with the identity reserved for a first start.
 std::string FounderIdentity(const std::string& address);
 messages::Founding FirstStartFounding(const std::vector<std::string>& seats);
 
@@ -41,40 +42,40 @@
 struct FoundingOutput {
   std::vector<FoundingSend> sends;
   std::vector<FoundingWrite> writes;
-  // The group to go on with. Not established: the one of the first start, which was found able to work.
+  // The group to use. If not established, it is the group of the first start, found to have a quorum.
   std::optional<messages::Founding> found;
   bool established = false;
 };
 
 struct FoundingSettings {
-  std::string proposer;  // unique to this life
+  std::string proposer;  // unique per process start
   std::string self_address;
   std::string replica_id;          // of the store
   std::vector<std::string> seats;  // addresses
-  Time begin_at = 0;               // the first round starts then at the earliest
+  Time begin_at = 0;               // earliest start of the first round
   Time round_time = 400 * kMillisecond;
 };
 
 class FoundingAgreement {
  public:
-  // `record`: what the store held at the start.
+  // `record`: read from the store at startup.
   FoundingAgreement(FoundingSettings settings, messages::FoundingRecord record);
 
-  // `holds_values`: the store holds a register's value, or one is being written.
+  // `holds_values`: the store holds a register value, or one is being written.
   void Receive(Time now, const std::string& from_address, const messages::FoundingMessage& message,
                bool holds_values, FoundingOutput* output);
   void StoreDone(Time now, std::uint64_t token, bool written, bool holds_values, FoundingOutput* output);
   void Tick(Time now, bool holds_values, FoundingOutput* output);
-  std::optional<Time> NextTimer() const;  // none where there is nothing to agree on
+  std::optional<Time> NextTimer() const;  // none if there is nothing to agree on
 
-  // Takes in what was learned elsewhere, where it is newer. `proven`: a value was chosen in it, or it was
-  // agreed on.
+  // Adopts a founding learned from another source if it is newer. `proven`: a value was chosen in its group,
+  // or it was established by votes.
   void Learn(const messages::Founding& founding, bool proven, FoundingOutput* output);
 
   const messages::FoundingRecord& record() const { return record_; }
-  // All that the answers to later inputs depend on, but for times: for tests that explore its states.
+  // Serializes all state that determines later behavior, except for times. Used by state-exploring tests.
   std::string State() const;
-  // Not between a vote for another group and its outcome.
+  // False between a vote for another group and its outcome.
   bool MayVoteInRegisters() const;
 
  private:
@@ -122,16 +123,16 @@
   messages::FoundingRecord record_;  // synced
   bool proven_ = false;
 
-  // The round of this seat, if one is under way.
+  // The round started by this seat, if one is in progress.
   messages::Ballot ballot_;
   std::uint64_t highest_round_ = kFirstStartRound;
   std::map<std::string, Answer> answers_;  // by address
   std::optional<messages::Founding> proposed_;
-  std::map<std::string, std::string> votes_;  // the store that voted, by address
+  std::map<std::string, std::string> votes_;  // replica id of the store that voted, by address
   Time next_round_ = 0;
 
-  std::optional<PendingWrite> writing_;         // one at a time, so that each builds on what is synced
-  std::optional<messages::Founding> to_learn_;  // to be written next
+  std::optional<PendingWrite> writing_;         // one at a time, so that each is based on the synced record
+  std::optional<messages::Founding> to_learn_;  // written next
   std::uint64_t last_token_ = 0;
 };
 
--- a/src/consensus/group.h
+++ b/src/consensus/group.h
@@ -1,4 +1,4 @@
-// Replica groups: who belongs to one, what a quorum of one is, and the steps from one to the next.
+// Replica groups: members, quorums and the transitions from one group to the next.
 #pragma once
 
 #include <functional>
@@ -9,24 +9,26 @@
 
 namespace lichenlug::consensus {
 
-inline constexpr int kMaxMembers = 64;  // of a replica group
+inline constexpr int kMaxMembers = 64;  // per replica group
 
-// Says whether a replica, by its identity, counts.
+// Returns whether the replica with this identity counts towards the quorum.
 using Vote = std::function<bool(const std::string& replica_id)>;
 
-// A majority of the members; in a joint group, also a majority of the next members. Never in an empty group.
+// Whether the votes form a majority of the members and, in a joint group, also a majority of the next
+// members. An empty group has no quorum.
 bool IsQuorum(const messages::ReplicaGroup& group, const Vote& vote);
 
 bool IsJoint(const messages::ReplicaGroup& group);
 
-// Members and next members, each once; one that moves to another address is there with both.
+// Members and next members without duplicates. A member that moves to another address is listed with both
+// addresses.
 std::vector<messages::ReplicaIdentity> AllMembers(const messages::ReplicaGroup& group);
 
-// At least one member, at most kMaxMembers, none without an identity or named twice.
+// At least one member, at most kMaxMembers, no empty and no duplicate identities.
 bool IsValidMembership(const std::vector<messages::ReplicaIdentity>& members);
 bool IsValidGroup(const messages::ReplicaGroup& group);
 
-// Whether the group is not joint and consists of exactly these replicas, at these addresses.
+// Whether the group is not joint and consists of exactly these replicas at these addresses.
 bool ConsistsOf(const messages::ReplicaGroup& group, const std::vector<messages::ReplicaIdentity>& members);
 
 messages::ReplicaGroup FoundingGroup(const std::vector<messages::ReplicaIdentity>& members);
--- a/src/consensus/outgoing_accept.cpp
+++ b/src/consensus/outgoing_accept.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kWorthwhileRatio = 2;  // a delta is at most the whole divided by it
+constexpr std::size_t kWorthwhileRatio = 2;  // minimum ratio of payload size to delta size
 
 }  // namespace
 
--- a/src/consensus/outgoing_accept.h
+++ b/src/consensus/outgoing_accept.h
@@ -1,5 +1,5 @@
-// The Accept of one proposal: to replicas that hold the value it was made from as a difference, to others
-// whole. It outlives the operation, for replicas that say late that they lack that value.
+// The Accept of one proposal. Replicas that have the base value receive a delta, others the full value. The
+// object outlives the operation, because replicas may report late that they lack the base.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 class OutgoingAccept {
  public:
   OutgoingAccept() = default;
-  // `base`: the accepted value that was found. A payload of fewer than `min_delta_bytes` goes whole.
+  // `base`: the accepted value that was found. Payloads shorter than `min_delta_bytes` are sent in full.
   OutgoingAccept(const std::string& register_name, const messages::Ballot& ballot,
                  const messages::RegisterValue& value, const AcceptedValue& base,
                  std::size_t min_delta_bytes);
@@ -24,18 +24,18 @@
 
   void SendWholeTo(const std::string& replica_id) { whole_to_.insert(replica_id); }
   void SendWholeToAll() { delta_.reset(); }
-  // A replica refused this ballot's Accept as it lacks the base. Whether it is to be sent the whole, which
-  // it is once.
+  // Handles a refusal of this ballot's Accept because the replica lacks the base. Returns whether the full
+  // value must be sent; true at most once per replica.
   bool LacksBase(const std::string& replica_id, const messages::Ballot& ballot);
 
-  const AcceptedValue& accepted() const { return accepted_; }  // as a replica holds it that has accepted it
+  const AcceptedValue& accepted() const { return accepted_; }  // as stored by a replica that accepts it
 
  private:
   bool TakesDelta(const std::string& replica_id) const;
 
   AcceptedValue accepted_;
   messages::Ballot base_;
-  std::set<std::string> base_holders_;  // replicas of the base's group
+  std::set<std::string> base_holders_;  // members of the base value's group
   std::optional<messages::TextDelta> delta_;
   std::set<std::string> whole_to_;
 };
--- a/src/consensus/register_node.cpp
+++ b/src/consensus/register_node.cpp
@@ -12,7 +12,7 @@
 namespace lichenlug::consensus {
 namespace {
 
-constexpr std::size_t kMaxOperations = 1024;  // waiting or under way
+constexpr std::size_t kMaxOperations = 1024;  // queued or in progress
 
 bool IsRequest(const messages::RegisterMessage& message) {
   return message.has_prepare() || message.has_accept() || message.has_read();
@@ -71,8 +71,8 @@
     scrubber_.Tick(now, &context_.last_request, &context_.random, output);
   }
 
-  // Hands over the messages that this node has sent to itself, and those that follow from them; the others
-  // are made ready to leave.
+  // Delivers the messages that this node has sent to itself, including those that result from them, and sets
+  // the checksums of all others.
   void FinishSends(Time now, std::size_t first, RegisterOutput* output) {
     for (std::size_t i = first; i < output->sends.size();) {
       if (output->sends[i].address != settings_.self_address) {
--- a/src/consensus/register_proposer.cpp
+++ b/src/consensus/register_proposer.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr Time kShortestBackoff = 5 * kMillisecond;
-constexpr Time kFirstBackoff = 10 * kMillisecond;  // the longest before the first retry; doubles
+constexpr Time kFirstBackoff = 10 * kMillisecond;  // upper bound before the first retry; doubles
 constexpr int kBackoffDoublings = 2;
 constexpr int kResendDoublings = 3;
-constexpr int kDeltaSends = 2;  // of an Accept, before it is sent whole: its receiver may not know deltas
-constexpr std::int64_t kSlowestBytesPerMillisecond = 1000;  // a link of 10 Mbit/s, most of it
-constexpr Time kLongestRound = 2 * kSecond;                 // that is waited for
-constexpr Time kLongestGuess = 150 * kMillisecond;          // of a round that was not seen
-constexpr Time kReadAgainAfter = 60 * kMillisecond;         // replicas that do not agree yet; with jitter
+constexpr int kDeltaSends = 2;  // of an Accept, then it is sent in full: the receiver may not support deltas
+constexpr std::int64_t kSlowestBytesPerMillisecond = 1000;  // 80 % of a 10 Mbit/s link
+constexpr Time kLongestRound = 2 * kSecond;                 // upper bound of the time granted to a competitor
+constexpr Time kLongestGuess = 150 * kMillisecond;          // upper bound of an estimated round time
+constexpr Time kReadAgainAfter = 60 * kMillisecond;         // while replicas disagree; plus jitter
 
 Time TimeOnSlowLink(std::size_t bytes) {
   return static_cast<Time>(bytes) / kSlowestBytesPerMillisecond * kMillisecond;
@@ -102,8 +102,8 @@
   SetTimer(now);
 }
 
-// Another proposer is at work: it is left the time that a round takes here, or would take it, before it is
-// outbid in turn.
+// Another proposer is active. Before preempting it in turn, wait for as long as a round took here, or as a
+// round of the other proposer is estimated to take.
 void RegisterProposer::BeginBackoff(Time now) {
   phase_ = Phase::kBackoff;
   const int doublings = std::min(attempt_++, kBackoffDoublings);
@@ -141,7 +141,7 @@
 void RegisterProposer::AskAgain(Time now, RegisterOutput* output) {
   if (++resends_ >= kDeltaSends && phase_ == Phase::kAccept) accept_.SendWholeToAll();
   const auto unanswered = targets_.Unanswered();
-  // The source may be gone: another one is asked, one that named a value rather than one that is silent.
+  // The value source may be down: choose another one, preferably a replica that has reported a value.
   if (!unanswered.empty()) value_source_ = unanswered[context_->random() % unanswered.size()];
   for (const std::size_t index : unanswered) {
     if (deferred_.contains(targets_.at(index).replica.replica_id())) value_source_ = index;
@@ -188,7 +188,7 @@
   deferred_[target.replica.replica_id()] = {answer.accepted(), answer.digest()};
 }
 
-// An answer counts once its value is known, or a newer one.
+// An answer counts once its value or a newer one is known.
 void RegisterProposer::ResolveDeferred(Time now, RegisterOutput* output) {
   const Phase phase = phase_;
   if (phase != Phase::kRead && phase != Phase::kPrepare) return;
@@ -207,7 +207,8 @@
   if (phase_ == phase && Equal(ballot_, ballot)) AskForMissingValue(output);
 }
 
-// Where the replica that was asked for the value has answered with an older one, or can't answer.
+// Requests the full value from another replica if the value source has answered with an older value or has
+// refused.
 void RegisterProposer::AskForMissingValue(RegisterOutput* output) {
   if (deferred_.empty() || !value_source_ || *value_source_ >= targets_.size()) return;
   const Targets::Target& source = targets_.at(*value_source_);
@@ -288,7 +289,7 @@
   queue_.front().read_only ? ReadAgainLater(now) : BeginPrepare(now, output);
 }
 
-// Another dispatcher is about to finish what only some replicas hold.
+// The replicas disagree: another dispatcher is probably still completing its proposal, so retry later.
 void RegisterProposer::ReadAgainLater(Time now) {
   phase_ = Phase::kBackoff;
   timer_ = now + kReadAgainAfter + std::uniform_int_distribution<Time>(0, kReadAgainAfter)(context_->random);
@@ -371,8 +372,8 @@
   timer_ = now + wait + std::uniform_int_distribution<Time>(0, wait / 4)(context_->random);
 }
 
-// To all that have not answered, over a slow link: what is sent again before that only makes the queue
-// longer.
+// Estimated time to send the Accept over a slow link to all replicas that have not answered. Resending
+// earlier would only lengthen the send queue.
 Time RegisterProposer::TimeToSendAccepts() const {
   std::size_t bytes = 0;
   for (const std::size_t index : targets_.Unanswered())
@@ -380,8 +381,8 @@
   return TimeOnSlowLink(bytes);
 }
 
-// How long another proposer may take to have a value like the present one accepted, if it has to send it
-// whole to a quorum. Mostly it sends a delta and is sooner done, so the guess is bounded.
+// Estimates how long another proposer needs to get a value of the current size accepted if it must send it
+// in full to a quorum. It usually sends a delta and finishes earlier, so the estimate is bounded.
 Time RegisterProposer::RoundOfOthers() const {
   const AcceptedValue held = HeldValue();
   if (held.value == nullptr) return 0;
--- a/src/consensus/register_proposer.h
+++ b/src/consensus/register_proposer.h
@@ -1,8 +1,8 @@
-// The proposer of one register on one node: a queue of operations, one of them under way at a time.
+// The proposer of one register on one node: a queue of operations, processed one at a time.
 //
-// An operation that only looks, as far as the node can tell, begins with a Read; otherwise, and where the
-// read does not settle it, it goes through Prepare and Accept at rising ballots until it ends or its time is
-// over.
+// An operation that appears to change nothing, judging by the value known locally, starts with a Read.
+// Otherwise, or if the Read is not conclusive, it runs Prepare and Accept at increasing ballots until it ends
+// or its deadline passes.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace lichenlug::consensus {
 
-// What all proposers of a node share.
+// State shared by all proposers of a node.
 struct ProposerContext {
   std::string proposer;
   messages::ReplicaGroup founding;
@@ -28,7 +28,7 @@
   std::mt19937_64 random;
   std::uint64_t last_request = 0;
   std::size_t min_delta_bytes = kMinDeltaBytes;
-  const Replica* replica = nullptr;  // the node's own; null without a store
+  const Replica* replica = nullptr;  // the local replica; null without a store
 };
 
 class RegisterProposer {
@@ -42,7 +42,7 @@
   std::optional<Time> NextTimer() const;
 
   void LearnGroup(const messages::ReplicaGroup& group);
-  const messages::ReplicaGroup& KnownGroup() const;  // the newest one heard of
+  const messages::ReplicaGroup& KnownGroup() const;  // the newest known version, confirmed or not
   std::size_t operations() const { return queue_.size(); }
 
  private:
@@ -55,7 +55,7 @@
   void BeginBackoff(Time now);
   void Ask(const std::vector<messages::ReplicaIdentity>& members, RegisterOutput* output);
   void SendTo(std::size_t index, RegisterOutput* output) const;
-  void Defer(const Targets::Target& target, const auto& answer);  // of a Promise or ReadReply without value
+  void Defer(const Targets::Target& target, const auto& answer);  // a Promise or ReadReply without value
   void ResolveDeferred(Time now, RegisterOutput* output);
   void AskForMissingValue(RegisterOutput* output);
   void AskAgain(Time now, RegisterOutput* output);
@@ -68,7 +68,7 @@
   void CheckAccept(Time now, RegisterOutput* output);
   void OnLacksBase(Time now, const std::string& from_address, const messages::RegisterMessage& message,
                    RegisterOutput* output);
-  bool QuorumIsLost() const;  // so many are outbid that this ballot can't win
+  bool QuorumIsLost() const;  // too many replicas have promised a higher ballot for this one to succeed
 
   void Expire(Time now, RegisterOutput* output);
   void End(Time now, Outcome outcome, int reason, const messages::RegisterValue& value,
@@ -82,32 +82,32 @@
   ProposerContext* context_;
   std::string register_name_;
   ValuePointer empty_value_;
-  messages::ReplicaGroup confirmed_group_;  // said by a quorum
-  messages::ReplicaGroup hinted_group_;     // heard of elsewhere
-  AcceptedValue recent_;                    // last value seen, kept where there is no own replica
+  messages::ReplicaGroup confirmed_group_;  // reported by a quorum
+  messages::ReplicaGroup hinted_group_;     // learned from other sources
+  AcceptedValue recent_;                    // last value seen; kept only without a local replica
   std::uint64_t last_round_ = 0;
 
-  std::deque<Operation> queue_;  // the first one is under way
+  std::deque<Operation> queue_;  // the first one is in progress
   Phase phase_ = Phase::kIdle;
-  int attempt_ = 0;  // of the operation under way
+  int attempt_ = 0;  // of the operation in progress
   Time round_began_ = 0;
   int resends_ = 0;  // in this phase
   Time timer_ = 0;
-  messages::Ballot ballot_;  // of a Read: marks it
-  AcceptedValue known_;      // offered to the replicas in this phase
+  messages::Ballot ballot_;  // in a Read, only an identifier
+  AcceptedValue known_;      // replicas may omit this value from their answers in this phase
   Answers answers_;
   Targets targets_;
-  // Of a Read or Prepare one replica is asked for the value, the others for its ballot and digest: an answer
-  // that names a newer value than any known waits for it here, by replica.
+  // A Read or Prepare requests the full value from one replica, and only its ballot and digest from the
+  // others. An answer that refers to a newer value than any known waits here, by replica, for that value.
   struct DeferredAnswer {
     messages::Ballot ballot;
     std::uint64_t digest = 0;
   };
   std::map<std::string, DeferredAnswer> deferred_;
-  std::optional<std::size_t> value_source_;  // index of the replica that was asked for the value
-  Decision decision_;                        // of the Accept under way
+  std::optional<std::size_t> value_source_;  // index of the replica that was asked for the full value
+  Decision decision_;                        // of the Accept in progress
   messages::ReplicaGroup parent_group_;
-  OutgoingAccept accept_;  // the last one begun
+  OutgoingAccept accept_;  // the most recent one
 };
 
 }  // namespace lichenlug::consensus
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::string_view kPromiseKey = "promise/";
 constexpr std::string_view kAcceptedKey = "accepted/";
-constexpr int kMaxPendingPromises = 16;  // for each register; what comes beyond is not answered
+constexpr int kMaxPendingPromises = 16;  // per register; further Prepares are not answered
 constexpr int kMaxPendingAccepts = 4;
-constexpr std::size_t kMaxPayloadBytes = 64u << 20;  // of one that comes as a delta
+constexpr std::size_t kMaxPayloadBytes = 64u << 20;  // of a payload that arrives as a delta
 
 bool IsPlausible(const messages::Ballot& ballot, const messages::Ballot& promised) {
   return !IsNone(ballot) && !ballot.proposer().empty() &&
          (ballot.round() <= promised.round() || ballot.round() - promised.round() <= kMaxRoundStep);
 }
 
-// Fills in a Promise or ReadReply; the value itself only where the asker wants it and does not hold it.
+// Fills in a Promise or ReadReply. The value is included only if the requester wants it and does not have it.
 void DescribeAccepted(const std::string& register_name, const AcceptedValue& accepted, const auto& request,
                       auto* reply) {
   if (accepted.value == nullptr) return reply->set_claim(ClaimDigest(register_name, {}, 0));
@@ -34,7 +34,7 @@
     *reply->mutable_value() = *accepted.value;
 }
 
-// The value that is proposed; null where the base of its delta is not `held`, or does not give this value.
+// The proposed value; null if `held` is not the base of its delta, or if the result fails the digest check.
 ValuePointer ProposedValue(const std::string& register_name, const messages::Accept& accept,
                            const AcceptedValue& held) {
   auto value = std::make_shared<messages::RegisterValue>(accept.value());
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -1,8 +1,9 @@
-// The replica of a node: what it has promised and accepted for each register, on disk before it is told.
+// The replica (acceptor) of a node: its promise and accepted value for each register, durable before any
+// reply.
 //
-// Promise and accepted value are separate records, so that a promise does not write a large value anew. An
-// answer leaves only when the store has synced the record; a write that failed is never answered, and the
-// proposer's next attempt writes anew. Writes are done in order.
+// Promise and accepted value are separate records, so that a promise does not rewrite a large value. A reply
+// is sent only after the store has synced the record. A failed write is never answered; the proposer's retry
+// writes again. Writes complete in order.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 namespace lichenlug::consensus {
 
 inline constexpr std::size_t kMaxRegisters = 64;
-inline constexpr std::uint64_t kMaxRoundStep = 1ull << 32;  // a ballot further ahead is a damaged one
+inline constexpr std::uint64_t kMaxRoundStep = 1ull << 32;  // a larger step means a corrupt ballot
 
 class Replica {
  public:
@@ -26,23 +27,23 @@
 
   bool Restore(const std::vector<std::pair<std::string, std::string>>& records);
 
-  // Prepare, Accept and Read.
+  // Handles Prepare, Accept and Read.
   void Receive(const std::string& from_address, const messages::RegisterMessage& message,
                RegisterOutput* output);
   void StoreDone(std::uint64_t token, bool written, RegisterOutput* output);
-  // Takes in a value that another replica has accepted, as if its Accept had arrived.
+  // Accepts a value that another replica has accepted, as if its Accept had arrived here.
   void CatchUp(const std::string& register_name, const AcceptedValue& accepted, RegisterOutput* output);
 
-  // The last value that is accepted and on disk; null where there is none.
+  // The last value that is accepted and on disk; null if there is none.
   const AcceptedValue* Accepted(const std::string& register_name) const;
-  // The highest round seen here.
+  // The highest round that this replica has promised.
   std::uint64_t HighestRound(const std::string& register_name) const;
-  std::vector<std::string> RegisterNames() const;  // of those with an accepted value
-  bool HoldsValues() const;                        // accepted, or being written
+  std::vector<std::string> RegisterNames() const;  // of registers with an accepted value
+  bool HoldsValues() const;                        // a value is accepted or being written
 
  private:
   struct Slot {
-    messages::Ballot promised;  // the highest, on disk or on its way there
+    messages::Ballot promised;  // the highest, on disk or being written
     messages::Ballot stored_promise;
     AcceptedValue accepted;  // on disk
     int pending_promises = 0;
@@ -50,11 +51,11 @@
   };
   struct Pending {
     std::string register_name;
-    std::string reply_to;  // empty: nobody waits for an answer
+    std::string reply_to;  // empty: no reply is expected
     std::uint64_t request = 0;
     messages::Ballot ballot;
-    messages::Prepare prepare;              // of a promise
-    std::optional<AcceptedValue> accepted;  // of an Accept
+    messages::Prepare prepare;              // for a promise
+    std::optional<AcceptedValue> accepted;  // for an Accept
   };
 
   Slot* FindSlot(const std::string& register_name);
--- a/src/consensus/scrubber.h
+++ b/src/consensus/scrubber.h
@@ -1,5 +1,5 @@
-// The background scrub of a replica: one register at a time is compared with one other replica of its group.
-// Whichever of the two has accepted less is sent what the other has.
+// Background scrub (anti-entropy) of a replica: compares one register at a time with one other replica of its
+// group. The replica whose accepted ballot is lower receives the other's value.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
   Scrubber(std::string proposer, std::string replica_id, Time every, Replica* replica);
 
   void Tick(Time now, std::uint64_t* last_request, std::mt19937_64* random, RegisterOutput* output);
-  // True where the message answers a Read of the scrub.
+  // Returns true if the message answers a Read of the scrub.
   bool Receive(const std::string& from_address, const messages::RegisterMessage& message,
                RegisterOutput* output);
   std::optional<Time> NextTimer() const;
@@ -32,7 +32,7 @@
   std::string last_register_;
   std::string asked_register_;
   messages::ReplicaIdentity asked_;
-  std::uint64_t request_ = 0;  // 0: none under way
+  std::uint64_t request_ = 0;  // 0: no comparison in progress
 };
 
 }  // namespace lichenlug::consensus
--- a/src/consensus/targets.cpp
+++ b/src/consensus/targets.cpp
@@ -22,7 +22,7 @@
 Targets::Target* Targets::Match(const std::string& from_address, const messages::RegisterMessage& message) {
   for (auto& target : targets_) {
     if (target.request != message.operation() || target.replica.address() != from_address) continue;
-    // One that is asked for another store answers in its own name, and with Refused only.
+    // A node that no longer has the requested store answers under its current identity, with Refused only.
     const bool other_store = message.has_refused() && message.refused().wrong_replica();
     return other_store || target.replica.replica_id() == message.replica_id() ? &target : nullptr;
   }
--- a/src/consensus/targets.h
+++ b/src/consensus/targets.h
@@ -1,5 +1,5 @@
-// The replicas asked in one phase. Each is sent a request number of its own, so that an answer counts only
-// for the replica, the phase and the address that it was asked for.
+// The replicas contacted in one phase. Each gets a unique request number, so that an answer counts only for
+// the replica, phase and address of its request.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
     kAsked,
     kAnswered,
     kOutbid,      // has promised a higher ballot
-    kOtherStore,  // the machine holds another store now
+    kOtherStore,  // the machine now has a different store
   };
   struct Target {
     messages::ReplicaIdentity replica;
@@ -25,16 +25,16 @@
     State state = State::kAsked;
   };
 
-  // Adds those members that are not asked yet; returns the indexes of the new ones.
+  // Adds the members that are not targets yet; returns the indexes of the new ones.
   std::vector<std::size_t> Add(const std::vector<messages::ReplicaIdentity>& members,
                                std::uint64_t* last_request);
 
-  // The one that this message may answer; null where it answers none.
+  // The target that this message answers; null if there is none.
   Target* Match(const std::string& from_address, const messages::RegisterMessage& message);
 
   const Target& at(std::size_t index) const { return targets_[index]; }
   std::size_t size() const { return targets_.size(); }
-  // The one asked that may still answer as this replica; null where there is none.
+  // The target with this replica identity that has not answered yet; null if there is none.
   Target* FindAsked(const std::string& replica_id);
   std::vector<std::size_t> Unanswered() const;  // neither answered nor refused
   bool AllAnswered() const { return Unanswered().empty(); }
