--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kLargestFileBytes = 1u << 20;
 constexpr int kOpenFiles = 32;
 constexpr std::chrono::milliseconds kReopenPause{200};
-constexpr char kIdentityKey[] = "identity";  // no key of a caller: those are kept under kRecordPrefix
+constexpr char kIdentityKey[] = "identity";  // can't clash with callers' keys: those have kRecordPrefix
 constexpr char kRecordPrefix = '=';
 
 bool IsUnreadable(const leveldb::Status& status) {
@@ -29,7 +29,7 @@
   return "+" + draw() + draw();
 }
 
-// Files of a database, but not the one that names its parts: what LevelDB takes for a new database.
+// Whether the folder has database files but no CURRENT file. LevelDB would treat it as a new database.
 bool HasLostCurrent(const std::string& path) {
   std::error_code error;
   const bool empty = fs::is_empty(path, error);
@@ -46,14 +46,14 @@
 
 RecordStore::OpenResult Database::Open() {
   RecordStore::OpenResult result;
-  // An identity given for a first start must not come twice: not where an older store was lost.
+  // The identity of a first start must never be reused, so it gets a suffix if an older store was lost.
   if (HasLostCurrent(path_)) new_replica_id_ += RandomSuffix();
   leveldb::Status status = OpenFiles();
   if (status.ok()) status = ReadIdentity(&result);
   if (status.ok()) status = ReadAll(&result.records);
   if (IsUnreadable(status)) {
-    LOG(ERROR) << "store " << path_ << " can't be read (" << status.ToString()
-               << "); it is kept as records.unreadable and a new one is made";
+    LOG(ERROR) << "store " << path_ << " is unreadable (" << status.ToString()
+               << "); moving it to records.unreadable and creating a new one";
     new_replica_id_ += RandomSuffix();
     result = {};
     status = SetAside();
@@ -63,8 +63,8 @@
   if (!status.ok()) {
     database_.reset();
     result = {};
-    result.error = "the store " + path_ + " can't be opened (" + status.ToString() +
-                   "): make its folder writable and its disk free";
+    result.error = "cannot open the store " + path_ + " (" + status.ToString() +
+                   "): make its folder writable and free space on its disk";
     return result;
   }
   result.opened = true;
@@ -136,8 +136,8 @@
   leveldb::Status status = OpenFiles();
   if (status.ok()) status = database_->Get(leveldb::ReadOptions(), kIdentityKey, &identity);
   if (status.ok() && identity == replica_id_) return true;
-  // A store that has become another one is not written to in the name of the old one.
-  Fail(status.ok() ? "it holds another identity" : status.ToString());
+  // Never write to a store that has been replaced by another one.
+  Fail(status.ok() ? "its identity has changed" : status.ToString());
   return false;
 }
 
@@ -149,17 +149,16 @@
   options.sync = true;
   const leveldb::Status status = database_->Write(options, &updates);
   if (!status.ok()) {
-    Fail(status.ToString());  // the end of its log is unsure: only opening anew makes it whole
+    Fail(status.ToString());  // the end of its log may be torn; only reopening repairs it
     return false;
   }
-  if (failing_) LOG(WARNING) << "store " << path_ << " takes writes again";
+  if (failing_) LOG(WARNING) << "store " << path_ << " accepts writes again";
   failing_ = false;
   return true;
 }
 
 void Database::Fail(const std::string& what) {
-  if (!failing_)
-    LOG(ERROR) << "store " << path_ << " has not taken a write (" << what << "); it is tried again";
+  if (!failing_) LOG(ERROR) << "write to store " << path_ << " failed (" << what << "); reopening it";
   failing_ = true;
   database_.reset();
   reopen_at_ = std::chrono::steady_clock::now() + kReopenPause;
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -91,7 +91,7 @@
   bool ending_ = false;
   std::function<void(OpenResult)> open_;
   std::deque<QueuedWrite> writes_;
-  std::thread thread_;  // last: it uses all of the others
+  std::thread thread_;  // declared last: it uses all other members
 };
 
 RecordStore::RecordStore(std::string folder, std::string new_replica_id)
--- a/src/storage/record_store.h
+++ b/src/storage/record_store.h
@@ -1,7 +1,7 @@
-// Records of the control plane on disk: LevelDB on a thread of its own, as a disk may hang for seconds. Each
-// write is synced before its callback is told of it. Errors (full, stalled, corrupt) are told, never thrown;
-// after an error the database is reopened. Callbacks run on the storage thread; the caller posts them where
-// they belong.
+// Records of the control plane on disk: LevelDB on a dedicated thread, because a disk may hang for seconds.
+// Each write is synced before its callback runs. Errors (disk full, stalled, corrupt) are reported to the
+// callback, never thrown; after an error the database is reopened. Callbacks run on the storage thread; the
+// caller must post them to its own thread.
 #pragma once
 
 #include <functional>
@@ -16,19 +16,19 @@
  public:
   struct OpenResult {
     bool opened = false;
-    std::string error;       // one line with the remedy, where not opened
+    std::string error;       // if not opened: one line with the remedy
     std::string replica_id;  // identity of the store
-    bool created = false;    // the folder held no store before
+    bool created = false;    // the folder had no store before
     std::vector<std::pair<std::string, std::string>> records;
   };
 
-  // `folder` exists. A new store is given `new_replica_id`, synced before Open answers.
+  // `folder` must exist. A new store gets `new_replica_id`, synced before Open completes.
   explicit RecordStore(std::string folder, std::string new_replica_id);
-  ~RecordStore();  // waits for the writes under way
+  ~RecordStore();  // waits for queued writes
 
   void Open(std::function<void(OpenResult)> done);
   void Write(std::string key, std::string value,
-             std::function<void(bool written)> done);  // in order of calls
+             std::function<void(bool written)> done);  // callbacks run in the order of the calls
 
  private:
   class Impl;
--- a/src/storage/synced_env.h
+++ b/src/storage/synced_env.h
@@ -1,6 +1,6 @@
-// LevelDB's own environment, except that the creation and the rename of a file are followed by a sync of the
-// folder. LevelDB renames a new CURRENT into place and then removes the manifest that the old one names: a
-// loss of power that keeps the removal and loses the rename would leave a database that can't be opened.
+// LevelDB's default environment, except that it syncs the folder after creating or renaming a file. LevelDB
+// renames a new CURRENT into place and then removes the manifest named by the old one. A power loss that
+// persists the removal but not the rename would leave a database that can't be opened.
 #pragma once
 
 #include <leveldb/env.h>
@@ -10,7 +10,7 @@
 
 namespace lichenlug::storage {
 
-// Makes the creation, rename and removal of files in a folder last.
+// Makes the creation, renaming and removal of files in a folder durable.
 leveldb::Status SyncFolder(const std::string& folder);
 
 class SyncedEnv : public leveldb::EnvWrapper {
@@ -20,7 +20,7 @@
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
 };
 
-// Takes LevelDB's own notes, which would cost disk writes, and drops them.
+// Discards LevelDB's info log, which would cost disk writes.
 class NoLogger : public leveldb::Logger {
  public:
   void Logv(const char*, std::va_list) override {}
