--- a/tests/system/storage/record_store_test.cpp
+++ b/tests/system/storage/record_store_test.cpp
@@ -1,5 +1,4 @@
-// Records on a real folder: what was acknowledged is there after opening again, and damage is told, not
-// thrown.
+// RecordStore on a real folder: acknowledged records survive reopening, and damage is reported, not thrown.
 #include "storage/record_store.h"
 
 #include <unistd.h>
@@ -58,13 +57,13 @@
   return {result.records.begin(), result.records.end()};
 }
 
-// Opens a store of its own, and closes it.
+// Opens and closes a store.
 RecordStore::OpenResult OpenOnce(const Folder& folder, const std::string& new_replica_id) {
   RecordStore store(folder.path(), new_replica_id);
   return Open(&store);
 }
 
-TEST_CASE("a new store takes the given identity and keeps it") {
+TEST_CASE("a new store gets the given identity and keeps it") {
   Folder folder;
   const auto first = OpenOnce(folder, "founder:a");
   CHECK(first.opened);
@@ -77,7 +76,7 @@
   CHECK(second.replica_id == "founder:a");
 }
 
-TEST_CASE("acknowledged records are there after opening again") {
+TEST_CASE("acknowledged records survive reopening") {
   Folder folder;
   {
     RecordStore store(folder.path(), "a");
@@ -94,7 +93,7 @@
                                                              {"", std::string("\0\xff", 2)}});
 }
 
-TEST_CASE("large values written over and over stay readable and small on disk") {
+TEST_CASE("large values that are overwritten repeatedly stay readable and use bounded disk space") {
   Folder folder;
   {
     RecordStore store(folder.path(), "a");
@@ -109,7 +108,7 @@
   CHECK(Records(OpenOnce(folder, "b")).at("accepted/configuration") == std::string(200'000, 'v'));
 }
 
-TEST_CASE("queued writes are told in the order of the calls, the last value wins") {
+TEST_CASE("callbacks of queued writes run in the order of the calls, and the last value wins") {
   Folder folder;
   std::vector<int> order;
   {
@@ -125,7 +124,7 @@
   CHECK(Records(OpenOnce(folder, "b")).at("key") == "499");
 }
 
-TEST_CASE("writes queued behind a busy disk share a sync, and all are kept") {
+TEST_CASE("writes queued behind a busy disk share a sync, and none is lost") {
   Folder folder;
   {
     RecordStore store(folder.path(), "a");
@@ -148,7 +147,7 @@
   CHECK(OpenOnce(folder, "b").records.size() == 202);
 }
 
-TEST_CASE("an emptied folder is a new store with the new identity") {
+TEST_CASE("an emptied folder becomes a new store with the new identity") {
   Folder folder;
   OpenOnce(folder, "a");
   fs::remove_all(folder.database());
@@ -157,7 +156,7 @@
   CHECK(again.replica_id == "b");
 }
 
-TEST_CASE("a torn end of the log loses only what was not acknowledged") {
+TEST_CASE("a torn log tail loses no acknowledged record") {
   Folder folder;
   {
     RecordStore store(folder.path(), "a");
@@ -175,7 +174,7 @@
   CHECK(Records(again).at("kept") == "1");
 }
 
-TEST_CASE("a store that can't be read is set aside and becomes another one") {
+TEST_CASE("an unreadable store is moved aside and replaced by one with another identity") {
   Folder folder;
   {
     RecordStore store(folder.path(), "founder:a");
@@ -183,14 +182,14 @@
     REQUIRE(Write(&store, "kept", "1"));
   }
   OpenOnce(folder, "");  // moves the log into a table
-  SECTION("manifest gone") {
+  SECTION("manifest missing") {
     for (const auto& entry : fs::directory_iterator(folder.database())) {
       if (entry.path().filename().string().starts_with("MANIFEST")) fs::remove(entry.path());
     }
   }
   SECTION("CURRENT damaged") { std::ofstream(folder.database() / "CURRENT") << "nothing"; }
-  SECTION("CURRENT gone") { fs::remove(folder.database() / "CURRENT"); }
-  SECTION("tables gone") {
+  SECTION("CURRENT missing") { fs::remove(folder.database() / "CURRENT"); }
+  SECTION("tables missing") {
     REQUIRE_FALSE(folder.Files(".ldb").empty());
     for (const auto& file : folder.Files(".ldb")) fs::remove(file);
   }
@@ -203,13 +202,13 @@
   const auto again = OpenOnce(folder, "founder:a");
   CHECK(again.opened);
   CHECK(again.created);
-  CHECK(again.replica_id != "founder:a");  // the identity of the founding group must not come twice
+  CHECK(again.replica_id != "founder:a");  // an identity of the founding group must not be reused
   CHECK(again.replica_id.starts_with("founder:a+"));
   CHECK(again.records.empty());
   CHECK(OpenOnce(folder, "c").replica_id == again.replica_id);
 }
 
-TEST_CASE("a folder that can't be used is told with the remedy") {
+TEST_CASE("an unusable folder is reported with the remedy") {
   Folder folder;
   std::ofstream(folder.database()) << "a file where the folder should be";
   const auto result = OpenOnce(folder, "a");
@@ -221,7 +220,7 @@
   CHECK_FALSE(Open(&store).opened);
   CHECK_FALSE(Write(&store, "key", "value"));
   fs::remove(folder.database());
-  CHECK(Open(&store).opened);  // the remedy was taken
+  CHECK(Open(&store).opened);  // the remedy was applied
   CHECK(Write(&store, "key", "value"));
 }
 
@@ -231,14 +230,14 @@
   CHECK_FALSE(Write(&store, "key", "value"));
 }
 
-TEST_CASE("a store that vanished under a running process is not written to in its name") {
+TEST_CASE("writes fail after the store's folder was removed under a running process") {
   Folder folder;
   RecordStore store(folder.path(), "a");
   REQUIRE(Open(&store).opened);
   REQUIRE(Write(&store, "key", "value"));
   fs::remove_all(folder.database());
-  std::ofstream(folder.database()) << "in the way";  // no new file can be made
-  // LevelDB goes on with its open log until that is full; then it needs a new one.
+  std::ofstream(folder.database()) << "in the way";  // no new file can be created
+  // LevelDB keeps writing to its open log until the log is full; then it needs a new file.
   bool written = true;
   for (int i = 0; i < 100 && written; ++i) written = Write(&store, "key", std::string(100'000, 'x'));
   CHECK_FALSE(written);
