--- a/src/consensus/answers.cpp
+++ b/src/consensus/answers.cpp
@@ -6,8 +6,8 @@
 namespace lichenlug::consensus {
 namespace {
 
-std::optional<AcceptedValue> ReadAccepted(const std::string& register_name, const auto& answer,
-                                          const AcceptedValue& known) {
+std::optional<AcceptedValue> ParseAccepted(const std::string& register_name, const auto& answer,
+                                           const AcceptedValue& known) {
   if (IsNone(answer.accepted())) {
     const bool is_whole =
         !answer.has_value() && answer.digest() == 0 && answer.claim() == ClaimDigest(register_name, {}, 0);
@@ -31,7 +31,7 @@
   if (accepted.value != nullptr && Less(best_.ballot, accepted.ballot)) best_ = accepted;
 }
 
-bool Answers::HoldsOther(const std::string& replica_id) const {
+bool Answers::HasDifferentValue(const std::string& replica_id) const {
   const auto found = accepted_.find(replica_id);
   return found != accepted_.end() && !Equal(found->second, best_.ballot);
 }
@@ -47,14 +47,14 @@
   });
 }
 
-std::optional<AcceptedValue> AcceptedIn(const std::string& register_name, const messages::Promise& promise,
-                                        const AcceptedValue& known) {
-  return ReadAccepted(register_name, promise, known);
+std::optional<AcceptedValue> ExtractAccepted(const std::string& register_name,
+                                             const messages::Promise& promise, const AcceptedValue& known) {
+  return ParseAccepted(register_name, promise, known);
 }
 
-std::optional<AcceptedValue> AcceptedIn(const std::string& register_name, const messages::ReadReply& reply,
-                                        const AcceptedValue& known) {
-  return ReadAccepted(register_name, reply, known);
+std::optional<AcceptedValue> ExtractAccepted(const std::string& register_name,
+                                             const messages::ReadReply& reply, const AcceptedValue& known) {
+  return ParseAccepted(register_name, reply, known);
 }
 
 }  // namespace lichenlug::consensus
--- a/src/consensus/answers.h
+++ b/src/consensus/answers.h
@@ -22,7 +22,7 @@
   void Add(const std::string& replica_id, const AcceptedValue& accepted);
 
   // Whether the replica has reported a different value than the best one, or none.
-  bool HoldsOther(const std::string& replica_id) const;
+  bool HasDifferentValue(const std::string& replica_id) const;
   const AcceptedValue& best() const { return best_; }  // round 0 if nothing is accepted
   bool IsComplete() const;
   bool IsChosen() const;  // a quorum of the group has accepted the same ballot
@@ -34,9 +34,9 @@
 
 // Extracts the accepted value from a Promise or ReadReply; `known` is the value that the request declared as
 // known. Returns none if the parts of the answer are inconsistent.
-std::optional<AcceptedValue> AcceptedIn(const std::string& register_name, const messages::Promise& promise,
-                                        const AcceptedValue& known);
-std::optional<AcceptedValue> AcceptedIn(const std::string& register_name, const messages::ReadReply& reply,
-                                        const AcceptedValue& known);
+std::optional<AcceptedValue> ExtractAccepted(const std::string& register_name,
+                                             const messages::Promise& promise, const AcceptedValue& known);
+std::optional<AcceptedValue> ExtractAccepted(const std::string& register_name,
+                                             const messages::ReadReply& reply, const AcceptedValue& known);
 
 }  // namespace lichenlug::consensus
--- a/src/consensus/decision.cpp
+++ b/src/consensus/decision.cpp
@@ -35,9 +35,9 @@
 
 // Ends the operation with `outcome` once the found value is known to be chosen: immediately, or after a
 // write-back.
-Decision EndWithFound(const FoundValue& found, bool known, Outcome outcome, int reason) {
+Decision EndWithFound(const FoundValue& found, bool known_chosen, Outcome outcome, int reason) {
   Decision decision;
-  decision.kind = known ? Decision::Kind::kEnd : Decision::Kind::kWrite;
+  decision.kind = known_chosen ? Decision::Kind::kEnd : Decision::Kind::kWrite;
   decision.outcome = outcome;
   decision.reason = reason;
   decision.value = *found.value;
@@ -45,7 +45,7 @@
 }
 
 // A joint group must be chosen before it is replaced by its next members.
-Decision AdvanceGroup(const FoundValue& found, bool own, const messages::Ballot& ballot) {
+Decision AdvanceGroup(const FoundValue& found, bool contains_change, const messages::Ballot& ballot) {
   Decision decision;
   decision.kind = Decision::Kind::kAdvance;
   decision.value = *found.value;
@@ -53,7 +53,7 @@
     decision.value = Successor(*found.value, ballot);
     decision.value.set_payload(found.value->payload());
     *decision.value.mutable_group() = FinalGroup(found.value->group());
-    decision.carries_change = own;
+    decision.carries_change = contains_change;
   }
   return decision;
 }
@@ -68,13 +68,14 @@
   return decision;
 }
 
-Decision ProposeGroup(const FoundValue& found, bool known, const NewGroup& change,
+Decision ProposeGroup(const FoundValue& found, bool known_chosen, const NewGroup& change,
                       const messages::Ballot& ballot) {
   const auto& group = found.value->group();
-  if (!IsValidMembership(change.members)) return EndWithFound(found, known, Outcome::kKept, kGroupInvalid);
-  if (ConsistsOf(group, change.members)) return EndWithFound(found, known, Outcome::kChosen, 0);
+  if (!IsValidMembership(change.members))
+    return EndWithFound(found, known_chosen, Outcome::kKept, kGroupInvalid);
+  if (ConsistsOf(group, change.members)) return EndWithFound(found, known_chosen, Outcome::kChosen, 0);
   if (change.if_version != 0 && change.if_version != group.version()) {
-    return EndWithFound(found, known, Outcome::kKept, kGroupMoved);
+    return EndWithFound(found, known_chosen, Outcome::kKept, kGroupMoved);
   }
   Decision decision;
   decision.kind = Decision::Kind::kAdvance;
@@ -96,12 +97,14 @@
 
   // A proposal of this operation that was not found may still be chosen, unless a value at a higher ballot
   // is chosen without it.
-  const bool known = found.chosen && (operation.sent.empty() || Less(operation.sent.back(), found.ballot));
+  const bool known_chosen =
+      found.chosen && (operation.sent.empty() || Less(operation.sent.back(), found.ballot));
   const Change change = operation.change(found.value->payload());
   if (const auto* keep = std::get_if<KeepPayload>(&change)) {
-    return EndWithFound(found, known, Outcome::kKept, keep->reason);
+    return EndWithFound(found, known_chosen, Outcome::kKept, keep->reason);
   }
-  if (const auto* group = std::get_if<NewGroup>(&change)) return ProposeGroup(found, known, *group, ballot);
+  if (const auto* group = std::get_if<NewGroup>(&change))
+    return ProposeGroup(found, known_chosen, *group, ballot);
   return ProposePayload(found, std::get<NewPayload>(change).payload, ballot);
 }
 
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -12,7 +12,7 @@
 constexpr int kMaxSeats = 9;
 constexpr std::uint64_t kMaxBallotStep = 1ull << 32;  // a larger step means a corrupt ballot
 
-bool HoldsIdentity(const auto& members, const std::string& replica_id) {
+bool ContainsReplica(const auto& members, const std::string& replica_id) {
   return std::any_of(members.begin(), members.end(),
                      [&](const auto& member) { return member.replica_id() == replica_id; });
 }
@@ -26,7 +26,7 @@
   return addresses;
 }
 
-std::vector<std::string> AddressesOf(const messages::Founding& founding) {
+std::vector<std::string> SortedSeatAddresses(const messages::Founding& founding) {
   std::vector<std::string> addresses;
   for (const auto& seat : founding.seats()) addresses.push_back(seat.address());
   return Sorted(std::move(addresses));
@@ -57,7 +57,8 @@
 
 FoundingAgreement::FoundingAgreement(FoundingSettings settings, messages::FoundingRecord record)
     : settings_(std::move(settings)), record_(std::move(record)), next_round_(settings_.begin_at) {
-  settings_.seats = record_.has_founding() ? AddressesOf(record_.founding()) : Sorted(settings_.seats);
+  settings_.seats =
+      record_.has_founding() ? SortedSeatAddresses(record_.founding()) : Sorted(settings_.seats);
   highest_round_ = std::max(highest_round_, record_.promised().round());
 }
 
@@ -73,23 +74,24 @@
   if (is_held) proven_ = proven_ || proven;
   if (is_held && record_.established()) return;
   if (!is_held) proven_ = proven;
-  if (to_learn_ && !Less(to_learn_->ballot(), founding.ballot())) return;
-  to_learn_ = founding;
-  WriteLearned(output);
+  if (pending_learned_ && !Less(pending_learned_->ballot(), founding.ballot())) return;
+  pending_learned_ = founding;
+  WritePendingLearned(output);
 }
 
-void FoundingAgreement::WriteLearned(FoundingOutput* output) {
-  if (!to_learn_ || writing_) return;
-  const bool is_older = record_.has_founding() && Less(to_learn_->ballot(), record_.founding().ballot());
-  if (is_older) return to_learn_.reset();
+void FoundingAgreement::WritePendingLearned(FoundingOutput* output) {
+  if (!pending_learned_ || pending_write_) return;
+  const bool is_older =
+      record_.has_founding() && Less(pending_learned_->ballot(), record_.founding().ballot());
+  if (is_older) return pending_learned_.reset();
   messages::FoundingRecord record = record_;
-  *record.mutable_founding() = *to_learn_;
+  *record.mutable_founding() = *pending_learned_;
   record.set_established(true);
   Write(WriteKind::kLearned, std::move(record), "", output);
 }
 
 bool FoundingAgreement::MayVoteInRegisters() const {
-  return record_.established() && !(writing_ && writing_->kind == WriteKind::kVote);
+  return record_.established() && !(pending_write_ && pending_write_->kind == WriteKind::kVote);
 }
 
 bool FoundingAgreement::IsPlausible(const messages::Ballot& ballot) const {
@@ -98,7 +100,7 @@
 }
 
 std::optional<Time> FoundingAgreement::NextTimer() const {
-  if (proven_ || !IsSeat()) return to_learn_ ? std::optional(next_round_) : std::nullopt;
+  if (proven_ || !IsSeat()) return pending_learned_ ? std::optional(next_round_) : std::nullopt;
   return next_round_;
 }
 
@@ -106,7 +108,7 @@
   const std::optional<Time> timer = NextTimer();
   if (!timer || now < *timer) return;
   next_round_ = now + settings_.round_time;
-  if (to_learn_) return WriteLearned(output);  // an earlier write failed
+  if (pending_learned_) return WritePendingLearned(output);  // an earlier write failed
   BeginRound(now, holds_values, output);
 }
 
@@ -116,8 +118,8 @@
 // depends on its position in the list.
 void FoundingAgreement::BeginRound(Time now, bool holds_values, FoundingOutput* output) {
   const auto self = std::find(settings_.seats.begin(), settings_.seats.end(), settings_.self_address);
-  const auto place = self - settings_.seats.begin();
-  next_round_ = now + settings_.round_time * (2 + place) / 2;
+  const auto position = self - settings_.seats.begin();
+  next_round_ = now + settings_.round_time * (2 + position) / 2;
   answers_.clear();
   votes_.clear();
   proposed_.reset();
@@ -132,9 +134,9 @@
                                   bool holds_values, FoundingOutput* output) {
   const auto& promise = message.promise();
   if (proposed_ || !Equal(promise.ballot(), ballot_)) return;
-  if (promise.has_founding() && AddressesOf(promise.founding()) != settings_.seats) {
+  if (promise.has_founding() && SortedSeatAddresses(promise.founding()) != settings_.seats) {
     if (record_.has_founding()) return;
-    settings_.seats = AddressesOf(promise.founding());  // an existing founding overrides the settings
+    settings_.seats = SortedSeatAddresses(promise.founding());  // an existing founding overrides the settings
     answers_.clear();
     return;
   }
@@ -167,11 +169,11 @@
   }
   if (newest == nullptr) return Propose(now, {}, holds_values, output);
 
-  const bool of_first_start = newest->ballot().round() <= kFirstStartRound;
+  const bool is_first_start = newest->ballot().round() <= kFirstStartRound;
   const bool all_voted =
-      !of_first_start && std::all_of(answers_.begin(), answers_.end(), [&](const auto& entry) {
-        const bool was_asked = HoldsIdentity(newest->seats(), entry.second.seat.replica_id());
-        return !was_asked ||
+      !is_first_start && std::all_of(answers_.begin(), answers_.end(), [&](const auto& entry) {
+        const bool was_seat = ContainsReplica(newest->seats(), entry.second.seat.replica_id());
+        return !was_seat ||
                (entry.second.has_founding && Equal(entry.second.founding.ballot(), newest->ballot()));
       });
   if (with_values != nullptr && !SameMembers(with_values->group(), newest->group())) {
@@ -180,7 +182,7 @@
   }
   if (IsQuorum(newest->group(), is_present)) {
     if (all_voted) return Establish(now, *newest, output);
-    if (of_first_start) {  // needs no votes
+    if (is_first_start) {  // needs no votes
       output->found = *newest;
       return;
     }
@@ -230,7 +232,7 @@
 
 // ---- Acceptor --------------------------------------------------------------------------------------------
 
-bool FoundingAgreement::Takes(const messages::FoundingMessage& message) const {
+bool FoundingAgreement::IsAcceptable(const messages::FoundingMessage& message) const {
   if (message.replica_id().empty() || message.seats_size() > kMaxSeats) return false;
   // A seat with an empty store answers only senders with the same list of seats; a seat that knows a founding
   // reports it to any sender.
@@ -242,7 +244,7 @@
                                 const messages::FoundingMessage& message, bool holds_values,
                                 FoundingOutput* output) {
   if (message.has_established()) return OnEstablished(message.established(), output);
-  if (!Takes(message)) return;
+  if (!IsAcceptable(message)) return;
   if (message.has_prepare()) return OnPrepare(now, from_address, message, holds_values, output);
   if (message.has_promise()) return OnPromise(now, from_address, message, holds_values, output);
   if (message.has_propose()) return OnPropose(now, from_address, message, holds_values, output);
@@ -259,7 +261,7 @@
   highest_round_ = std::max(highest_round_, ballot.round());
   if (Equal(ballot, record_.promised())) {
     messages::FoundingMessage promise;
-    *promise.mutable_promise() = PromiseOf(ballot, holds_values);
+    *promise.mutable_promise() = MakePromise(ballot, holds_values);
     return SendOrHandle(now, from, std::move(promise), holds_values, output);
   }
   messages::FoundingRecord record = record_;
@@ -273,7 +275,7 @@
   if (!IsWellFormed(founding) || founding.ballot().round() <= kFirstStartRound) return;
   if (!IsPlausible(founding.ballot())) return;
   if (Less(founding.ballot(), record_.promised())) return Refuse(now, from, output);
-  if (!HoldsIdentity(founding.seats(), settings_.replica_id)) return;
+  if (!ContainsReplica(founding.seats(), settings_.replica_id)) return;
   if (record_.has_founding() && Less(founding.ballot(), record_.founding().ballot())) return;
   const bool moves = !record_.has_founding() || !SameMembers(record_.founding().group(), founding.group());
   if (moves && (holds_values || proven_)) return;
@@ -291,8 +293,8 @@
   output->established = true;
 }
 
-messages::FoundingPromise FoundingAgreement::PromiseOf(const messages::Ballot& ballot,
-                                                       bool holds_values) const {
+messages::FoundingPromise FoundingAgreement::MakePromise(const messages::Ballot& ballot,
+                                                         bool holds_values) const {
   messages::FoundingPromise promise;
   *promise.mutable_ballot() = ballot;
   if (record_.has_founding()) *promise.mutable_founding() = record_.founding();
@@ -321,8 +323,8 @@
   }
   add(proposed_ ? proposed_->SerializeAsString() : "");
   for (const auto& [address, store] : votes_) add(address + store);
-  add(writing_ ? writing_->record.SerializeAsString() : "");
-  add(to_learn_ ? to_learn_->SerializeAsString() : "");
+  add(pending_write_ ? pending_write_->record.SerializeAsString() : "");
+  add(pending_learned_ ? pending_learned_->SerializeAsString() : "");
   return state;
 }
 
@@ -331,29 +333,30 @@
 // Requests that arrive while a record is being written are not answered; the sender retries.
 void FoundingAgreement::Write(WriteKind kind, messages::FoundingRecord record, const std::string& reply_to,
                               FoundingOutput* output) {
-  if (writing_) return;
+  if (pending_write_) return;
   output->writes.push_back({++last_token_, record});
-  writing_ = PendingWrite{last_token_, kind, reply_to, std::move(record)};
+  pending_write_ = PendingWrite{last_token_, kind, reply_to, std::move(record)};
 }
 
 void FoundingAgreement::StoreDone(Time now, std::uint64_t token, bool written, bool holds_values,
                                   FoundingOutput* output) {
-  if (!writing_ || writing_->token != token) return;
-  const PendingWrite done = *std::exchange(writing_, std::nullopt);
+  if (!pending_write_ || pending_write_->token != token) return;
+  const PendingWrite done = *std::exchange(pending_write_, std::nullopt);
   if (!written) return;
   record_ = done.record;
   if (done.kind == WriteKind::kLearned) {
-    settings_.seats = AddressesOf(record_.founding());
-    if (to_learn_ && !Less(record_.founding().ballot(), to_learn_->ballot())) to_learn_.reset();
-    return WriteLearned(output);
+    settings_.seats = SortedSeatAddresses(record_.founding());
+    if (pending_learned_ && !Less(record_.founding().ballot(), pending_learned_->ballot()))
+      pending_learned_.reset();
+    return WritePendingLearned(output);
   }
   messages::FoundingMessage message;
   if (done.kind == WriteKind::kVote)
     *message.mutable_vote()->mutable_ballot() = record_.founding().ballot();
   else
-    *message.mutable_promise() = PromiseOf(record_.promised(), holds_values);
+    *message.mutable_promise() = MakePromise(record_.promised(), holds_values);
   SendOrHandle(now, done.reply_to, std::move(message), holds_values, output);
-  WriteLearned(output);
+  WritePendingLearned(output);
 }
 
 void FoundingAgreement::Broadcast(Time now, const messages::FoundingMessage& message, bool holds_values,
--- a/src/consensus/founding.h
+++ b/src/consensus/founding.h
@@ -94,7 +94,7 @@
   };
 
   bool IsSeat() const;
-  bool Takes(const messages::FoundingMessage& message) const;
+  bool IsAcceptable(const messages::FoundingMessage& message) const;
   void BeginRound(Time now, bool holds_values, FoundingOutput* output);
   void OnPrepare(Time now, const std::string& from, const messages::FoundingMessage& message,
                  bool holds_values, FoundingOutput* output);
@@ -108,11 +108,11 @@
   void Decide(Time now, bool holds_values, FoundingOutput* output);
   void Propose(Time now, const messages::ReplicaGroup& group, bool holds_values, FoundingOutput* output);
   void Establish(Time now, const messages::Founding& founding, FoundingOutput* output);
-  messages::FoundingPromise PromiseOf(const messages::Ballot& ballot, bool holds_values) const;
+  messages::FoundingPromise MakePromise(const messages::Ballot& ballot, bool holds_values) const;
   void Refuse(Time now, const std::string& to, FoundingOutput* output);
   void Write(WriteKind kind, messages::FoundingRecord record, const std::string& reply_to,
              FoundingOutput* output);
-  void WriteLearned(FoundingOutput* output);
+  void WritePendingLearned(FoundingOutput* output);
   bool IsPlausible(const messages::Ballot& ballot) const;
   void Broadcast(Time now, const messages::FoundingMessage& message, bool holds_values,
                  FoundingOutput* output);
@@ -131,8 +131,8 @@
   std::map<std::string, std::string> votes_;  // replica id of the store that voted, by address
   Time next_round_ = 0;
 
-  std::optional<PendingWrite> writing_;         // one at a time, so that each is based on the synced record
-  std::optional<messages::Founding> to_learn_;  // written next
+  std::optional<PendingWrite> pending_write_;  // one at a time, so that each is based on the synced record
+  std::optional<messages::Founding> pending_learned_;  // written next
   std::uint64_t last_token_ = 0;
 };
 
--- a/src/consensus/group.cpp
+++ b/src/consensus/group.cpp
@@ -9,7 +9,7 @@
 
 using Members = google::protobuf::RepeatedPtrField<messages::ReplicaIdentity>;
 
-bool HasMajority(const Members& members, const Vote& vote) {
+bool HasMajority(const Members& members, const VotePredicate& vote) {
   const auto votes = std::count_if(members.begin(), members.end(),
                                    [&](const auto& member) { return vote(member.replica_id()); });
   return votes > members.size() / 2;
@@ -21,7 +21,7 @@
   return identities;
 }
 
-std::set<std::pair<std::string, std::string>> Places(const auto& members) {
+std::set<std::pair<std::string, std::string>> IdentitiesWithAddresses(const auto& members) {
   std::set<std::pair<std::string, std::string>> places;
   for (const auto& member : members) places.emplace(member.replica_id(), member.address());
   return places;
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-bool IsQuorum(const messages::ReplicaGroup& group, const Vote& vote) {
+bool IsQuorum(const messages::ReplicaGroup& group, const VotePredicate& vote) {
   return HasMajority(group.members(), vote) && (!IsJoint(group) || HasMajority(group.next_members(), vote));
 }
 
@@ -37,7 +37,7 @@
 
 std::vector<messages::ReplicaIdentity> AllMembers(const messages::ReplicaGroup& group) {
   std::vector<messages::ReplicaIdentity> all(group.members().begin(), group.members().end());
-  const auto places = Places(group.members());
+  const auto places = IdentitiesWithAddresses(group.members());
   for (const auto& member : group.next_members()) {
     if (!places.contains({member.replica_id(), member.address()})) all.push_back(member);
   }
@@ -58,7 +58,7 @@
 }
 
 bool ConsistsOf(const messages::ReplicaGroup& group, const std::vector<messages::ReplicaIdentity>& members) {
-  return !IsJoint(group) && Places(group.members()) == Places(members);
+  return !IsJoint(group) && IdentitiesWithAddresses(group.members()) == IdentitiesWithAddresses(members);
 }
 
 messages::ReplicaGroup FoundingGroup(const std::vector<messages::ReplicaIdentity>& members) {
--- a/src/consensus/group.h
+++ b/src/consensus/group.h
@@ -12,11 +12,11 @@
 inline constexpr int kMaxMembers = 64;  // per replica group
 
 // Returns whether the replica with this identity counts towards the quorum.
-using Vote = std::function<bool(const std::string& replica_id)>;
+using VotePredicate = std::function<bool(const std::string& replica_id)>;
 
 // Whether the votes form a majority of the members and, in a joint group, also a majority of the next
 // members. An empty group has no quorum.
-bool IsQuorum(const messages::ReplicaGroup& group, const Vote& vote);
+bool IsQuorum(const messages::ReplicaGroup& group, const VotePredicate& vote);
 
 bool IsJoint(const messages::ReplicaGroup& group);
 
--- a/src/consensus/outgoing_accept.cpp
+++ b/src/consensus/outgoing_accept.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kWorthwhileRatio = 2;  // minimum ratio of payload size to delta size
+constexpr std::size_t kMinDeltaRatio = 2;  // minimum ratio of payload size to delta size
 
 }  // namespace
 
@@ -22,22 +22,22 @@
                 ValueDigest(register_name, ballot, value)} {
   if (IsNone(base.ballot) || value.payload().size() < min_delta_bytes) return;
   messages::TextDelta delta = delta::MakeDelta(base.value->payload(), value.payload());
-  const bool is_short = delta.ByteSizeLong() * kWorthwhileRatio <= value.payload().size();
+  const bool is_short = delta.ByteSizeLong() * kMinDeltaRatio <= value.payload().size();
   if (min_delta_bytes > 0 && !is_short) return;
   base_ = base.ballot;
   delta_ = std::move(delta);
   for (const auto& member : AllMembers(base.value->group())) base_holders_.insert(member.replica_id());
 }
 
-bool OutgoingAccept::TakesDelta(const std::string& replica_id) const {
-  return delta_ && base_holders_.contains(replica_id) && !whole_to_.contains(replica_id);
+bool OutgoingAccept::UsesDelta(const std::string& replica_id) const {
+  return delta_ && base_holders_.contains(replica_id) && !full_value_replicas_.contains(replica_id);
 }
 
-messages::Accept OutgoingAccept::For(const std::string& replica_id) const {
+messages::Accept OutgoingAccept::MessageFor(const std::string& replica_id) const {
   messages::Accept accept;
   *accept.mutable_ballot() = accepted_.ballot;
   accept.set_digest(accepted_.digest);
-  if (!TakesDelta(replica_id)) {
+  if (!UsesDelta(replica_id)) {
     *accept.mutable_value() = *accepted_.value;
     return accept;
   }
@@ -48,13 +48,13 @@
   return accept;
 }
 
-std::size_t OutgoingAccept::BytesFor(const std::string& replica_id) const {
-  return TakesDelta(replica_id) ? delta_->ByteSizeLong() : accepted_.value->payload().size();
+std::size_t OutgoingAccept::PayloadBytesFor(const std::string& replica_id) const {
+  return UsesDelta(replica_id) ? delta_->ByteSizeLong() : accepted_.value->payload().size();
 }
 
-bool OutgoingAccept::LacksBase(const std::string& replica_id, const messages::Ballot& ballot) {
-  if (!Equal(ballot, accepted_.ballot) || !TakesDelta(replica_id)) return false;
-  SendWholeTo(replica_id);
+bool OutgoingAccept::HandleMissingBase(const std::string& replica_id, const messages::Ballot& ballot) {
+  if (!Equal(ballot, accepted_.ballot) || !UsesDelta(replica_id)) return false;
+  SendFullValueTo(replica_id);
   return true;
 }
 
--- a/src/consensus/outgoing_accept.h
+++ b/src/consensus/outgoing_accept.h
@@ -19,25 +19,25 @@
                  const messages::RegisterValue& value, const AcceptedValue& base,
                  std::size_t min_delta_bytes);
 
-  messages::Accept For(const std::string& replica_id) const;
-  std::size_t BytesFor(const std::string& replica_id) const;  // of the payload
+  messages::Accept MessageFor(const std::string& replica_id) const;
+  std::size_t PayloadBytesFor(const std::string& replica_id) const;  // of the payload
 
-  void SendWholeTo(const std::string& replica_id) { whole_to_.insert(replica_id); }
-  void SendWholeToAll() { delta_.reset(); }
+  void SendFullValueTo(const std::string& replica_id) { full_value_replicas_.insert(replica_id); }
+  void SendFullValueToAll() { delta_.reset(); }
   // Handles a refusal of this ballot's Accept because the replica lacks the base. Returns whether the full
   // value must be sent; true at most once per replica.
-  bool LacksBase(const std::string& replica_id, const messages::Ballot& ballot);
+  bool HandleMissingBase(const std::string& replica_id, const messages::Ballot& ballot);
 
   const AcceptedValue& accepted() const { return accepted_; }  // as stored by a replica that accepts it
 
  private:
-  bool TakesDelta(const std::string& replica_id) const;
+  bool UsesDelta(const std::string& replica_id) const;
 
   AcceptedValue accepted_;
   messages::Ballot base_;
   std::set<std::string> base_holders_;  // members of the base value's group
   std::optional<messages::TextDelta> delta_;
-  std::set<std::string> whole_to_;
+  std::set<std::string> full_value_replicas_;
 };
 
 }  // namespace lichenlug::consensus
--- a/src/consensus/register_node.cpp
+++ b/src/consensus/register_node.cpp
@@ -79,11 +79,11 @@
         SetChecksum(&output->sends[i++].message);
         continue;
       }
-      const RegisterSend own = std::move(output->sends[i]);
+      const RegisterSend self_send = std::move(output->sends[i]);
       output->sends.erase(output->sends.begin() + static_cast<std::ptrdiff_t>(i));
-      const std::size_t proposals_of_others = output->proposals.size();
-      Receive(now, own.address, own.message, output);
-      output->proposals.resize(proposals_of_others);
+      const std::size_t proposal_count = output->proposals.size();
+      Receive(now, self_send.address, self_send.message, output);
+      output->proposals.resize(proposal_count);
     }
   }
 
--- a/src/consensus/register_proposer.cpp
+++ b/src/consensus/register_proposer.cpp
@@ -8,18 +8,19 @@
 namespace lichenlug::consensus {
 namespace {
 
-constexpr Time kShortestBackoff = 5 * kMillisecond;
-constexpr Time kFirstBackoff = 10 * kMillisecond;  // upper bound before the first retry; doubles
+constexpr Time kMinBackoff = 5 * kMillisecond;
+constexpr Time kInitialMaxBackoff = 10 * kMillisecond;  // upper bound before the first retry; doubles
 constexpr int kBackoffDoublings = 2;
 constexpr int kResendDoublings = 3;
-constexpr int kDeltaSends = 2;  // of an Accept, then it is sent in full: the receiver may not support deltas
-constexpr std::int64_t kSlowestBytesPerMillisecond = 1000;  // 80 % of a 10 Mbit/s link
-constexpr Time kLongestRound = 2 * kSecond;                 // upper bound of the time granted to a competitor
-constexpr Time kLongestGuess = 150 * kMillisecond;          // upper bound of an estimated round time
-constexpr Time kReadAgainAfter = 60 * kMillisecond;         // while replicas disagree; plus jitter
+constexpr int kMaxDeltaSends =
+    2;  // of an Accept, then it is sent in full: the receiver may not support deltas
+constexpr std::int64_t kMinLinkBytesPerMillisecond = 1000;  // 80 % of a 10 Mbit/s link
+constexpr Time kMaxRoundTime = 2 * kSecond;                 // upper bound of the time granted to a competitor
+constexpr Time kMaxEstimatedRoundTime = 150 * kMillisecond;  // upper bound of an estimated round time
+constexpr Time kReadRetryDelay = 60 * kMillisecond;          // while replicas disagree; plus jitter
 
-Time TimeOnSlowLink(std::size_t bytes) {
-  return static_cast<Time>(bytes) / kSlowestBytesPerMillisecond * kMillisecond;
+Time SlowLinkTransferTime(std::size_t bytes) {
+  return static_cast<Time>(bytes) / kMinLinkBytesPerMillisecond * kMillisecond;
 }
 
 ValuePointer EmptyValue(const messages::ReplicaGroup& founding) {
@@ -46,7 +47,7 @@
   phase_ = Phase::kIdle;
   attempt_ = 0;
   if (queue_.empty()) return;
-  const AcceptedValue held = HeldValue();
+  const AcceptedValue held = LastKnownValue();
   const bool reads = queue_.front().read_only ||
                      OnlyReads(queue_.front(), held.value != nullptr ? *held.value : *empty_value_);
   reads ? BeginRead(now, output) : BeginPrepare(now, output);
@@ -56,49 +57,49 @@
   phase_ = Phase::kRead;
   ballot_.set_round(context_->last_request + 1);
   ballot_.set_proposer(context_->proposer);
-  known_ = HeldValue();
+  known_ = LastKnownValue();
   answers_ = Answers(empty_value_);
   targets_ = Targets();
   deferred_.clear();
   value_source_.reset();
   resends_ = 0;
   SetTimer(now);
-  Ask(AllMembers(KnownGroup()), output);
+  ContactMembers(AllMembers(KnownGroup()), output);
 }
 
 void RegisterProposer::BeginPrepare(Time now, RegisterOutput* output) {
   phase_ = Phase::kPrepare;
-  round_began_ = now;
+  round_started_at_ = now;
   if (context_->replica != nullptr) {
     last_round_ = std::max(last_round_, context_->replica->HighestRound(register_name_));
   }
   ballot_.set_round(++last_round_);
   ballot_.set_proposer(context_->proposer);
-  known_ = HeldValue();
+  known_ = LastKnownValue();
   answers_ = Answers(empty_value_);
   targets_ = Targets();
   deferred_.clear();
   value_source_.reset();
   resends_ = 0;
   SetTimer(now);
-  Ask(AllMembers(KnownGroup()), output);
+  ContactMembers(AllMembers(KnownGroup()), output);
 }
 
 void RegisterProposer::BeginAccept(Time now, Decision decision, RegisterOutput* output) {
   phase_ = Phase::kAccept;
   decision_ = std::move(decision);
-  parent_group_ = answers_.best().value->group();
+  base_group_ = answers_.best().value->group();
   deferred_.clear();
   if (decision_.carries_change) queue_.front().sent.push_back(ballot_);
   targets_ = Targets();
   resends_ = 0;
   accept_ =
       OutgoingAccept(register_name_, ballot_, decision_.value, answers_.best(), context_->min_delta_bytes);
-  for (const auto& member : AllMembers(parent_group_)) {
-    if (answers_.HoldsOther(member.replica_id())) accept_.SendWholeTo(member.replica_id());
+  for (const auto& member : AllMembers(base_group_)) {
+    if (answers_.HasDifferentValue(member.replica_id())) accept_.SendFullValueTo(member.replica_id());
   }
-  Ask(AllMembers(parent_group_), output);
-  Ask(AllMembers(decision_.value.group()), output);
+  ContactMembers(AllMembers(base_group_), output);
+  ContactMembers(AllMembers(decision_.value.group()), output);
   SetTimer(now);
 }
 
@@ -107,13 +108,14 @@
 void RegisterProposer::BeginBackoff(Time now) {
   phase_ = Phase::kBackoff;
   const int doublings = std::min(attempt_++, kBackoffDoublings);
-  const Time round = std::min(std::max(now - round_began_, RoundOfOthers()), kLongestRound);
-  const Time shortest = std::max(kShortestBackoff, round / 2);
-  const Time longest = std::max(kFirstBackoff << doublings, shortest + (round << doublings) / 2);
+  const Time round = std::min(std::max(now - round_started_at_, EstimateCompetingRound()), kMaxRoundTime);
+  const Time shortest = std::max(kMinBackoff, round / 2);
+  const Time longest = std::max(kInitialMaxBackoff << doublings, shortest + (round << doublings) / 2);
   timer_ = now + std::uniform_int_distribution<Time>(shortest, longest)(context_->random);
 }
 
-void RegisterProposer::Ask(const std::vector<messages::ReplicaIdentity>& members, RegisterOutput* output) {
+void RegisterProposer::ContactMembers(const std::vector<messages::ReplicaIdentity>& members,
+                                      RegisterOutput* output) {
   if (!value_source_ && !members.empty()) value_source_ = context_->random() % members.size();
   for (const std::size_t index : targets_.Add(members, &context_->last_request)) SendTo(index, output);
 }
@@ -125,7 +127,7 @@
   send.message.set_replica_id(target.replica.replica_id());
   send.message.set_operation(target.request);
   if (phase_ == Phase::kAccept) {
-    *send.message.mutable_accept() = accept_.For(target.replica.replica_id());
+    *send.message.mutable_accept() = accept_.MessageFor(target.replica.replica_id());
   } else if (phase_ == Phase::kPrepare) {
     *send.message.mutable_prepare()->mutable_ballot() = ballot_;
     *send.message.mutable_prepare()->mutable_known() = known_.ballot;
@@ -138,8 +140,8 @@
   output->sends.push_back(std::move(send));
 }
 
-void RegisterProposer::AskAgain(Time now, RegisterOutput* output) {
-  if (++resends_ >= kDeltaSends && phase_ == Phase::kAccept) accept_.SendWholeToAll();
+void RegisterProposer::Resend(Time now, RegisterOutput* output) {
+  if (++resends_ >= kMaxDeltaSends && phase_ == Phase::kAccept) accept_.SendFullValueToAll();
   const auto unanswered = targets_.Unanswered();
   // The value source may be down: choose another one, preferably a replica that has reported a value.
   if (!unanswered.empty()) value_source_ = unanswered[context_->random() % unanswered.size()];
@@ -150,14 +152,14 @@
   SetTimer(now);
   if (phase_ == Phase::kAccept) return;
   for (const auto& group : {KnownGroup(), confirmed_group_, context_->founding}) {
-    Ask(AllMembers(group), output);
+    ContactMembers(AllMembers(group), output);
   }
 }
 
 void RegisterProposer::Receive(Time now, const std::string& from_address,
                                const messages::RegisterMessage& message, RegisterOutput* output) {
   if (message.has_refused() && message.refused().lacks_base())
-    return OnLacksBase(now, from_address, message, output);
+    return OnMissingBase(now, from_address, message, output);
   if (phase_ == Phase::kIdle || phase_ == Phase::kBackoff) return;
   Targets::Target* target = targets_.Match(from_address, message);
   if (target == nullptr) return;
@@ -165,13 +167,13 @@
     OnRefused(now, target, message.refused(), output);
   } else if (phase_ == Phase::kPrepare && message.has_promise() &&
              Equal(message.promise().ballot(), ballot_)) {
-    const auto accepted = AcceptedIn(register_name_, message.promise(), known_);
+    const auto accepted = ExtractAccepted(register_name_, message.promise(), known_);
     if (!accepted) Defer(*target, message.promise());
     if (accepted) OnAnswer(now, target, *accepted, output);
     ResolveDeferred(now, output);
   } else if (phase_ == Phase::kRead && message.has_read_reply() &&
              Equal(message.read_reply().ballot(), ballot_)) {
-    const auto accepted = AcceptedIn(register_name_, message.read_reply(), known_);
+    const auto accepted = ExtractAccepted(register_name_, message.read_reply(), known_);
     if (!accepted) Defer(*target, message.read_reply());
     if (accepted) OnAnswer(now, target, *accepted, output);
     ResolveDeferred(now, output);
@@ -183,7 +185,7 @@
 }
 
 void RegisterProposer::Defer(const Targets::Target& target, const auto& answer) {
-  if (target.state != Targets::State::kAsked || answer.has_value() || IsNone(answer.accepted())) return;
+  if (target.state != Targets::State::kPending || answer.has_value() || IsNone(answer.accepted())) return;
   if (answer.claim() != ClaimDigest(register_name_, answer.accepted(), answer.digest())) return;
   deferred_[target.replica.replica_id()] = {answer.accepted(), answer.digest()};
 }
@@ -199,20 +201,20 @@
     const AcceptedValue& best = answers_.best();
     if (Less(best.ballot, answer.ballot)) continue;
     const bool is_best = Equal(best.ballot, answer.ballot);
-    Targets::Target* target = targets_.FindAsked(replica_id);
+    Targets::Target* target = targets_.FindPending(replica_id);
     deferred_.erase(replica_id);
     if (target == nullptr || (is_best && best.digest != answer.digest)) continue;
     OnAnswer(now, target, is_best ? best : AcceptedValue{answer.ballot, nullptr, answer.digest}, output);
   }
-  if (phase_ == phase && Equal(ballot_, ballot)) AskForMissingValue(output);
+  if (phase_ == phase && Equal(ballot_, ballot)) RequestMissingValue(output);
 }
 
 // Requests the full value from another replica if the value source has answered with an older value or has
 // refused.
-void RegisterProposer::AskForMissingValue(RegisterOutput* output) {
+void RegisterProposer::RequestMissingValue(RegisterOutput* output) {
   if (deferred_.empty() || !value_source_ || *value_source_ >= targets_.size()) return;
   const Targets::Target& source = targets_.at(*value_source_);
-  if (source.state == Targets::State::kAsked) return;
+  if (source.state == Targets::State::kPending) return;
   const auto newest = std::max_element(deferred_.begin(), deferred_.end(), [](const auto& a, const auto& b) {
     return Less(a.second.ballot, b.second.ballot);
   });
@@ -227,72 +229,72 @@
                                 RegisterOutput* output) {
   if (target->state == Targets::State::kAnswered) return;
   target->state = Targets::State::kAnswered;
-  NoteRound(accepted.ballot);
+  ObserveRound(accepted.ballot);
   answers_.Add(target->replica.replica_id(), accepted);
-  Ask(AllMembers(answers_.best().value->group()), output);
-  phase_ == Phase::kRead ? CheckRead(now, /*waited=*/false, output) : CheckPrepare(now, output);
+  ContactMembers(AllMembers(answers_.best().value->group()), output);
+  phase_ == Phase::kRead ? CheckRead(now, /*timed_out=*/false, output) : CheckPrepare(now, output);
 }
 
 void RegisterProposer::OnRefused(Time now, Targets::Target* target, const messages::Refused& refused,
                                  RegisterOutput* output) {
-  if (target->state != Targets::State::kAsked) return;
+  if (target->state != Targets::State::kPending) return;
   LearnGroup(refused.group());
   if (refused.wrong_replica()) {
-    target->state = Targets::State::kOtherStore;
-    if (phase_ != Phase::kAccept) Ask(AllMembers(KnownGroup()), output);
-    if (phase_ == Phase::kRead) CheckRead(now, /*waited=*/false, output);
-    return AskForMissingValue(output);
+    target->state = Targets::State::kWrongReplica;
+    if (phase_ != Phase::kAccept) ContactMembers(AllMembers(KnownGroup()), output);
+    if (phase_ == Phase::kRead) CheckRead(now, /*timed_out=*/false, output);
+    return RequestMissingValue(output);
   }
   if (phase_ == Phase::kRead) return;
-  target->state = Targets::State::kOutbid;
-  NoteRound(refused.promised());
-  if (QuorumIsLost()) return BeginBackoff(now);
-  AskForMissingValue(output);
+  target->state = Targets::State::kPreempted;
+  ObserveRound(refused.promised());
+  if (IsQuorumImpossible()) return BeginBackoff(now);
+  RequestMissingValue(output);
 }
 
-void RegisterProposer::OnLacksBase(Time now, const std::string& from_address,
-                                   const messages::RegisterMessage& message, RegisterOutput* output) {
-  if (!accept_.LacksBase(message.replica_id(), message.refused().ballot())) return;
+void RegisterProposer::OnMissingBase(Time now, const std::string& from_address,
+                                     const messages::RegisterMessage& message, RegisterOutput* output) {
+  if (!accept_.HandleMissingBase(message.replica_id(), message.refused().ballot())) return;
   RegisterSend send{from_address, {}};
   send.message.set_register_name(register_name_);
   send.message.set_replica_id(message.replica_id());
   send.message.set_operation(message.operation());
-  *send.message.mutable_accept() = accept_.For(message.replica_id());
+  *send.message.mutable_accept() = accept_.MessageFor(message.replica_id());
   output->sends.push_back(std::move(send));
   if (phase_ == Phase::kAccept) SetTimer(now);
 }
 
-bool RegisterProposer::QuorumIsLost() const {
-  const Vote may_answer = [this](const std::string& id) {
-    return !targets_.Has(id, Targets::State::kOutbid);
+bool RegisterProposer::IsQuorumImpossible() const {
+  const VotePredicate may_answer = [this](const std::string& id) {
+    return !targets_.Has(id, Targets::State::kPreempted);
   };
   if (phase_ == Phase::kPrepare) return !IsQuorum(answers_.best().value->group(), may_answer);
-  return !IsQuorum(parent_group_, may_answer) || !IsQuorum(decision_.value.group(), may_answer);
+  return !IsQuorum(base_group_, may_answer) || !IsQuorum(decision_.value.group(), may_answer);
 }
 
-void RegisterProposer::CheckRead(Time now, bool waited, RegisterOutput* output) {
+void RegisterProposer::CheckRead(Time now, bool timed_out, RegisterOutput* output) {
   if (answers_.IsChosen()) {
     const AcceptedValue best = answers_.best();
     if (queue_.front().read_only) {
       recent_ = best;
-      return End(now, Outcome::kKept, 0, *best.value, output);
+      return CompleteOperation(now, Outcome::kKept, 0, *best.value, output);
     }
     const Decision decision = Decide(queue_.front(), {best.ballot, best.value, true}, ballot_);
     if (decision.kind == Decision::Kind::kEnd) {
       confirmed_group_ = best.value->group();
       recent_ = best;
-      return End(now, decision.outcome, decision.reason, decision.value, output);
+      return CompleteOperation(now, decision.outcome, decision.reason, decision.value, output);
     }
     return BeginPrepare(now, output);
   }
-  if (!targets_.AllAnswered() && !(waited && answers_.IsComplete())) return;
-  queue_.front().read_only ? ReadAgainLater(now) : BeginPrepare(now, output);
+  if (!targets_.AllAnswered() && !(timed_out && answers_.IsComplete())) return;
+  queue_.front().read_only ? ScheduleReadRetry(now) : BeginPrepare(now, output);
 }
 
 // The replicas disagree: another dispatcher is probably still completing its proposal, so retry later.
-void RegisterProposer::ReadAgainLater(Time now) {
+void RegisterProposer::ScheduleReadRetry(Time now) {
   phase_ = Phase::kBackoff;
-  timer_ = now + kReadAgainAfter + std::uniform_int_distribution<Time>(0, kReadAgainAfter)(context_->random);
+  timer_ = now + kReadRetryDelay + std::uniform_int_distribution<Time>(0, kReadRetryDelay)(context_->random);
 }
 
 void RegisterProposer::CheckPrepare(Time now, RegisterOutput* output) {
@@ -302,34 +304,36 @@
   recent_ = best;
   Decision decision = Decide(queue_.front(), {best.ballot, best.value, answers_.IsChosen()}, ballot_);
   if (decision.kind == Decision::Kind::kEnd) {
-    return End(now, decision.outcome, decision.reason, decision.value, output);
+    return CompleteOperation(now, decision.outcome, decision.reason, decision.value, output);
   }
   BeginAccept(now, std::move(decision), output);
 }
 
 void RegisterProposer::CheckAccept(Time now, RegisterOutput* output) {
-  const Vote accepted = [this](const std::string& id) { return targets_.Has(id, Targets::State::kAnswered); };
-  if (!IsQuorum(parent_group_, accepted) || !IsQuorum(decision_.value.group(), accepted)) return;
+  const VotePredicate accepted = [this](const std::string& id) {
+    return targets_.Has(id, Targets::State::kAnswered);
+  };
+  if (!IsQuorum(base_group_, accepted) || !IsQuorum(decision_.value.group(), accepted)) return;
   confirmed_group_ = decision_.value.group();
   if (decision_.kind == Decision::Kind::kAdvance) return BeginPrepare(now, output);
   if (context_->replica == nullptr) {
     recent_ = accept_.accepted();
   }
   const Decision decision = std::move(decision_);
-  End(now, decision.outcome, decision.reason, decision.value, output);
+  CompleteOperation(now, decision.outcome, decision.reason, decision.value, output);
 }
 
 void RegisterProposer::Tick(Time now, RegisterOutput* output) {
-  Expire(now, output);
+  ExpireOperations(now, output);
   if (phase_ == Phase::kIdle || now < timer_) return;
   if (phase_ == Phase::kBackoff)
     return queue_.front().read_only ? BeginRead(now, output) : BeginPrepare(now, output);
-  if (phase_ != Phase::kRead && targets_.AnyOutbid()) return BeginBackoff(now);
-  if (phase_ == Phase::kRead && answers_.IsComplete()) return CheckRead(now, /*waited=*/true, output);
-  AskAgain(now, output);
+  if (phase_ != Phase::kRead && targets_.AnyPreempted()) return BeginBackoff(now);
+  if (phase_ == Phase::kRead && answers_.IsComplete()) return CheckRead(now, /*timed_out=*/true, output);
+  Resend(now, output);
 }
 
-void RegisterProposer::Expire(Time now, RegisterOutput* output) {
+void RegisterProposer::ExpireOperations(Time now, RegisterOutput* output) {
   std::deque<Operation> waiting;
   for (std::size_t i = phase_ == Phase::kIdle ? 0 : 1; i < queue_.size(); ++i) {
     if (queue_[i].deadline > now) {
@@ -344,12 +348,12 @@
     const bool sent = !queue_.front().sent.empty();
     messages::RegisterValue nothing;
     *nothing.mutable_group() = KnownGroup();
-    End(now, sent ? Outcome::kUnknown : Outcome::kNotProposed, 0, nothing, output);
+    CompleteOperation(now, sent ? Outcome::kUnknown : Outcome::kNotProposed, 0, nothing, output);
   }
 }
 
-void RegisterProposer::End(Time now, Outcome outcome, int reason, const messages::RegisterValue& value,
-                           RegisterOutput* output) {
+void RegisterProposer::CompleteOperation(Time now, Outcome outcome, int reason,
+                                         const messages::RegisterValue& value, RegisterOutput* output) {
   output->completions.push_back({queue_.front().id, outcome, reason, value.payload(), value.group()});
   queue_.pop_front();
   known_ = {};
@@ -368,34 +372,34 @@
 
 void RegisterProposer::SetTimer(Time now) {
   Time wait = context_->retry_after << std::min(resends_, kResendDoublings);
-  if (phase_ == Phase::kAccept) wait += TimeToSendAccepts();
+  if (phase_ == Phase::kAccept) wait += AcceptTransferTime();
   timer_ = now + wait + std::uniform_int_distribution<Time>(0, wait / 4)(context_->random);
 }
 
 // Estimated time to send the Accept over a slow link to all replicas that have not answered. Resending
 // earlier would only lengthen the send queue.
-Time RegisterProposer::TimeToSendAccepts() const {
+Time RegisterProposer::AcceptTransferTime() const {
   std::size_t bytes = 0;
   for (const std::size_t index : targets_.Unanswered())
-    bytes += accept_.BytesFor(targets_.at(index).replica.replica_id());
-  return TimeOnSlowLink(bytes);
+    bytes += accept_.PayloadBytesFor(targets_.at(index).replica.replica_id());
+  return SlowLinkTransferTime(bytes);
 }
 
 // Estimates how long another proposer needs to get a value of the current size accepted if it must send it
 // in full to a quorum. It usually sends a delta and finishes earlier, so the estimate is bounded.
-Time RegisterProposer::RoundOfOthers() const {
-  const AcceptedValue held = HeldValue();
+Time RegisterProposer::EstimateCompetingRound() const {
+  const AcceptedValue held = LastKnownValue();
   if (held.value == nullptr) return 0;
   const std::size_t members = AllMembers(held.value->group()).size();
-  return std::min(TimeOnSlowLink(held.value->payload().size() * members) / 2, kLongestGuess);
+  return std::min(SlowLinkTransferTime(held.value->payload().size() * members) / 2, kMaxEstimatedRoundTime);
 }
 
-void RegisterProposer::NoteRound(const messages::Ballot& ballot) {
+void RegisterProposer::ObserveRound(const messages::Ballot& ballot) {
   if (ballot.round() <= last_round_ || ballot.round() - last_round_ > kMaxRoundStep) return;
   last_round_ = ballot.round();
 }
 
-AcceptedValue RegisterProposer::HeldValue() const {
+AcceptedValue RegisterProposer::LastKnownValue() const {
   if (context_->replica == nullptr) return recent_;
   const AcceptedValue* accepted = context_->replica->Accepted(register_name_);
   return accepted != nullptr ? *accepted : AcceptedValue{};
--- a/src/consensus/register_proposer.h
+++ b/src/consensus/register_proposer.h
@@ -53,31 +53,31 @@
   void BeginPrepare(Time now, RegisterOutput* output);
   void BeginAccept(Time now, Decision decision, RegisterOutput* output);
   void BeginBackoff(Time now);
-  void Ask(const std::vector<messages::ReplicaIdentity>& members, RegisterOutput* output);
+  void ContactMembers(const std::vector<messages::ReplicaIdentity>& members, RegisterOutput* output);
   void SendTo(std::size_t index, RegisterOutput* output) const;
   void Defer(const Targets::Target& target, const auto& answer);  // a Promise or ReadReply without value
   void ResolveDeferred(Time now, RegisterOutput* output);
-  void AskForMissingValue(RegisterOutput* output);
-  void AskAgain(Time now, RegisterOutput* output);
+  void RequestMissingValue(RegisterOutput* output);
+  void Resend(Time now, RegisterOutput* output);
 
   void OnAnswer(Time now, Targets::Target* target, const AcceptedValue& accepted, RegisterOutput* output);
   void OnRefused(Time now, Targets::Target* target, const messages::Refused& refused, RegisterOutput* output);
-  void CheckRead(Time now, bool waited, RegisterOutput* output);
-  void ReadAgainLater(Time now);
+  void CheckRead(Time now, bool timed_out, RegisterOutput* output);
+  void ScheduleReadRetry(Time now);
   void CheckPrepare(Time now, RegisterOutput* output);
   void CheckAccept(Time now, RegisterOutput* output);
-  void OnLacksBase(Time now, const std::string& from_address, const messages::RegisterMessage& message,
-                   RegisterOutput* output);
-  bool QuorumIsLost() const;  // too many replicas have promised a higher ballot for this one to succeed
+  void OnMissingBase(Time now, const std::string& from_address, const messages::RegisterMessage& message,
+                     RegisterOutput* output);
+  bool IsQuorumImpossible() const;  // too many replicas have promised a higher ballot for this one to succeed
 
-  void Expire(Time now, RegisterOutput* output);
-  void End(Time now, Outcome outcome, int reason, const messages::RegisterValue& value,
-           RegisterOutput* output);
+  void ExpireOperations(Time now, RegisterOutput* output);
+  void CompleteOperation(Time now, Outcome outcome, int reason, const messages::RegisterValue& value,
+                         RegisterOutput* output);
   void SetTimer(Time now);
-  Time TimeToSendAccepts() const;
-  Time RoundOfOthers() const;
-  void NoteRound(const messages::Ballot& ballot);
-  AcceptedValue HeldValue() const;
+  Time AcceptTransferTime() const;
+  Time EstimateCompetingRound() const;
+  void ObserveRound(const messages::Ballot& ballot);
+  AcceptedValue LastKnownValue() const;
 
   ProposerContext* context_;
   std::string register_name_;
@@ -90,7 +90,7 @@
   std::deque<Operation> queue_;  // the first one is in progress
   Phase phase_ = Phase::kIdle;
   int attempt_ = 0;  // of the operation in progress
-  Time round_began_ = 0;
+  Time round_started_at_ = 0;
   int resends_ = 0;  // in this phase
   Time timer_ = 0;
   messages::Ballot ballot_;  // in a Read, only an identifier
@@ -106,7 +106,7 @@
   std::map<std::string, DeferredAnswer> deferred_;
   std::optional<std::size_t> value_source_;  // index of the replica that was asked for the full value
   Decision decision_;                        // of the Accept in progress
-  messages::ReplicaGroup parent_group_;
+  messages::ReplicaGroup base_group_;
   OutgoingAccept accept_;  // the most recent one
 };
 
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -114,16 +114,16 @@
   Slot* slot = FindSlot(message.register_name());
   if (slot == nullptr || !IsPlausible(accept.ballot(), slot->promised)) return;
   Pending pending{message.register_name(), from, message.operation(), accept.ballot(), {}, {}};
-  const bool is_outbid = Less(accept.ballot(), slot->promised);
-  if (!is_outbid && slot->accepted.value != nullptr && Equal(accept.ballot(), slot->accepted.ballot)) {
+  const bool is_preempted = Less(accept.ballot(), slot->promised);
+  if (!is_preempted && slot->accepted.value != nullptr && Equal(accept.ballot(), slot->accepted.ballot)) {
     if (slot->accepted.digest == accept.digest()) SendAccepted(pending, output);
     return;
   }
   const ValuePointer value = ProposedValue(message.register_name(), accept, slot->accepted);
   if (value != nullptr) output->proposals.push_back({message.register_name(), value});
-  if (is_outbid) return Refuse(from, message, accept.ballot(), output);
+  if (is_preempted) return Refuse(from, message, accept.ballot(), output);
   if (value == nullptr) {
-    if (accept.has_base()) RefuseWithoutBase(from, message, output);
+    if (accept.has_base()) RefuseMissingBase(from, message, output);
     return;
   }
   pending.accepted = {accept.ballot(), value, accept.digest()};
@@ -216,7 +216,7 @@
   output->sends.push_back(std::move(send));
 }
 
-void Replica::RefuseWithoutBase(const std::string& from, const messages::RegisterMessage& message,
+void Replica::RefuseMissingBase(const std::string& from, const messages::RegisterMessage& message,
                                 RegisterOutput* output) const {
   RegisterSend send{from, {}};
   send.message.set_register_name(message.register_name());
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -67,7 +67,7 @@
   void Write(std::string key, std::string value, Pending pending, RegisterOutput* output);
   void Refuse(const std::string& from, const messages::RegisterMessage& message,
               const messages::Ballot& ballot, RegisterOutput* output);
-  void RefuseWithoutBase(const std::string& from, const messages::RegisterMessage& message,
+  void RefuseMissingBase(const std::string& from, const messages::RegisterMessage& message,
                          RegisterOutput* output) const;
   void SendPromise(const Pending& pending, const Slot& slot, RegisterOutput* output);
   void SendAccepted(const Pending& pending, RegisterOutput* output);
--- a/src/consensus/scrubber.h
+++ b/src/consensus/scrubber.h
@@ -12,7 +12,7 @@
 
 class Scrubber {
  public:
-  Scrubber(std::string proposer, std::string replica_id, Time every, Replica* replica);
+  Scrubber(std::string proposer, std::string replica_id, Time interval, Replica* replica);
 
   void Tick(Time now, std::uint64_t* last_request, std::mt19937_64* random, RegisterOutput* output);
   // Returns true if the message answers a Read of the scrub.
@@ -26,12 +26,12 @@
 
   std::string proposer_;
   std::string replica_id_;
-  Time every_;
+  Time interval_;
   Replica* replica_;
   Time next_ = 0;  // 0 until the first Tick
   std::string last_register_;
-  std::string asked_register_;
-  messages::ReplicaIdentity asked_;
+  std::string compared_register_;
+  messages::ReplicaIdentity compared_replica_;
   std::uint64_t request_ = 0;  // 0: no comparison in progress
 };
 
--- a/src/consensus/targets.h
+++ b/src/consensus/targets.h
@@ -14,15 +14,15 @@
 class Targets {
  public:
   enum class State {
-    kAsked,
+    kPending,
     kAnswered,
-    kOutbid,      // has promised a higher ballot
-    kOtherStore,  // the machine now has a different store
+    kPreempted,     // has promised a higher ballot
+    kWrongReplica,  // the machine now has a different store
   };
   struct Target {
     messages::ReplicaIdentity replica;
     std::uint64_t request = 0;
-    State state = State::kAsked;
+    State state = State::kPending;
   };
 
   // Adds the members that are not targets yet; returns the indexes of the new ones.
@@ -35,10 +35,10 @@
   const Target& at(std::size_t index) const { return targets_[index]; }
   std::size_t size() const { return targets_.size(); }
   // The target with this replica identity that has not answered yet; null if there is none.
-  Target* FindAsked(const std::string& replica_id);
+  Target* FindPending(const std::string& replica_id);
   std::vector<std::size_t> Unanswered() const;  // neither answered nor refused
   bool AllAnswered() const { return Unanswered().empty(); }
-  bool AnyOutbid() const;
+  bool AnyPreempted() const;
   bool Has(const std::string& replica_id, State state) const;
 
  private:
