--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -13,9 +13,9 @@
 
 constexpr std::size_t kWriteBufferBytes = 1u << 20;
 constexpr std::size_t kCacheBytes = 64u << 10;
-constexpr std::size_t kLargestFileBytes = 1u << 20;
-constexpr int kOpenFiles = 32;
-constexpr std::chrono::milliseconds kReopenPause{200};
+constexpr std::size_t kMaxFileBytes = 1u << 20;
+constexpr int kMaxOpenFiles = 32;
+constexpr std::chrono::milliseconds kReopenDelay{200};
 constexpr char kIdentityKey[] = "identity";  // can't clash with callers' keys: those have kRecordPrefix
 constexpr char kRecordPrefix = '=';
 
@@ -30,7 +30,7 @@
 }
 
 // Whether the folder has database files but no CURRENT file. LevelDB would treat it as a new database.
-bool HasLostCurrent(const std::string& path) {
+bool LacksCurrentFile(const std::string& path) {
   std::error_code error;
   const bool empty = fs::is_empty(path, error);
   return !error && !empty && !fs::exists(fs::path(path) / "CURRENT", error);
@@ -47,7 +47,7 @@
 RecordStore::OpenResult Database::Open() {
   RecordStore::OpenResult result;
   // The identity of a first start must never be reused, so it gets a suffix if an older store was lost.
-  if (HasLostCurrent(path_)) new_replica_id_ += RandomSuffix();
+  if (LacksCurrentFile(path_)) new_replica_id_ += RandomSuffix();
   leveldb::Status status = OpenFiles();
   if (status.ok()) status = ReadIdentity(&result);
   if (status.ok()) status = ReadAll(&result.records);
@@ -56,7 +56,7 @@
                << "); moving it to records.unreadable and creating a new one";
     new_replica_id_ += RandomSuffix();
     result = {};
-    status = SetAside();
+    status = MoveAside();
     if (status.ok()) status = OpenFiles();
     if (status.ok()) status = ReadIdentity(&result);
   }
@@ -86,15 +86,15 @@
   options.info_log = &logger_;
   options.write_buffer_size = kWriteBufferBytes;
   options.block_cache = cache_.get();
-  options.max_file_size = kLargestFileBytes;
-  options.max_open_files = kOpenFiles;
+  options.max_file_size = kMaxFileBytes;
+  options.max_open_files = kMaxOpenFiles;
   leveldb::DB* database = nullptr;
   leveldb::Status status = leveldb::DB::Open(options, path_, &database);
   database_.reset(database);
   return status;
 }
 
-leveldb::Status Database::SetAside() {
+leveldb::Status Database::MoveAside() {
   database_.reset();
   const fs::path kept = fs::path(folder_) / "records.unreadable";
   std::error_code error;
@@ -137,7 +137,7 @@
   if (status.ok()) status = database_->Get(leveldb::ReadOptions(), kIdentityKey, &identity);
   if (status.ok() && identity == replica_id_) return true;
   // Never write to a store that has been replaced by another one.
-  Fail(status.ok() ? "its identity has changed" : status.ToString());
+  HandleError(status.ok() ? "its identity has changed" : status.ToString());
   return false;
 }
 
@@ -149,7 +149,7 @@
   options.sync = true;
   const leveldb::Status status = database_->Write(options, &updates);
   if (!status.ok()) {
-    Fail(status.ToString());  // the end of its log may be torn; only reopening repairs it
+    HandleError(status.ToString());  // the end of its log may be torn; only reopening repairs it
     return false;
   }
   if (failing_) LOG(WARNING) << "store " << path_ << " accepts writes again";
@@ -157,11 +157,11 @@
   return true;
 }
 
-void Database::Fail(const std::string& what) {
+void Database::HandleError(const std::string& what) {
   if (!failing_) LOG(ERROR) << "write to store " << path_ << " failed (" << what << "); reopening it";
   failing_ = true;
   database_.reset();
-  reopen_at_ = std::chrono::steady_clock::now() + kReopenPause;
+  reopen_at_ = std::chrono::steady_clock::now() + kReopenDelay;
 }
 
 }  // namespace lichenlug::storage
--- a/src/storage/database.h
+++ b/src/storage/database.h
@@ -29,18 +29,18 @@
 
  private:
   leveldb::Status OpenFiles();
-  leveldb::Status SetAside();  // moves an unreadable database out of the way
+  leveldb::Status MoveAside();  // moves an unreadable database out of the way
   leveldb::Status ReadAll(Records* records);
   leveldb::Status ReadIdentity(RecordStore::OpenResult* result);
   bool EnsureOpen();
-  void Fail(const std::string& what);  // closes the database; it is reopened after a delay
+  void HandleError(const std::string& what);  // closes the database; it is reopened after a delay
 
   std::string folder_;
   std::string path_;  // of the database, inside the folder
   std::string new_replica_id_;
   std::string replica_id_;  // as first opened; a store with another identity is never written to
   SyncedEnv env_;
-  NoLogger logger_;
+  NullLogger logger_;
   std::unique_ptr<leveldb::Cache> cache_;
   std::unique_ptr<leveldb::DB> database_;
   std::chrono::steady_clock::time_point reopen_at_;
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -28,7 +28,7 @@
   ~Impl() {
     {
       const std::lock_guard lock(mutex_);
-      ending_ = true;
+      stopping_ = true;
     }
     wake_.notify_one();
     thread_.join();
@@ -54,13 +54,13 @@
   void Run() {
     for (;;) {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return ending_ || open_ || !writes_.empty(); });
+      wake_.wait(lock, [this] { return stopping_ || open_ || !writes_.empty(); });
       if (open_) {
         const auto done = std::exchange(open_, nullptr);
         lock.unlock();
         done(database_.Open());
       } else if (!writes_.empty()) {
-        auto batch = TakeBatch();
+        auto batch = DequeueBatch();
         lock.unlock();
         WriteBatch(std::move(batch));
       } else {
@@ -69,7 +69,7 @@
     }
   }
 
-  std::vector<QueuedWrite> TakeBatch() {
+  std::vector<QueuedWrite> DequeueBatch() {
     std::vector<QueuedWrite> batch;
     while (!writes_.empty() && batch.size() < kMaxBatch) {
       batch.push_back(std::move(writes_.front()));
@@ -88,7 +88,7 @@
   Database database_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  bool ending_ = false;
+  bool stopping_ = false;
   std::function<void(OpenResult)> open_;
   std::deque<QueuedWrite> writes_;
   std::thread thread_;  // declared last: it uses all other members
--- a/src/storage/synced_env.h
+++ b/src/storage/synced_env.h
@@ -21,7 +21,7 @@
 };
 
 // Discards LevelDB's info log, which would cost disk writes.
-class NoLogger : public leveldb::Logger {
+class NullLogger : public leveldb::Logger {
  public:
   void Logv(const char*, std::va_list) override {}
 };
--- a/tests/system/storage/record_store_test.cpp
+++ b/tests/system/storage/record_store_test.cpp
@@ -129,18 +129,18 @@
   {
     RecordStore store(folder.path(), "a");
     REQUIRE(Open(&store).opened);
-    std::promise<void> busy, go_on;
-    auto waits = go_on.get_future().share();
-    store.Write("first", "1", [&busy, waits](bool) {
+    std::promise<void> busy, resume;
+    auto resumed = resume.get_future().share();
+    store.Write("first", "1", [&busy, resumed](bool) {
       busy.set_value();
-      waits.wait();
+      resumed.wait();
     });
     busy.get_future().wait();
     std::atomic<int> written = 0;
     for (int i = 0; i < 200; ++i) {
       store.Write("key" + std::to_string(i), "v", [&written](bool ok) { written += ok; });
     }
-    go_on.set_value();
+    resume.set_value();
     REQUIRE(Write(&store, "last", "1"));
     CHECK(written == 200);
   }
