--- a/tests/system/consensus/alteration.cpp
+++ b/tests/system/consensus/alteration.cpp
@@ -14,7 +14,7 @@
 using google::protobuf::Reflection;
 using Leaf = AlterableField;
 
-constexpr std::size_t kRemembered = 32;  // per field
+constexpr std::size_t kMaxRemembered = 32;  // per field
 
 // Collects all fields that are set, including those of nested messages; a nested message is also a field.
 void Collect(Message* message, const std::string& path, std::vector<Leaf>* leaves) {
@@ -43,14 +43,14 @@
 
 // Serializes the owner with only this field set; merging the result into another owner sets the field there.
 std::string FieldAlone(const Leaf& leaf) {
-  const std::unique_ptr<Message> only(leaf.owner->New());
-  only->CopyFrom(*leaf.owner);
+  const std::unique_ptr<Message> copy(leaf.owner->New());
+  copy->CopyFrom(*leaf.owner);
   std::vector<const FieldDescriptor*> fields;
-  only->GetReflection()->ListFields(*only, &fields);
+  copy->GetReflection()->ListFields(*copy, &fields);
   for (const auto* field : fields) {
-    if (field != leaf.field) only->GetReflection()->ClearField(only.get(), field);
+    if (field != leaf.field) copy->GetReflection()->ClearField(copy.get(), field);
   }
-  return only->SerializeAsString();
+  return copy->SerializeAsString();
 }
 
 void Perturb(const Leaf& leaf, std::mt19937_64* random) {
@@ -77,7 +77,7 @@
   const auto leaves = Leaves(&copy);
   const Leaf& leaf = leaves[observed_++ % leaves.size()];
   auto& remembered = earlier_[leaf.path];
-  if (remembered.size() >= kRemembered) remembered.erase(remembered.begin());
+  if (remembered.size() >= kMaxRemembered) remembered.erase(remembered.begin());
   remembered.push_back(FieldAlone(leaf));
 }
 
@@ -87,9 +87,9 @@
     std::erase_if(leaves,
                   [](const Leaf& leaf) { return leaf.field->type() == FieldDescriptor::TYPE_MESSAGE; });
   }
-  const std::string what = AlterOne(leaves, random);
+  const std::string description = AlterOne(leaves, random);
   if (new_checksum) SetChecksum(message);
-  return what;
+  return description;
 }
 
 std::string Alterer::AlterOne(const std::vector<Leaf>& leaves, std::mt19937_64* random) const {
--- a/tests/system/consensus/cluster.h
+++ b/tests/system/consensus/cluster.h
@@ -55,9 +55,11 @@
   }
   RegisterNode& node(const std::string& name) { return *nodes.at(name + ":7660"); }
 
-  void Run(const std::string& name, RegisterOutput output) { Hand(name + ":7660", std::move(output)); }
+  void Run(const std::string& name, RegisterOutput output) {
+    HandleOutput(name + ":7660", std::move(output));
+  }
 
-  void Hand(const std::string& from, RegisterOutput output) {
+  void HandleOutput(const std::string& from, RegisterOutput output) {
     if (on_output) on_output(output);
     completions.insert(completions.end(), output.completions.begin(), output.completions.end());
     for (const auto& write : output.writes) {
@@ -65,10 +67,10 @@
       records[from][write.key] = write.value;
       RegisterOutput next;
       nodes.at(from)->StoreDone(now, write.token, true, &next);
-      Hand(from, std::move(next));
+      HandleOutput(from, std::move(next));
     }
     for (auto& send : output.sends) in_flight.push_back({from, std::move(send)});
-    if (!std::exchange(delivers, true)) Deliver();
+    if (!std::exchange(delivering, true)) Deliver();
   }
 
   // In send order, which the transport guarantees between any two nodes.
@@ -77,13 +79,13 @@
       const auto [from, send] = in_flight.front();
       if (down.contains(send.address) || !nodes.contains(send.address)) continue;
       if (send.message.has_prepare()) ++prepares;
-      if (loses_accepts && send.message.has_accept()) continue;
+      if (drop_accepts && send.message.has_accept()) continue;
       bytes += send.message.ByteSizeLong();
       RegisterOutput next;
       nodes.at(send.address)->Receive(now, from, send.message, &next);
-      Hand(send.address, std::move(next));
+      HandleOutput(send.address, std::move(next));
     }
-    delivers = false;
+    delivering = false;
   }
 
   Completion Call(const std::string& name, ChangeFunction change) {
@@ -92,7 +94,7 @@
     return Await(name, std::move(output));
   }
 
-  Completion Look(const std::string& name) {
+  Completion ReadOnly(const std::string& name) {
     RegisterOutput output;
     node(name).Read(now, kName, now + kSecond, &output);
     return Await(name, std::move(output));
@@ -116,13 +118,13 @@
   std::map<std::string, std::unique_ptr<RegisterNode>> nodes;
   std::map<std::string, std::map<std::string, std::string>> records;
   std::deque<std::pair<std::string, RegisterSend>> in_flight;  // with the sender's address
-  bool delivers = false;
+  bool delivering = false;
   std::set<std::string> down;
   std::function<void(const RegisterOutput&)> on_output;
   std::vector<Completion> completions;
   int writes = 0;
   int prepares = 0;
-  bool loses_accepts = false;  // except those of a proposer to itself
+  bool drop_accepts = false;  // except those of a proposer to itself
   std::size_t bytes = 0;
   Time now = kSecond;
 };
--- a/tests/system/consensus/cluster_test.cpp
+++ b/tests/system/consensus/cluster_test.cpp
@@ -40,17 +40,17 @@
 TEST_CASE("a read-only operation proposes nothing and succeeds once a value is chosen") {
   Cluster cluster({"a", "b", "c"});
   cluster.Add("reader", {"a", "b", "c"}, false);
-  CHECK(cluster.Look("reader").payload.empty());
+  CHECK(cluster.ReadOnly("reader").payload.empty());
   cluster.Call("a", Sets("one"));
-  cluster.loses_accepts = true;
+  cluster.drop_accepts = true;
   CHECK(cluster.Call("a", Sets("two")).outcome == Outcome::kUnknown);  // accepted at its own replica alone
-  cluster.loses_accepts = false;
+  cluster.drop_accepts = false;
   cluster.prepares = 0;
   cluster.down = {"c:7660"};  // the other two disagree
-  CHECK(cluster.Look("reader").outcome == Outcome::kNotProposed);
+  CHECK(cluster.ReadOnly("reader").outcome == Outcome::kNotProposed);
   CHECK(cluster.prepares == 0);
   CHECK(cluster.Call("b", Reads()).payload == "two");
-  CHECK(cluster.Look("reader").payload == "two");
+  CHECK(cluster.ReadOnly("reader").payload == "two");
 }
 
 TEST_CASE("only one replica sends the value to a reader that does not have it") {
@@ -59,13 +59,13 @@
   cluster.Add("reader", {"a", "b", "c", "d", "e"}, false);
   cluster.Call("a", Sets(std::string(kPayload, 'x')));
   cluster.bytes = 0;
-  CHECK(cluster.Look("reader").payload.size() == kPayload);
+  CHECK(cluster.ReadOnly("reader").payload.size() == kPayload);
   CHECK(cluster.bytes < kPayload + kPayload / 10);
 
   SECTION("another replica is asked if the first one is down") {
     for (const char* gone : {"a:7660", "b:7660"}) cluster.down.insert(gone);
     cluster.Add("other", {"a", "b", "c", "d", "e"}, false);
-    CHECK(cluster.Look("other").payload.size() == kPayload);
+    CHECK(cluster.ReadOnly("other").payload.size() == kPayload);
   }
 }
 
--- a/tests/system/consensus/founding_world.cpp
+++ b/tests/system/consensus/founding_world.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-FoundingWorld::FoundingWorld(const std::array<FirstStart, kSeats>& first_start) {
+FoundingTestbed::FoundingTestbed(const std::array<FirstStart, kSeats>& first_start) {
   for (std::size_t i = 0; i < kSeats; ++i) {
     if (first_start[i] == FirstStart::kNothingKept) {
       NewStore(i);
@@ -26,40 +26,40 @@
   }
 }
 
-void FoundingWorld::NewStore(std::size_t seat) {
+void FoundingTestbed::NewStore(std::size_t seat) {
   SeatState& state = seats_[seat];
-  state.replica_id = plants_.reuses_identity ? FounderIdentity(Address(seat))
-                                             : std::to_string(seat) + "/" + std::to_string(++state.stores);
+  state.replica_id = bugs_.reuses_identity ? FounderIdentity(Address(seat))
+                                           : std::to_string(seat) + "/" + std::to_string(++state.store_count);
   state.record.Clear();
   state.holds_values = false;
 }
 
-void FoundingWorld::Start(std::size_t seat) {
+void FoundingTestbed::Start(std::size_t seat) {
   SeatState& state = seats_[seat];
   FoundingSettings settings;
-  settings.proposer = std::to_string(seat) + "." + std::to_string(++state.lives);
+  settings.proposer = std::to_string(seat) + "." + std::to_string(++state.start_count);
   settings.self_address = Address(seat);
   settings.replica_id = state.replica_id;
   settings.seats = SeatAddresses();
   state.agreement.emplace(std::move(settings), state.record);
 }
 
-void FoundingWorld::BeginRound(std::size_t seat) {
+void FoundingTestbed::BeginRound(std::size_t seat) {
   FoundingOutput output;
-  seats_[seat].agreement->Tick(1'000'000'000, Holds(seat), &output);
-  Carry(seat, std::move(output));
+  seats_[seat].agreement->Tick(1'000'000'000, ReportsValues(seat), &output);
+  HandleOutput(seat, std::move(output));
 }
 
-void FoundingWorld::Deliver(const MessageInFlight& message) {
+void FoundingTestbed::Deliver(const MessageInFlight& message) {
   const MessageInFlight taken = messages_.extract(message).value();
   messages::FoundingMessage parsed;
   parsed.ParseFromString(taken.bytes);
   FoundingOutput output;
-  seats_[taken.to].agreement->Receive(0, Address(taken.from), parsed, Holds(taken.to), &output);
-  Carry(taken.to, std::move(output));
+  seats_[taken.to].agreement->Receive(0, Address(taken.from), parsed, ReportsValues(taken.to), &output);
+  HandleOutput(taken.to, std::move(output));
 }
 
-void FoundingWorld::Carry(std::size_t seat, FoundingOutput output) {
+void FoundingTestbed::HandleOutput(std::size_t seat, FoundingOutput output) {
   SeatState& state = seats_[seat];
   if (output.found) state.agreement->Learn(*output.found, output.established, &output);
   for (const FoundingSend& send : output.sends)
@@ -68,27 +68,27 @@
     const bool is_promise_only =
         write.record.founding().ballot().round() == state.record.founding().ballot().round() &&
         write.record.established() == state.record.established();
-    if (!(plants_.forgets_promises && is_promise_only)) state.record = write.record;
+    if (!(bugs_.forgets_promises && is_promise_only)) state.record = write.record;
     FoundingOutput done;
-    state.agreement->StoreDone(0, write.token, true, Holds(seat), &done);
-    Carry(seat, std::move(done));
+    state.agreement->StoreDone(0, write.token, true, ReportsValues(seat), &done);
+    HandleOutput(seat, std::move(done));
   }
 }
 
-void FoundingWorld::Restart(std::size_t seat) { Start(seat); }
+void FoundingTestbed::Restart(std::size_t seat) { Start(seat); }
 
-void FoundingWorld::Wipe(std::size_t seat) {
+void FoundingTestbed::Wipe(std::size_t seat) {
   NewStore(seat);
   Start(seat);
 }
 
-void FoundingWorld::TellFirstFounding(std::size_t seat) {
+void FoundingTestbed::LearnFirstFounding(std::size_t seat) {
   FoundingOutput output;
   seats_[seat].agreement->Learn(FirstStartFounding(SeatAddresses()), /*proven=*/false, &output);
-  Carry(seat, std::move(output));
+  HandleOutput(seat, std::move(output));
 }
 
-std::vector<std::size_t> FoundingWorld::Replicas(const messages::Founding& founding) const {
+std::vector<std::size_t> FoundingTestbed::Replicas(const messages::Founding& founding) const {
   std::vector<std::size_t> replicas;
   for (std::size_t i = 0; i < kSeats; ++i) {
     const auto& record = seats_[i].agreement->record();
@@ -102,7 +102,7 @@
   return replicas;
 }
 
-std::vector<messages::Founding> FoundingWorld::Working() const {
+std::vector<messages::Founding> FoundingTestbed::FoundingsWithQuorum() const {
   std::vector<messages::Founding> working;
   for (const SeatState& state : seats_) {
     const auto& record = state.agreement->record();
@@ -117,26 +117,26 @@
   return working;
 }
 
-void FoundingWorld::ChooseValue(const messages::Founding& founding, std::size_t without) {
+void FoundingTestbed::ChooseValue(const messages::Founding& founding, std::size_t without) {
   const std::string group = founding.group().SerializeAsString();
-  bool knows = false;
+  bool has_value = false;
   for (const std::size_t replica : Replicas(founding)) {
     if (replica == without) continue;
-    knows = knows || seats_[replica].holds_values;
+    has_value = has_value || seats_[replica].holds_values;
     seats_[replica].holds_values = true;
   }
-  if (!chosen_group_.empty() && !knows) broken_ = true;
+  if (!chosen_group_.empty() && !has_value) broken_ = true;
   chosen_group_ = group;
 }
 
-void FoundingWorld::DeliverAll() {
+void FoundingTestbed::DeliverAll() {
   while (!messages_.empty()) Deliver(*messages_.begin());
 }
 
-std::string FoundingWorld::State() const {
+std::string FoundingTestbed::State() const {
   std::string state = chosen_group_;
   for (const SeatState& seat : seats_) {
-    state += "|" + seat.replica_id + (seat.holds_values ? "+" : "-") + std::to_string(seat.lives);
+    state += "|" + seat.replica_id + (seat.holds_values ? "+" : "-") + std::to_string(seat.start_count);
     state += seat.record.SerializeAsString() + "/" + seat.agreement->State();
   }
   for (const MessageInFlight& message : messages_)
--- a/tests/system/consensus/founding_world.h
+++ b/tests/system/consensus/founding_world.h
@@ -25,8 +25,8 @@
   std::string replica_id;
   messages::FoundingRecord record;  // on disk
   bool holds_values = false;        // on disk
-  int stores = 0;                   // number of stores that this seat has had
-  int lives = 0;
+  int store_count = 0;              // number of stores that this seat has had
+  int start_count = 0;
   std::optional<FoundingAgreement> agreement;
 };
 
@@ -36,20 +36,20 @@
   auto operator<=>(const MessageInFlight&) const = default;
 };
 
-class FoundingWorld {
+class FoundingTestbed {
  public:
-  explicit FoundingWorld(const std::array<FirstStart, kSeats>& first_start);
+  explicit FoundingTestbed(const std::array<FirstStart, kSeats>& first_start);
 
   // Steps
   void BeginRound(std::size_t seat);
   void Deliver(const MessageInFlight& message);  // removes it from messages()
   void Restart(std::size_t seat);
-  void Wipe(std::size_t seat);               // then restarts it
-  void TellFirstFounding(std::size_t seat);  // by a diskless process running since the first start
+  void Wipe(std::size_t seat);                // then restarts it
+  void LearnFirstFounding(std::size_t seat);  // by a diskless process running since the first start
   // The seats that have this founding as established and belong to its group; a majority may choose a value.
   std::vector<std::size_t> Replicas(const messages::Founding& founding) const;
   // Every founding in whose group a majority of replicas currently votes.
-  std::vector<messages::Founding> Working() const;
+  std::vector<messages::Founding> FoundingsWithQuorum() const;
   void ChooseValue(const messages::Founding& founding, std::size_t without);
 
   void DeliverAll();  // in order, until no message is left
@@ -60,26 +60,26 @@
   bool broken() const { return broken_; }
 
   // Bugs that the tests must detect, injected one at a time.
-  struct Plants {
+  struct InjectedBugs {
     bool forgets_values = false;    // a seat votes although its store has values
     bool forgets_promises = false;  // promises are not written to disk
     bool reuses_identity = false;   // a wiped store reuses the founder's identity
   };
-  void Plant(const Plants& plants) { plants_ = plants; }
+  void InjectBugs(const InjectedBugs& bugs) { bugs_ = bugs; }
 
  private:
   static std::string Address(std::size_t seat) { return "10.0.0." + std::to_string(seat + 1) + ":7660"; }
   static std::size_t SeatAt(const std::string& address) { return static_cast<std::size_t>(address[7] - '1'); }
   void Start(std::size_t seat);
   void NewStore(std::size_t seat);
-  void Carry(std::size_t seat, FoundingOutput output);
-  bool Holds(std::size_t seat) const { return seats_[seat].holds_values && !plants_.forgets_values; }
+  void HandleOutput(std::size_t seat, FoundingOutput output);
+  bool ReportsValues(std::size_t seat) const { return seats_[seat].holds_values && !bugs_.forgets_values; }
 
   std::array<SeatState, kSeats> seats_;
   std::set<MessageInFlight> messages_;
   std::string chosen_group_;  // of the last acknowledged value
   bool broken_ = false;
-  Plants plants_;
+  InjectedBugs bugs_;
 };
 
 }  // namespace lichenlug::consensus
--- a/tests/system/consensus/history.cpp
+++ b/tests/system/consensus/history.cpp
@@ -11,13 +11,13 @@
 
 void History::End(Time now, int call, const Completion& completion) {
   Call& ended = calls_[call];
-  if (ended.ended != -1) noted_.push_back("call " + std::to_string(call) + " ended twice");
+  if (ended.ended != -1) violations_.push_back("call " + std::to_string(call) + " ended twice");
   ended.ended = now;
   ended.outcome = completion.outcome;
   ended.payload = completion.payload;
 }
 
-void History::NoteProposed(const std::string& payload) {
+void History::RecordProposed(const std::string& payload) {
   if (!proposed_payloads_.insert(payload).second) return;
   last_proposed_ = payload;
   for (std::size_t begin = 0; begin < payload.size();) {
@@ -27,10 +27,10 @@
   }
 }
 
-bool History::NoteAccepted(const messages::Ballot& ballot, const std::string& value) {
+bool History::RecordAccepted(const messages::Ballot& ballot, const std::string& value) {
   const auto [entry, is_new] = accepted_.try_emplace({ballot.round(), ballot.proposer()}, value);
   if (!is_new && entry->second != value) {
-    noted_.push_back("two values at ballot " + ballot.ShortDebugString());
+    violations_.push_back("two values at ballot " + ballot.ShortDebugString());
     return false;
   }
   return true;
@@ -48,14 +48,14 @@
   return ended.ended != -1 && ended.outcome == Outcome::kChosen && ended.kind != Kind::kGroup;
 }
 
-bool History::Succeeded(int call) const { return IsKnown(calls_[call]); }
+bool History::Succeeded(int call) const { return HasKnownResult(calls_[call]); }
 
-bool History::IsKnown(const Call& call) const {
+bool History::HasKnownResult(const Call& call) const {
   return call.ended != -1 && (call.outcome == Outcome::kChosen || call.outcome == Outcome::kKept);
 }
 
 std::vector<std::string> History::Violations() const {
-  std::vector<std::string> violations = noted_;
+  std::vector<std::string> violations = violations_;
   CheckOrder(&violations);
   CheckCalls(&violations);
   CheckRealTime(&violations);
@@ -66,7 +66,7 @@
 void History::CheckOrder(std::vector<std::string>* violations) const {
   std::vector<std::string> payloads;
   for (const auto& call : calls_) {
-    if (IsKnown(call)) payloads.push_back(call.payload);
+    if (HasKnownResult(call)) payloads.push_back(call.payload);
   }
   std::sort(payloads.begin(), payloads.end(),
             [](const auto& left, const auto& right) { return left.size() < right.size(); });
@@ -99,7 +99,7 @@
     }
     const bool must_be_absent = call.outcome == Outcome::kNotProposed || call.outcome == Outcome::kKept;
     for (const auto& other : calls_) {
-      if (must_be_absent && IsKnown(other) && Contains(other.payload, i)) {
+      if (must_be_absent && HasKnownResult(other) && Contains(other.payload, i)) {
         violations->push_back(name + " reported no change, but is in " + other.payload);
       }
     }
@@ -122,9 +122,9 @@
 // A call sees everything that had been reported before it began.
 void History::CheckRealTime(std::vector<std::string>* violations) const {
   for (const auto& earlier : calls_) {
-    if (!IsKnown(earlier)) continue;
+    if (!HasKnownResult(earlier)) continue;
     for (const auto& later : calls_) {
-      if (!IsKnown(later) || later.begun <= earlier.ended) continue;
+      if (!HasKnownResult(later) || later.begun <= earlier.ended) continue;
       if (!later.payload.starts_with(earlier.payload)) {
         violations->push_back("reported " + earlier.payload + ", later " + later.payload);
         return;
--- a/tests/system/consensus/history.h
+++ b/tests/system/consensus/history.h
@@ -22,9 +22,9 @@
   int Begin(Time now, Kind kind, const std::string& expected = "");
   void End(Time now, int call, const Completion& completion);
   // Records a payload that a proposer has sent or a disk has received.
-  void NoteProposed(const std::string& payload);
+  void RecordProposed(const std::string& payload);
   // Returns false if another value was accepted at the same ballot.
-  bool NoteAccepted(const messages::Ballot& ballot, const std::string& value);
+  bool RecordAccepted(const messages::Ballot& ballot, const std::string& value);
 
   static std::string Item(int call) { return std::to_string(call) + ";"; }
   static std::string Append(const std::string& payload, int call);
@@ -45,7 +45,7 @@
     std::string payload;
   };
 
-  bool IsKnown(const Call& call) const;
+  bool HasKnownResult(const Call& call) const;
   void CheckOrder(std::vector<std::string>* violations) const;
   void CheckCalls(std::vector<std::string>* violations) const;
   void CheckRealTime(std::vector<std::string>* violations) const;
@@ -55,7 +55,7 @@
   std::string last_proposed_;
   std::set<std::string> proposed_;  // items of proposed payloads
   std::map<std::pair<std::uint64_t, std::string>, std::string> accepted_;
-  std::vector<std::string> noted_;  // violations detected during the run
+  std::vector<std::string> violations_;  // violations detected during the run
 };
 
 }  // namespace lichenlug::consensus
--- a/tests/system/consensus/linked_network.h
+++ b/tests/system/consensus/linked_network.h
@@ -19,7 +19,7 @@
  public:
   struct Machine {
     double bytes_per_microsecond = 0;  // of its link, in each direction
-    Time work = 0;                     // per message
+    Time processing_time = 0;          // per message
   };
 
   explicit LinkedNetwork(Time delay) : delay_(delay) {}
@@ -31,16 +31,17 @@
 
   void At(Time at, std::function<void()> run) { events_.push({at, ++order_, std::move(run)}); }
 
-  void Send(std::size_t from, std::size_t to, std::size_t message_bytes, std::function<void()> arrives) {
+  void Send(std::size_t from, std::size_t to, std::size_t message_bytes, std::function<void()> on_arrival) {
     const std::size_t size = message_bytes + kFrameBytes;
     bytes_ += size;
-    Busy& sender = machines_[from];
-    Busy& receiver = machines_[to];
-    sender.sends_until = std::max(sender.sends_until, now_) + sender.TimeFor(size);
-    const Time reached = sender.sends_until + delay_;
-    receiver.receives_until = std::max(receiver.receives_until, reached) + receiver.TimeFor(size);
-    receiver.works_until = std::max(receiver.works_until, receiver.receives_until) + receiver.machine.work;
-    At(receiver.works_until, std::move(arrives));
+    MachineState& sender = machines_[from];
+    MachineState& receiver = machines_[to];
+    sender.sends_until = std::max(sender.sends_until, now_) + sender.TransferTime(size);
+    const Time arrives_at = sender.sends_until + delay_;
+    receiver.receives_until = std::max(receiver.receives_until, arrives_at) + receiver.TransferTime(size);
+    receiver.busy_until =
+        std::max(receiver.busy_until, receiver.receives_until) + receiver.machine.processing_time;
+    At(receiver.busy_until, std::move(on_arrival));
   }
 
   // Runs until the condition holds, no events are left, or the time limit is reached. Returns whether the
@@ -58,11 +59,11 @@
  private:
   static constexpr std::size_t kFrameBytes = 40;
 
-  struct Busy {
+  struct MachineState {
     Machine machine;
-    Time sends_until = 0, receives_until = 0, works_until = 0;
+    Time sends_until = 0, receives_until = 0, busy_until = 0;
 
-    Time TimeFor(std::size_t bytes) const {
+    Time TransferTime(std::size_t bytes) const {
       return static_cast<Time>(static_cast<double>(bytes) / machine.bytes_per_microsecond);
     }
   };
@@ -74,7 +75,7 @@
   };
 
   Time delay_;
-  std::vector<Busy> machines_;
+  std::vector<MachineState> machines_;
   std::priority_queue<Event> events_;
   std::uint64_t order_ = 0;
   std::uint64_t bytes_ = 0;
--- a/tests/system/consensus/machine.h
+++ b/tests/system/consensus/machine.h
@@ -23,18 +23,18 @@
   bool removed = false;  // permanently
   std::string replica_id;
   std::map<std::string, std::string> disk;  // synced
-  std::deque<DiskWrite> writing;            // pending writes of this process, in order
+  std::deque<DiskWrite> pending_writes;     // pending writes of this process, in order
   Time disk_stalls_until = 0;
   Time disk_fails_until = 0;
 
   std::unique_ptr<RegisterNode> node;  // null while the process is down
-  std::uint64_t life = 0;              // number of process starts
+  std::uint64_t incarnation = 0;       // number of process starts
   Time frozen_until = 0;
   Time clock_offset = 0;
   Time tick_at = -1;                   // the next scheduled tick
   std::map<OperationId, int> pending;  // calls in progress, by operation
 
-  bool Runs() const { return node != nullptr; }
+  bool IsRunning() const { return node != nullptr; }
   messages::ReplicaIdentity Identity() const {
     messages::ReplicaIdentity identity;
     identity.set_replica_id(replica_id);
--- a/tests/system/consensus/register_node_test.cpp
+++ b/tests/system/consensus/register_node_test.cpp
@@ -272,16 +272,16 @@
 
 TEST_CASE("a replica reports the proposals of other nodes, deltas as full values") {
   Cluster cluster({"a", "b", "c"});
-  std::vector<std::string> told;
+  std::vector<std::string> reported;
   const auto record = [&](const RegisterOutput& output) {
-    for (const RegisterProposal& proposal : output.proposals) told.push_back(proposal.value->payload());
+    for (const RegisterProposal& proposal : output.proposals) reported.push_back(proposal.value->payload());
   };
   cluster.on_output = record;
   cluster.Call("a", Sets(kLarge));
-  CHECK(told == std::vector<std::string>{kLarge, kLarge});  // to b and c, not to a itself
-  told.clear();
+  CHECK(reported == std::vector<std::string>{kLarge, kLarge});  // to b and c, not to a itself
+  reported.clear();
   cluster.Call("a", Sets(kLarge + "x"));
-  CHECK(told == std::vector<std::string>{kLarge + "x", kLarge + "x"});
+  CHECK(reported == std::vector<std::string>{kLarge + "x", kLarge + "x"});
 }
 
 TEST_CASE("a preempted proposer backs off for the time that a round takes") {
--- a/tests/system/consensus/scenario.h
+++ b/tests/system/consensus/scenario.h
@@ -18,12 +18,12 @@
   bool wipes = false;  // at most as many disks as the group tolerates, until they are replaced
   bool freezes = false;
   bool cuts = false;
-  bool disk_troubles = false;
+  bool disk_faults = false;
   bool group_changes = false;  // machines of the replica groups are replaced one at a time
-  Time lasts = 3 * kSecond;
+  Time duration = 3 * kSecond;
 };
 
 // Returns the violations, one line each.
-std::vector<std::string> Play(const Scenario& scenario, std::uint64_t seed);
+std::vector<std::string> RunScenario(const Scenario& scenario, std::uint64_t seed);
 
 }  // namespace lichenlug::consensus
--- a/tests/system/consensus/simulation_test.cpp
+++ b/tests/system/consensus/simulation_test.cpp
@@ -6,9 +6,9 @@
 namespace lichenlug::consensus {
 namespace {
 
-void PlaySeeds(const Scenario& scenario, std::uint64_t first, std::uint64_t count) {
+void RunSeeds(const Scenario& scenario, std::uint64_t first, std::uint64_t count) {
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
-    const auto violations = Play(scenario, seed);
+    const auto violations = RunScenario(scenario, seed);
     INFO("seed " << seed);
     for (const auto& violation : violations) UNSCOPED_INFO(violation);
     REQUIRE(violations.empty());
@@ -22,12 +22,12 @@
   return network;
 }
 
-TEST_CASE("client calls on a network without faults") { PlaySeeds({}, 1, 200); }
+TEST_CASE("client calls on a network without faults") { RunSeeds({}, 1, 200); }
 
 TEST_CASE("messages are lost, duplicated, delayed and reordered") {
   Scenario scenario;
   scenario.network = BadNetwork();
-  PlaySeeds(scenario, 1000, 300);
+  RunSeeds(scenario, 1000, 300);
 }
 
 TEST_CASE("messages are altered, one field at a time") {
@@ -36,20 +36,20 @@
   scenario.network.alter = 0.05;
   scenario.kills = true;
   scenario.group_changes = true;
-  PlaySeeds(scenario, 2000, 200);
+  RunSeeds(scenario, 2000, 200);
   scenario.network.new_checksum = true;
-  PlaySeeds(scenario, 2000, 300);
+  RunSeeds(scenario, 2000, 300);
 }
 
 TEST_CASE("one message is altered per run") {
   Scenario scenario;
-  scenario.lasts = kSecond / 2;
+  scenario.duration = kSecond / 2;
   scenario.group_changes = true;
   for (int message = 0; message < 600; ++message) {
     scenario.network.alter_message = message;
     scenario.network.new_checksum = message % 2 == 1;
     INFO("message " << message);
-    PlaySeeds(scenario, 2700 + static_cast<std::uint64_t>(message) % 3, 1);
+    RunSeeds(scenario, 2700 + static_cast<std::uint64_t>(message) % 3, 1);
   }
 }
 
@@ -57,28 +57,28 @@
   Scenario scenario;
   scenario.network = BadNetwork();
   scenario.kills = true;
-  PlaySeeds(scenario, 3000, 300);
+  RunSeeds(scenario, 3000, 300);
 }
 
 TEST_CASE("disks stall and refuse writes") {
   Scenario scenario;
   scenario.kills = true;
-  scenario.disk_troubles = true;
-  PlaySeeds(scenario, 4000, 300);
+  scenario.disk_faults = true;
+  RunSeeds(scenario, 4000, 300);
 }
 
 TEST_CASE("machines freeze, and the network is partitioned, also in one direction only") {
   Scenario scenario;
   scenario.freezes = true;
   scenario.cuts = true;
-  PlaySeeds(scenario, 5000, 300);
+  RunSeeds(scenario, 5000, 300);
 }
 
 TEST_CASE("disks are lost and replaced by group changes") {
   Scenario scenario;
   scenario.wipes = true;
   scenario.kills = true;
-  PlaySeeds(scenario, 6000, 400);
+  RunSeeds(scenario, 6000, 400);
 }
 
 TEST_CASE("the core is replaced one machine at a time during concurrent changes") {
@@ -86,23 +86,23 @@
   scenario.others_with_disk = 3;
   scenario.group_changes = true;
   scenario.network = BadNetwork();
-  PlaySeeds(scenario, 7000, 400);
+  RunSeeds(scenario, 7000, 400);
 }
 
 TEST_CASE("all faults together, three replicas") {
   Scenario scenario{.founders = 3, .others_with_disk = 2, .without_disk = 2, .network = BadNetwork()};
   scenario.kills = scenario.wipes = scenario.freezes = scenario.cuts = true;
-  scenario.disk_troubles = scenario.group_changes = true;
+  scenario.disk_faults = scenario.group_changes = true;
   scenario.network.alter = 0.01;
-  PlaySeeds(scenario, 8000, 500);
+  RunSeeds(scenario, 8000, 500);
 }
 
 TEST_CASE("all faults together, five replicas") {
   Scenario scenario{.founders = 5, .others_with_disk = 2, .without_disk = 1, .network = BadNetwork()};
   scenario.kills = scenario.wipes = scenario.freezes = scenario.cuts = true;
-  scenario.disk_troubles = scenario.group_changes = true;
+  scenario.disk_faults = scenario.group_changes = true;
   scenario.network.alter = 0.01;
-  PlaySeeds(scenario, 9000, 200);
+  RunSeeds(scenario, 9000, 200);
 }
 
 }  // namespace
--- a/tests/system/consensus/start_of_all_test.cpp
+++ b/tests/system/consensus/start_of_all_test.cpp
@@ -22,30 +22,30 @@
 constexpr Time kDelay = 500;  // one way, microseconds
 constexpr Time kDiskWrite = kMillisecond;
 constexpr Time kReadInterval = 300 * kMillisecond;
-constexpr Time kReadGiveUp = 800 * kMillisecond;
-constexpr Time kChangeGiveUp = 900 * kMillisecond;
-constexpr Time kChangeAgainAfter = 200 * kMillisecond;
-constexpr Time kWorkOfReplica = 300;  // microseconds per message
-constexpr Time kWorkOfOther = 1000;
+constexpr Time kReadTimeout = 800 * kMillisecond;
+constexpr Time kChangeTimeout = 900 * kMillisecond;
+constexpr Time kChangeRetryDelay = 200 * kMillisecond;
+constexpr Time kReplicaWorkTime = 300;  // microseconds per message
+constexpr Time kOtherWorkTime = 1000;
 constexpr Time kStartSpread = 300 * kMillisecond;
 
-enum class Readers { kOnlyLook, kFinishWhatTheyFind };
+enum class Readers { kReadOnly, kCompletePending };
 enum class Start { kFirst, kAfterHalfAccepted };
 
 struct Result {
-  Time all_know_at = 0;  // 0: not within the time limit
+  Time all_informed_at = 0;  // 0: not within the time limit
   double megabytes = 0;
 };
 
 struct Reader {
   std::unique_ptr<RegisterNode> node;
-  bool knows = false;
+  bool informed = false;
   Time read_at = 0;
 };
 
-class StartOfAll {
+class MassStart {
  public:
-  StartOfAll(std::size_t nodes, Readers readers, Start start) : readers_(readers), start_(start) {
+  MassStart(std::size_t nodes, Readers readers, Start start) : readers_(readers), start_(start) {
     std::vector<std::string> seeds;
     for (std::size_t i = 0; i < kReplicas; ++i) seeds.push_back(Name(i));
     for (std::size_t i = 0; i < nodes; ++i) {
@@ -56,8 +56,8 @@
       if (start == Start::kAfterHalfAccepted && i < kReplicas)
         REQUIRE(reader.node->Restore({AcceptedRecord(seeds, i % 2 == 0 ? 6 : 5)}));
       // Busy machines with a small CPU share need noticeable time for each message.
-      network_.Add(i < kReplicas ? LinkedNetwork::Machine{12.5, kWorkOfReplica}
-                                 : LinkedNetwork::Machine{1.25, kWorkOfOther});
+      network_.Add(i < kReplicas ? LinkedNetwork::Machine{12.5, kReplicaWorkTime}
+                                 : LinkedNetwork::Machine{1.25, kOtherWorkTime});
       reader.read_at = kStartSpread * static_cast<Time>(i) / static_cast<Time>(nodes);
     }
   }
@@ -65,8 +65,8 @@
   Result Run(Time longest) {
     for (std::size_t i = 0; i < nodes_.size(); ++i) network_.At(nodes_[i].read_at, [this, i] { Read(i); });
     if (start_ == Start::kFirst) network_.At(kStartSpread / 2, [this] { Change(); });
-    const bool all_know = network_.RunUntil([this] { return knowing_ == nodes_.size(); }, longest);
-    return {all_know ? network_.now() : 0, static_cast<double>(network_.bytes()) / 1e6};
+    const bool all_informed = network_.RunUntil([this] { return informed_count_ == nodes_.size(); }, longest);
+    return {all_informed ? network_.now() : 0, static_cast<double>(network_.bytes()) / 1e6};
   }
 
  private:
@@ -90,10 +90,10 @@
   void Change() {
     const std::size_t index = kReplicas + changes_++ % (nodes_.size() - kReplicas);
     RegisterOutput output;
-    change_ = nodes_[index].node->Submit(network_.now(), kName, FirstValue(), network_.now() + kChangeGiveUp,
+    change_ = nodes_[index].node->Submit(network_.now(), kName, FirstValue(), network_.now() + kChangeTimeout,
                                          &output);
-    changer_ = index;
-    Carry(index, std::move(output));
+    submitter_ = index;
+    HandleOutput(index, std::move(output));
   }
 
   static ChangeFunction FirstValue() {
@@ -105,57 +105,58 @@
 
   void Read(std::size_t index) {
     Reader& reader = nodes_[index];
-    if (reader.knows) return;
+    if (reader.informed) return;
     reader.read_at = network_.now() + kReadInterval;
     RegisterOutput output;
-    const bool finishes = index < kReplicas || readers_ == Readers::kFinishWhatTheyFind;
+    const bool finishes = index < kReplicas || readers_ == Readers::kCompletePending;
     if (finishes)
-      reader.node->Submit(network_.now(), kName, Reads(), network_.now() + kReadGiveUp, &output);
+      reader.node->Submit(network_.now(), kName, Reads(), network_.now() + kReadTimeout, &output);
     else
-      reader.node->Read(network_.now(), kName, network_.now() + kReadGiveUp, &output);
-    Carry(index, std::move(output));
+      reader.node->Read(network_.now(), kName, network_.now() + kReadTimeout, &output);
+    HandleOutput(index, std::move(output));
   }
 
-  void Carry(std::size_t index, RegisterOutput output) {
+  void HandleOutput(std::size_t index, RegisterOutput output) {
     Reader& reader = nodes_[index];
-    for (const RegisterSend& send : output.sends) SendOver(index, IndexOf(send.address), send.message);
+    for (const RegisterSend& send : output.sends) Transmit(index, IndexOf(send.address), send.message);
     for (const RegisterWrite& write : output.writes) {
       network_.At(network_.now() + kDiskWrite, [this, index, token = write.token] {
         RegisterOutput done;
         nodes_[index].node->StoreDone(network_.now(), token, true, &done);
-        Carry(index, std::move(done));
+        HandleOutput(index, std::move(done));
       });
     }
-    for (const Completion& completion : output.completions) Completed(index, completion);
+    for (const Completion& completion : output.completions) HandleCompletion(index, completion);
     if (const auto timer = reader.node->NextTimer()) {
       network_.At(std::max(*timer, network_.now() + 1), [this, index] {
         const auto due = nodes_[index].node->NextTimer();
         if (!due || *due > network_.now()) return;
         RegisterOutput ticked;
         nodes_[index].node->Tick(network_.now(), &ticked);
-        Carry(index, std::move(ticked));
+        HandleOutput(index, std::move(ticked));
       });
     }
   }
 
-  void Completed(std::size_t index, const Completion& completion) {
+  void HandleCompletion(std::size_t index, const Completion& completion) {
     Reader& reader = nodes_[index];
-    if (index == changer_ && completion.operation == change_) {
+    if (index == submitter_ && completion.operation == change_) {
       const bool taken = completion.outcome == Outcome::kChosen || completion.outcome == Outcome::kKept;
-      if (!taken) network_.At(network_.now() + kChangeAgainAfter, [this] { Change(); });
+      if (!taken) network_.At(network_.now() + kChangeRetryDelay, [this] { Change(); });
       return;
     }
-    const bool knows = completion.outcome == Outcome::kKept && !completion.payload.empty();
-    if (knows && !reader.knows) ++knowing_;
-    reader.knows = reader.knows || knows;
-    if (!reader.knows) network_.At(std::max(reader.read_at, network_.now()), [this, index] { Read(index); });
+    const bool informed = completion.outcome == Outcome::kKept && !completion.payload.empty();
+    if (informed && !reader.informed) ++informed_count_;
+    reader.informed = reader.informed || informed;
+    if (!reader.informed)
+      network_.At(std::max(reader.read_at, network_.now()), [this, index] { Read(index); });
   }
 
-  void SendOver(std::size_t from, std::size_t to, const messages::RegisterMessage& message) {
+  void Transmit(std::size_t from, std::size_t to, const messages::RegisterMessage& message) {
     network_.Send(from, to, message.ByteSizeLong(), [this, from, to, message] {
       RegisterOutput output;
       nodes_[to].node->Receive(network_.now(), Name(from) + ":7660", message, &output);
-      Carry(to, std::move(output));
+      HandleOutput(to, std::move(output));
     });
   }
 
@@ -163,7 +164,7 @@
   Start start_;
   LinkedNetwork network_{kDelay};
   std::vector<Reader> nodes_;
-  std::size_t knowing_ = 0, changes_ = 0, changer_ = 0;
+  std::size_t informed_count_ = 0, changes_ = 0, submitter_ = 0;
   OperationId change_ = 0;
 };
 
@@ -173,10 +174,10 @@
   constexpr Time kBound = 3 * kSecond;
   for (const Start start : {Start::kFirst, Start::kAfterHalfAccepted}) {
     for (const std::size_t nodes : {75, 300}) {
-      const Result result = StartOfAll(nodes, Readers::kOnlyLook, start).Run(20 * kSecond);
-      CAPTURE(nodes, result.all_know_at, result.megabytes);
-      CHECK(result.all_know_at > 0);
-      CHECK(result.all_know_at <= kBound);
+      const Result result = MassStart(nodes, Readers::kReadOnly, start).Run(20 * kSecond);
+      CAPTURE(nodes, result.all_informed_at, result.megabytes);
+      CHECK(result.all_informed_at > 0);
+      CHECK(result.all_informed_at <= kBound);
       // The value once per reader and per replica, and some rounds of reads without it.
       CHECK(result.megabytes <= 0.15 * static_cast<double>(nodes));
     }
@@ -185,13 +186,13 @@
 
 TEST_CASE("readers that complete pending proposals do not saturate the links either") {
   constexpr std::size_t kNodes = 300;
-  const Result look = StartOfAll(kNodes, Readers::kOnlyLook, Start::kAfterHalfAccepted).Run(20 * kSecond);
-  const Result finish =
-      StartOfAll(kNodes, Readers::kFinishWhatTheyFind, Start::kAfterHalfAccepted).Run(20 * kSecond);
-  CAPTURE(look.all_know_at, look.megabytes, finish.all_know_at, finish.megabytes);
-  CHECK(finish.all_know_at > 0);
-  CHECK(finish.all_know_at <= kSecond);
-  CHECK(finish.megabytes <= 1.2 * look.megabytes);
+  const Result read_only = MassStart(kNodes, Readers::kReadOnly, Start::kAfterHalfAccepted).Run(20 * kSecond);
+  const Result complete =
+      MassStart(kNodes, Readers::kCompletePending, Start::kAfterHalfAccepted).Run(20 * kSecond);
+  CAPTURE(read_only.all_informed_at, read_only.megabytes, complete.all_informed_at, complete.megabytes);
+  CHECK(complete.all_informed_at > 0);
+  CHECK(complete.all_informed_at <= kSecond);
+  CHECK(complete.megabytes <= 1.2 * read_only.megabytes);
 }
 
 }  // namespace lichenlug::consensus
--- a/tests/system/consensus/world.cpp
+++ b/tests/system/consensus/world.cpp
@@ -54,7 +54,7 @@
 std::vector<int> Testbed::Running() const {
   std::vector<int> indexes;
   for (int i = 0; i < machine_count(); ++i) {
-    if (machines_[i]->Runs()) indexes.push_back(i);
+    if (machines_[i]->IsRunning()) indexes.push_back(i);
   }
   return indexes;
 }
@@ -69,32 +69,33 @@
 
 void Testbed::Start(int index) {
   Machine& machine = *machines_[index];
-  if (machine.Runs() || machine.removed) return;
+  if (machine.IsRunning() || machine.removed) return;
   RegisterNodeSettings settings;
-  settings.proposer = machine.address + "#" + std::to_string(++machine.life);
+  settings.proposer = machine.address + "#" + std::to_string(++machine.incarnation);
   settings.self_address = settings.self_name = machine.address;
   settings.replica_id = machine.replica_id;
   settings.founding_group = founding_;
   settings.seed = random_();
   // Most machines send deltas even of short values; some always send full values, like an older version.
-  if ((index + machine.life) % 4 != 0) settings.min_delta_bytes = 0;
+  if ((index + machine.incarnation) % 4 != 0) settings.min_delta_bytes = 0;
   machine.node = std::make_unique<RegisterNode>(settings);
   machine.frozen_until = 0;
   machine.tick_at = -1;
   if (!machine.node->Restore({machine.disk.begin(), machine.disk.end()})) {
-    histories_["disk"].NoteAccepted({}, "unreadable records at " + settings.proposer);
-    histories_["disk"].NoteAccepted({}, "");
+    histories_["disk"].RecordAccepted({}, "unreadable records at " + settings.proposer);
+    histories_["disk"].RecordAccepted({}, "");
   }
-  PlanTick(index);
+  ScheduleTick(index);
 }
 
 void Testbed::Kill(int index) {
   Machine& machine = *machines_[index];
-  const std::uint64_t kept = Draw(machine.writing.size() + 1);
-  for (std::uint64_t i = 0; i < kept; ++i) machine.disk[machine.writing[i].key] = machine.writing[i].value;
-  machine.writing.clear();
+  const std::uint64_t kept = Draw(machine.pending_writes.size() + 1);
+  for (std::uint64_t i = 0; i < kept; ++i)
+    machine.disk[machine.pending_writes[i].key] = machine.pending_writes[i].value;
+  machine.pending_writes.clear();
   machine.node.reset();
-  for (const auto& [id, call] : machine.pending) EndGroupCall(call, asked_[{index, id}].first);
+  for (const auto& [id, call] : machine.pending) EndGroupCall(call, submitted_[{index, id}].first);
   machine.pending.clear();
 }
 
@@ -115,15 +116,15 @@
 
 void Testbed::Freeze(int index, Time span) { machines_[index]->frozen_until = now_ + span; }
 
-void Testbed::ForgetLostWhereReplaced(const std::vector<std::string>& registers) {
+void Testbed::ForgetReplacedLosses(const std::vector<std::string>& registers) {
   for (const auto& [call, begun] : group_calls_) {
     if (begun <= last_loss_) return;
   }
   for (const auto& name : registers) {
-    const ToldGroup& told = told_groups_[name];
-    if (told.asked <= last_loss_ || told.asked <= old_group_call_ended_) return;
-    if (told.group.next_members_size() > 0) return;
-    for (const auto& member : told.group.members()) {
+    const ReportedGroup& reported = reported_groups_[name];
+    if (reported.submitted_at <= last_loss_ || reported.submitted_at <= old_group_call_ended_) return;
+    if (reported.group.next_members_size() > 0) return;
+    for (const auto& member : reported.group.members()) {
       if (lost_replicas_.contains(member.replica_id())) return;
     }
   }
@@ -175,54 +176,54 @@
   const OperationId id =
       machine.node->Submit(clock, register_name, std::move(change), clock + timeout, &output);
   machine.pending[id] = call;
-  asked_[{index, id}] = {register_name, now_};
-  Take(index, std::move(output));
+  submitted_[{index, id}] = {register_name, now_};
+  HandleOutput(index, std::move(output));
   return call;
 }
 
-void Testbed::Take(int index, RegisterOutput output) {
+void Testbed::HandleOutput(int index, RegisterOutput output) {
   for (const auto& write : output.writes) BeginWrite(index, write);
   for (auto& send : output.sends) Send(index, std::move(send));
   for (const auto& completion : output.completions) Complete(index, completion);
-  PlanTick(index);
+  ScheduleTick(index);
 }
 
 void Testbed::Complete(int index, const Completion& completion) {
   Machine& machine = *machines_[index];
-  const auto [register_name, asked] = asked_[{index, completion.operation}];
+  const auto [register_name, submitted_at] = submitted_[{index, completion.operation}];
   const int call = machine.pending[completion.operation];
   machine.pending.erase(completion.operation);
   history(register_name).End(now_, call, completion);
   EndGroupCall(call, register_name);
   if (completion.outcome != Outcome::kChosen && completion.outcome != Outcome::kKept) return;
-  told_payload_[register_name] = completion.payload;
+  reported_payloads_[register_name] = completion.payload;
   if (!history(register_name).HasChanged(call)) return;
-  ToldGroup& told = told_groups_[register_name];
-  if (completion.group.version() < told.group.version()) return;
-  told = {std::max(told.asked, asked), completion.group};
+  ReportedGroup& reported = reported_groups_[register_name];
+  if (completion.group.version() < reported.group.version()) return;
+  reported = {std::max(reported.submitted_at, submitted_at), completion.group};
 }
 
-void Testbed::PlanTick(int index) {
+void Testbed::ScheduleTick(int index) {
   Machine& machine = *machines_[index];
   const auto timer = machine.node->NextTimer();
   if (!timer) return;
   const Time at = std::max(now_, *timer - machine.clock_offset) + static_cast<Time>(Draw(2 * kMillisecond));
   if (machine.tick_at >= now_ && machine.tick_at <= at) return;
   machine.tick_at = at;
-  At(at, [this, index, at, life = machine.life] {
+  At(at, [this, index, at, incarnation = machine.incarnation] {
     Machine& ticked = *machines_[index];
-    if (!ticked.Runs() || ticked.life != life || ticked.tick_at != at) return;
+    if (!ticked.IsRunning() || ticked.incarnation != incarnation || ticked.tick_at != at) return;
     if (ticked.frozen_until > now_) {
       ticked.tick_at = -1;
       At(ticked.frozen_until, [this, index] {
-        if (machines_[index]->Runs()) PlanTick(index);
+        if (machines_[index]->IsRunning()) ScheduleTick(index);
       });
       return;
     }
     ticked.tick_at = -1;
     RegisterOutput output;
     ticked.node->Tick(ClockOf(ticked), &output);
-    Take(index, std::move(output));
+    HandleOutput(index, std::move(output));
   });
 }
 
--- a/tests/system/consensus/world.h
+++ b/tests/system/consensus/world.h
@@ -57,18 +57,20 @@
   int Add(bool with_disk);  // a machine at a new address
   void Remove(int index);   // permanently
   void Freeze(int index, Time span);
-  int replicas_lost() const { return static_cast<int>(lost_replicas_.size()); }
+  int lost_replica_count() const { return static_cast<int>(lost_replicas_.size()); }
   // Stops counting lost replicas once each register has completed a change in a group without them and no
   // group change can bring one of them back: that change was submitted after the last loss and after the end
   // of all group changes that began before the loss.
-  void ForgetLostWhereReplaced(const std::vector<std::string>& registers);
+  void ForgetReplacedLosses(const std::vector<std::string>& registers);
 
   // Client calls.
   int Append(int index, const std::string& register_name, Time timeout);
   int AppendAfter(int index, const std::string& register_name, const std::string& expected, Time timeout);
   int Read(int index, const std::string& register_name, Time timeout);
   int ChangeGroup(int index, const std::string& register_name, const NewGroup& group, Time timeout);
-  std::string LastToldPayload(const std::string& register_name) { return told_payload_[register_name]; }
+  std::string LastReportedPayload(const std::string& register_name) {
+    return reported_payloads_[register_name];
+  }
 
  private:
   struct Event {
@@ -77,20 +79,20 @@
     std::function<void()> run;
     bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
-  struct ToldGroup {
-    Time asked = -1;
+  struct ReportedGroup {
+    Time submitted_at = -1;
     messages::ReplicaGroup group;
   };
 
   int Submit(int index, const std::string& register_name, int call, ChangeFunction change, Time timeout);
   Time ClockOf(const Machine& machine) const { return now_ + machine.clock_offset; }
-  void Take(int index, RegisterOutput output);
+  void HandleOutput(int index, RegisterOutput output);
   void Send(int from, RegisterSend send);
   void Deliver(int from, int to, const messages::RegisterMessage& message);
   void BeginWrite(int index, const RegisterWrite& write);
-  void FinishWrite(int index, std::uint64_t life);
-  void PlanWrite(int index);
-  void PlanTick(int index);
+  void FinishWrite(int index, std::uint64_t incarnation);
+  void ScheduleWrite(int index);
+  void ScheduleTick(int index);
   void Complete(int index, const Completion& completion);
   void EndGroupCall(int call, const std::string& register_name);
 
@@ -101,9 +103,10 @@
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<messages::ReplicaIdentity> founding_;
   std::map<std::string, History> histories_;
-  std::map<std::string, ToldGroup> told_groups_;
-  std::map<std::string, std::string> told_payload_;
-  std::map<std::pair<int, OperationId>, std::pair<std::string, Time>> asked_;  // register and time of calls
+  std::map<std::string, ReportedGroup> reported_groups_;
+  std::map<std::string, std::string> reported_payloads_;
+  std::map<std::pair<int, OperationId>, std::pair<std::string, Time>>
+      submitted_;  // register and time of calls
   std::set<std::string> lost_replicas_;
   Time last_loss_ = 0;
   std::map<std::pair<std::string, int>, Time> group_calls_;  // start time of those in progress
--- a/tests/system/consensus/world_io.cpp
+++ b/tests/system/consensus/world_io.cpp
@@ -8,7 +8,7 @@
 void Testbed::Send(int from, RegisterSend send) {
   const std::string& name = send.message.register_name();
   const bool is_whole = send.message.has_accept() && !send.message.accept().has_base();
-  if (is_whole) history(name).NoteProposed(send.message.accept().value().payload());
+  if (is_whole) history(name).RecordProposed(send.message.accept().value().payload());
   const bool alters = messages_sent_++ == network.alter_message || Chance(network.alter);
   if (network.alter_message >= 0 || network.alter > 0) alterer_.Observe(send.message);
   const auto to = std::find_if(machines_.begin(), machines_.end(),
@@ -26,14 +26,14 @@
 
 void Testbed::Deliver(int from, int to, const messages::RegisterMessage& message) {
   Machine& machine = *machines_[to];
-  if (!machine.Runs() || cuts.contains({from, to})) return;
+  if (!machine.IsRunning() || cuts.contains({from, to})) return;
   if (machine.frozen_until > now_) {
     At(machine.frozen_until, [this, from, to, message] { Deliver(from, to, message); });
     return;
   }
   RegisterOutput output;
   machine.node->Receive(ClockOf(machine), machines_[from]->address, message, &output);
-  Take(to, std::move(output));
+  HandleOutput(to, std::move(output));
 }
 
 void Testbed::BeginWrite(int index, const RegisterWrite& write) {
@@ -42,37 +42,37 @@
     messages::StoredAccept stored;
     stored.ParseFromString(write.value);
     History& written = history(write.key.substr(kAccepted.size()));
-    written.NoteProposed(stored.value().payload());
-    written.NoteAccepted(stored.ballot(), stored.value().SerializeAsString());
+    written.RecordProposed(stored.value().payload());
+    written.RecordAccepted(stored.ballot(), stored.value().SerializeAsString());
   }
   Machine& machine = *machines_[index];
-  machine.writing.push_back({write.token, write.key, write.value});
-  if (machine.writing.size() == 1) PlanWrite(index);
+  machine.pending_writes.push_back({write.token, write.key, write.value});
+  if (machine.pending_writes.size() == 1) ScheduleWrite(index);
 }
 
-void Testbed::PlanWrite(int index) {
+void Testbed::ScheduleWrite(int index) {
   Machine& machine = *machines_[index];
   const Time begins = std::max(now_, machine.disk_stalls_until);
   const Time takes = 300 + static_cast<Time>(Draw(2 * kMillisecond));
-  At(begins + takes, [this, index, life = machine.life] { FinishWrite(index, life); });
+  At(begins + takes, [this, index, incarnation = machine.incarnation] { FinishWrite(index, incarnation); });
 }
 
-void Testbed::FinishWrite(int index, std::uint64_t life) {
+void Testbed::FinishWrite(int index, std::uint64_t incarnation) {
   Machine& machine = *machines_[index];
-  if (!machine.Runs() || machine.life != life || machine.writing.empty()) return;
+  if (!machine.IsRunning() || machine.incarnation != incarnation || machine.pending_writes.empty()) return;
   if (machine.frozen_until > now_) {
-    At(machine.frozen_until, [this, index, life] { FinishWrite(index, life); });
+    At(machine.frozen_until, [this, index, incarnation] { FinishWrite(index, incarnation); });
     return;
   }
-  const DiskWrite write = std::move(machine.writing.front());
-  machine.writing.pop_front();
+  const DiskWrite write = std::move(machine.pending_writes.front());
+  machine.pending_writes.pop_front();
   const bool written = now_ >= machine.disk_fails_until;
   if (written || Chance(0.5))
     machine.disk[write.key] = write.value;  // a failed write may persist nevertheless
-  if (!machine.writing.empty()) PlanWrite(index);
+  if (!machine.pending_writes.empty()) ScheduleWrite(index);
   RegisterOutput output;
   machine.node->StoreDone(ClockOf(machine), write.token, written, &output);
-  Take(index, std::move(output));
+  HandleOutput(index, std::move(output));
 }
 
 }  // namespace lichenlug::consensus
