--- a/src/consensus/outgoing_accept.h
+++ b/src/consensus/outgoing_accept.h
@@ -20,7 +20,7 @@
                  std::size_t min_delta_bytes);
 
   messages::Accept MessageFor(const std::string& replica_id) const;
-  std::size_t PayloadBytesFor(const std::string& replica_id) const;  // of the payload
+  std::size_t PayloadBytesFor(const std::string& replica_id) const;  // on the wire: full payload or delta
 
   void SendFullValueTo(const std::string& replica_id) { full_value_replicas_.insert(replica_id); }
   void SendFullValueToAll() { delta_.reset(); }
--- a/src/consensus/register_proposer.cpp
+++ b/src/consensus/register_proposer.cpp
@@ -12,12 +12,12 @@
 constexpr Time kInitialMaxBackoff = 10 * kMillisecond;  // upper bound before the first retry; doubles
 constexpr int kBackoffDoublings = 2;
 constexpr int kResendDoublings = 3;
-constexpr int kMaxDeltaSends =
-    2;  // of an Accept, then it is sent in full: the receiver may not support deltas
+// An Accept is sent as a delta this many times, then in full: the receiver may not support deltas.
+constexpr int kMaxDeltaSends = 2;
 constexpr std::int64_t kMinLinkBytesPerMillisecond = 1000;  // 80 % of a 10 Mbit/s link
 constexpr Time kMaxRoundTime = 2 * kSecond;                 // upper bound of the time granted to a competitor
-constexpr Time kMaxEstimatedRoundTime = 150 * kMillisecond;  // upper bound of an estimated round time
-constexpr Time kReadRetryDelay = 60 * kMillisecond;          // while replicas disagree; plus jitter
+constexpr Time kMaxEstimatedRoundTime = 150 * kMillisecond;
+constexpr Time kReadRetryDelay = 60 * kMillisecond;  // while replicas disagree; plus jitter
 
 Time SlowLinkTransferTime(std::size_t bytes) {
   return static_cast<Time>(bytes) / kMinLinkBytesPerMillisecond * kMillisecond;
--- a/tests/system/consensus/founding_test.cpp
+++ b/tests/system/consensus/founding_test.cpp
@@ -201,7 +201,7 @@
   return testbed.broken();
 }
 
-constexpr std::uint64_t kWalksPerFirstStart = 60;  // per first start
+constexpr std::uint64_t kWalksPerFirstStart = 60;
 
 TEST_CASE("no random sequence of rounds, restarts and a wipe founds twice") {
   for (const auto& first_start : FirstStarts()) {
--- a/tests/system/consensus/history.h
+++ b/tests/system/consensus/history.h
@@ -55,7 +55,7 @@
   std::string last_proposed_;
   std::set<std::string> proposed_;  // items of proposed payloads
   std::map<std::pair<std::uint64_t, std::string>, std::string> accepted_;
-  std::vector<std::string> violations_;  // violations detected during the run
+  std::vector<std::string> violations_;  // detected during the run
 };
 
 }  // namespace lichenlug::consensus
--- a/tests/system/consensus/machine.h
+++ b/tests/system/consensus/machine.h
@@ -23,7 +23,7 @@
   bool removed = false;  // permanently
   std::string replica_id;
   std::map<std::string, std::string> disk;  // synced
-  std::deque<DiskWrite> pending_writes;     // pending writes of this process, in order
+  std::deque<DiskWrite> pending_writes;     // of the current process, in order
   Time disk_stalls_until = 0;
   Time disk_fails_until = 0;
 
--- a/tests/system/consensus/world.h
+++ b/tests/system/consensus/world.h
@@ -105,8 +105,8 @@
   std::map<std::string, History> histories_;
   std::map<std::string, ReportedGroup> reported_groups_;
   std::map<std::string, std::string> reported_payloads_;
-  std::map<std::pair<int, OperationId>, std::pair<std::string, Time>>
-      submitted_;  // register and time of calls
+  // Register and submission time of calls, by machine and operation.
+  std::map<std::pair<int, OperationId>, std::pair<std::string, Time>> submitted_;
   std::set<std::string> lost_replicas_;
   Time last_loss_ = 0;
   std::map<std::pair<std::string, int>, Time> group_calls_;  // start time of those in progress
