--- a/tests/system/consensus/decision_test.cpp
+++ b/tests/system/consensus/decision_test.cpp
@@ -100,7 +100,7 @@
   CHECK(clear.value.payload() == "abcx");
 }
 
-TEST_CASE("a chosen value is written back first if its ballot is lower than an own proposal not found") {
+TEST_CASE("a chosen value below the ballot of an own proposal that was not found is written back first") {
   const auto lower = Decide(Reads({At(6)}), Found(4, Value("ab", {4}), true), At(9));
   CHECK(lower.kind == Decision::Kind::kWrite);
   CHECK_FALSE(lower.carries_change);
