--- a/src/consensus/group.cpp
+++ b/src/consensus/group.cpp
@@ -22,9 +22,9 @@
 }
 
 std::set<std::pair<std::string, std::string>> IdentitiesWithAddresses(const auto& members) {
-  std::set<std::pair<std::string, std::string>> places;
-  for (const auto& member : members) places.emplace(member.replica_id(), member.address());
-  return places;
+  std::set<std::pair<std::string, std::string>> entries;
+  for (const auto& member : members) entries.emplace(member.replica_id(), member.address());
+  return entries;
 }
 
 }  // namespace
@@ -37,9 +37,9 @@
 
 std::vector<messages::ReplicaIdentity> AllMembers(const messages::ReplicaGroup& group) {
   std::vector<messages::ReplicaIdentity> all(group.members().begin(), group.members().end());
-  const auto places = IdentitiesWithAddresses(group.members());
+  const auto entries = IdentitiesWithAddresses(group.members());
   for (const auto& member : group.next_members()) {
-    if (!places.contains({member.replica_id(), member.address()})) all.push_back(member);
+    if (!entries.contains({member.replica_id(), member.address()})) all.push_back(member);
   }
   return all;
 }
--- a/tests/system/consensus/linked_network.h
+++ b/tests/system/consensus/linked_network.h
@@ -46,8 +46,8 @@
 
   // Runs until the condition holds, no events are left, or the time limit is reached. Returns whether the
   // condition holds.
-  bool RunUntil(const std::function<bool()>& condition, Time longest) {
-    while (!events_.empty() && now_ < longest && !condition()) {
+  bool RunUntil(const std::function<bool()>& condition, Time time_limit) {
+    while (!events_.empty() && now_ < time_limit && !condition()) {
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
--- a/tests/system/consensus/start_of_all_test.cpp
+++ b/tests/system/consensus/start_of_all_test.cpp
@@ -62,10 +62,11 @@
     }
   }
 
-  Result Run(Time longest) {
+  Result Run(Time time_limit) {
     for (std::size_t i = 0; i < nodes_.size(); ++i) network_.At(nodes_[i].read_at, [this, i] { Read(i); });
     if (start_ == Start::kFirst) network_.At(kStartSpread / 2, [this] { Change(); });
-    const bool all_informed = network_.RunUntil([this] { return informed_count_ == nodes_.size(); }, longest);
+    const bool all_informed =
+        network_.RunUntil([this] { return informed_count_ == nodes_.size(); }, time_limit);
     return {all_informed ? network_.now() : 0, static_cast<double>(network_.bytes()) / 1e6};
   }
 
--- a/tests/system/storage/record_store_test.cpp
+++ b/tests/system/storage/record_store_test.cpp
@@ -86,11 +86,11 @@
     CHECK(Write(&store, "promise/x", "2"));
     CHECK(Write(&store, "", std::string("\0\xff", 2)));
   }
-  const auto again = OpenOnce(folder, "b");
-  CHECK(again.replica_id == "a");
-  CHECK(Records(again) == std::map<std::string, std::string>{{"promise/x", "2"},
-                                                             {"identity", "a record, not the identity"},
-                                                             {"", std::string("\0\xff", 2)}});
+  const auto reopened = OpenOnce(folder, "b");
+  CHECK(reopened.replica_id == "a");
+  CHECK(Records(reopened) == std::map<std::string, std::string>{{"promise/x", "2"},
+                                                                {"identity", "a record, not the identity"},
+                                                                {"", std::string("\0\xff", 2)}});
 }
 
 TEST_CASE("large values that are overwritten repeatedly stay readable and use bounded disk space") {
@@ -151,9 +151,9 @@
   Folder folder;
   OpenOnce(folder, "a");
   fs::remove_all(folder.database());
-  const auto again = OpenOnce(folder, "b");
-  CHECK(again.created);
-  CHECK(again.replica_id == "b");
+  const auto reopened = OpenOnce(folder, "b");
+  CHECK(reopened.created);
+  CHECK(reopened.replica_id == "b");
 }
 
 TEST_CASE("a torn log tail loses no acknowledged record") {
@@ -168,10 +168,10 @@
   const auto synced = fs::file_size(logs.front());
   std::ofstream(logs.front(), std::ios::app | std::ios::binary) << std::string(40, '\x07');
   CHECK(fs::file_size(logs.front()) == synced + 40);
-  const auto again = OpenOnce(folder, "b");
-  CHECK(again.opened);
-  CHECK(again.replica_id == "a");
-  CHECK(Records(again).at("kept") == "1");
+  const auto reopened = OpenOnce(folder, "b");
+  CHECK(reopened.opened);
+  CHECK(reopened.replica_id == "a");
+  CHECK(Records(reopened).at("kept") == "1");
 }
 
 TEST_CASE("an unreadable store is moved aside and replaced by one with another identity") {
@@ -199,13 +199,13 @@
     table.seekp(3);
     table << "damaged";
   }
-  const auto again = OpenOnce(folder, "founder:a");
-  CHECK(again.opened);
-  CHECK(again.created);
-  CHECK(again.replica_id != "founder:a");  // an identity of the founding group must not be reused
-  CHECK(again.replica_id.starts_with("founder:a+"));
-  CHECK(again.records.empty());
-  CHECK(OpenOnce(folder, "c").replica_id == again.replica_id);
+  const auto reopened = OpenOnce(folder, "founder:a");
+  CHECK(reopened.opened);
+  CHECK(reopened.created);
+  CHECK(reopened.replica_id != "founder:a");  // an identity of the founding group must not be reused
+  CHECK(reopened.replica_id.starts_with("founder:a+"));
+  CHECK(reopened.records.empty());
+  CHECK(OpenOnce(folder, "c").replica_id == reopened.replica_id);
 }
 
 TEST_CASE("an unusable folder is reported with the remedy") {
