--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -14,14 +14,14 @@
 
 using messages::Configuration;
 
-// Lists without which a text is no whole configuration, such as a patch that was sent as one.
+// Lists that a complete configuration must have, so that a patch sent by PUT is rejected.
 constexpr int kRequiredLists[] = {Configuration::kRoutesFieldNumber, Configuration::kServicesFieldNumber};
 
 std::optional<Problem> CheckPresence(const std::vector<int>& present) {
   for (const int number : kRequiredLists) {
     if (std::find(present.begin(), present.end(), number) != present.end()) continue;
     const auto* field = Configuration::descriptor()->FindFieldByNumber(number);
-    return Problem{field->json_name(), std::string(kTopLevel), "give a list, empty where there is none"};
+    return Problem{field->json_name(), std::string(kTopLevel), "give a list, which may be empty"};
   }
   return std::nullopt;
 }
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -1,4 +1,4 @@
-// The operator's configuration: reading, checking, changes, and the operator's calls as operations on the
+// The operator's configuration: parsing, validation, and changes applied as operations on the replicated
 // register.
 #pragma once
 
@@ -16,36 +16,36 @@
 
 inline constexpr std::string_view kRegisterName = "configuration";
 
-// Why a configuration is refused: one clear line of key, place and remedy.
+// Why a configuration is rejected; printed as one line of key, place and remedy.
 struct Problem {
   std::string key;     // "deadline_ms"
   std::string place;   // "routes[3] (r-abc)"
-  std::string remedy;  // "give a number over 0"
+  std::string remedy;  // "give a number greater than 0"
   std::string Line() const;
 };
 
 struct Parsed {
   std::shared_ptr<const messages::Configuration> configuration;
-  std::string json;  // whole, as it is kept and given back
+  std::string json;  // the complete text, stored and returned unchanged
 };
 
-// Reads and checks a whole configuration. Everything is checked that needs no other version.
+// Parses and validates a complete configuration. Checks everything that doesn't depend on another version.
 std::variant<Parsed, Problem> Parse(std::string_view json);
 
-// A call of the operator.
+// A change requested through the operator API.
 struct ChangeRequest {
   enum class Method { kPut, kPatch };
   Method method = Method::kPut;
-  std::int64_t if_match = 0;  // the edition it builds on
+  std::int64_t if_match = 0;  // the edition that the change is based on
   std::string body;
 };
 std::uint64_t Digest(const ChangeRequest& request);
 
-// Refuses a change that no register is needed to refuse: a whole configuration that is invalid, or a patch
-// whose own form is.
+// Validates what can be checked without the register: a complete configuration, or the structure of a patch.
 std::optional<Problem> CheckShape(const ChangeRequest& request);
 
-// What a change makes of the register's payload (a serialized ConfigurationState; empty at first).
+// The result of applying a change to the register's payload (a serialized ConfigurationState; empty at
+// first).
 enum class Verdict { kTake, kTakenBefore, kConflict, kInvalid };
 struct Judgement {
   Verdict verdict = Verdict::kInvalid;
@@ -55,7 +55,7 @@
 };
 Judgement Judge(const std::string& payload, const ChangeRequest& request);
 
-// The configuration in a payload; none where it is empty.
+// The configuration in a payload; none if the payload is empty or unreadable, or holds no version yet.
 std::optional<messages::ConfigurationState> ReadState(const std::string& payload);
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/digest.h
+++ b/src/configuration/digest.h
@@ -1,5 +1,5 @@
-// A 64-bit digest (xxHash) of a few numbers and texts, the same on every machine and in every version of the
-// program, as digests are kept on disk.
+// A 64-bit digest (xxHash) of a few numbers and texts. Digests are stored on disk, so they must be the same
+// on every machine and in every version of the program.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
   std::uint64_t Result() const { return digest_; }
 
  private:
-  std::uint64_t digest_ = 0;  // the seed of what comes next
+  std::uint64_t digest_ = 0;  // the seed for the next input
 };
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/follower.cpp
+++ b/src/configuration/follower.cpp
@@ -14,10 +14,10 @@
 
 using messages::DistributionMessage;
 
-// Between two questions for a newer version: several may tell of the same one at once.
+// Minimum time between two pulls: several peers may announce the same version at once.
 constexpr Time kPullPause = 100 * kMillisecond;
-constexpr Time kTransferOf1000Bytes = 800;  // on the slowest links, 10 Mbit/s
-constexpr Time kShareOfWholeAnswers = 4;    // of a slow link's time: one part in so many
+constexpr Time kTransferOf1000Bytes = 800;  // on the slowest supported links, 10 Mbit/s
+constexpr Time kShareOfWholeAnswers = 4;    // complete answers to polls use at most 1/4 of a slow link
 
 }  // namespace
 
@@ -78,7 +78,7 @@
   const FollowerStatistics& statistics() const { return statistics_; }
 
  private:
-  // To whom a push is to be passed on.
+  // The recipients that a push asks this dispatcher to relay it to.
   struct RelayDuty {
     std::uint64_t revision = 0;
     bool in_zone = false;
@@ -100,15 +100,15 @@
     SendPush(from, PushMessage(*versions_.current(), difference), output);
   }
 
-  // Polls that are answered with the whole leave most of a slow link to the pushes; the others ask again,
-  // elsewhere.
+  // Limits the rate of complete configurations sent in answer to polls, to leave most of a slow link to
+  // pushes. A poll without an answer is repeated, to another dispatcher.
   bool MayAnswerWhole(Time now) {
     if (now < next_whole_answer_) return false;
     next_whole_answer_ = now + TransferOf(versions_.current()->json.size()) * kShareOfWholeAnswers;
     return true;
   }
 
-  // The newest version held by the sender of the poll that is kept here too; 0 where there is none.
+  // The newest version that both the sender of the poll and this dispatcher keep; 0 if there is none.
   std::uint64_t BaseFor(const messages::ConfigurationPoll& poll) const {
     if (versions_.Holds(poll.revision())) return poll.revision();
     std::uint64_t newest = 0;
@@ -118,8 +118,8 @@
     return newest;
   }
 
-  // Installs a push that is newer and whole, and answers it. One that is damaged gets no answer, so it is
-  // sent again.
+  // Installs a push if it is newer and intact, and acknowledges it. A damaged push is not acknowledged, so it
+  // is sent again.
   void ReceivePush(Time now, const std::string& from, const messages::ConfigurationPush& push,
                    FollowerOutput* output) {
     if (push.revision() > Revision()) {
@@ -147,7 +147,7 @@
     return {push.revision(), push.relay(), {push.relay_to().begin(), push.relay_to().end()}};
   }
 
-  // The push is to be passed on, once its version is here.
+  // Remembers to relay the push once its version is installed.
   void NoteRelay(const messages::ConfigurationPush& push) {
     if (!push.relay() && push.relay_to().empty()) return;
     if (push.revision() != relay_.revision) relay_ = {push.revision(), false, {}};
@@ -194,7 +194,7 @@
     SendDue(now, output);
   }
 
-  // Of one push, on a slow link.
+  // The time that one push takes on a slow link.
   Time TransferTime() {
     const VersionDelta* difference = versions_.DifferenceFrom(push_base_);
     const std::size_t bytes =
@@ -226,7 +226,7 @@
   FollowerStatistics statistics_;
   KnownVersions versions_;
   std::uint64_t push_base_ = 0;
-  std::uint64_t published_ = 0, relayed_ = 0;  // newest revisions sent on from here
+  std::uint64_t published_ = 0, relayed_ = 0;  // newest revisions sent by this dispatcher
   RelayDuty relay_;
   std::optional<Time> next_poll_, last_pull_;
   Time next_whole_answer_ = 0;
--- a/src/configuration/json_library.cpp
+++ b/src/configuration/json_library.cpp
@@ -1,2 +1,2 @@
-// The compiled part of Boost.JSON, used here without its library.
+// Compiles Boost.JSON from its headers, so that its library need not be linked.
 #include <boost/json/src.hpp>
--- a/src/configuration/json_outline.cpp
+++ b/src/configuration/json_outline.cpp
@@ -10,7 +10,8 @@
 
 boost::json::string_view ForBoost(std::string_view text) { return {text.data(), text.size()}; }
 
-// Walks over the members or items of one container. Stops at the end of the text whatever it holds.
+// Iterates over the members or items of one container. Never reads past the end of the text, even if it is
+// invalid.
 class Scanner {
  public:
   explicit Scanner(std::string_view text) : text_(text) { SkipSpace(); }
@@ -22,7 +23,7 @@
     return true;
   }
 
-  // The next value as it is written; empty at the end of the container.
+  // The raw text of the next value; empty at the end of the container.
   std::string_view Value() {
     SkipSpace();
     const std::size_t start = position_;
--- a/src/configuration/json_outline.h
+++ b/src/configuration/json_outline.h
@@ -1,6 +1,5 @@
-// The outline of a JSON text that is known to be valid: where the members of an object and the items of a
-// list stand, without reading what is in them. So a large text can be changed in a few places while all else
-// stays as it was written.
+// Locates the members of an object and the items of a list in a valid JSON text, without parsing their
+// values. This way a large text can be changed in a few places while all other values keep their exact text.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +12,22 @@
 
 struct JsonMember {
   std::string name;
-  std::string_view raw_name;  // with its quotes
+  std::string_view raw_name;  // including the quotes
   std::string_view value;
 };
 
 enum class JsonKind { kObject, kList, kString, kNull, kOther };
 JsonKind KindOf(std::string_view value);
 
-// In the order of the text; of members with the same name only the last. Empty for what is no object.
+// In the order of the text; the last value wins if a name is repeated. Empty if `object` is not an object.
 std::vector<JsonMember> ObjectMembers(std::string_view object);
-// Empty for what is no list.
+// Empty if `list` is not a list.
 std::vector<std::string_view> ListItems(std::string_view list);
-// The last member of that name.
+// The value of the last member with that name.
 std::optional<std::string_view> FindMember(std::string_view object, std::string_view name);
-// Content of a string, with its escapes resolved.
+// The content of a JSON string, with its escape sequences decoded.
 std::string StringContent(std::string_view string);
-// The JSON string of a content.
+// `content` as a JSON string, quoted and escaped.
 std::string QuotedString(std::string_view content);
 
 inline constexpr std::size_t kMaxJsonDepth = 100;
--- a/src/configuration/json_reader.cpp
+++ b/src/configuration/json_reader.cpp
@@ -14,16 +14,16 @@
 namespace lichenlug::configuration {
 namespace {
 
-constexpr double kInt64Limit = 9223372036854775808.0;  // 2^63, the first that does not fit
+constexpr double kInt64Limit = 9223372036854775808.0;  // 2^63, the smallest value that doesn't fit
 
 using Error = boost::json::error_code;
 using Text = boost::json::string_view;
 
-// Callbacks of the parser, which hands strings and keys over in parts. Each returns false with `error` set to
-// stop.
+// Callbacks of the parser, which passes strings and keys in parts. A callback stops the parser by setting
+// `error` and returning false.
 class Handler {
  public:
-  // Names that the parser asks for. NOLINTBEGIN(readability-identifier-naming)
+  // Names required by the parser. NOLINTBEGIN(readability-identifier-naming)
   static constexpr std::size_t max_object_size = std::numeric_limits<std::size_t>::max();
   static constexpr std::size_t max_array_size = std::numeric_limits<std::size_t>::max();
   static constexpr std::size_t max_key_size = std::numeric_limits<std::size_t>::max();
@@ -54,7 +54,7 @@
   }
   bool on_number_part(Text, Error&) { return true; }
   bool on_int64(std::int64_t value, Text, Error& error) { return Go(builder.Whole(value), error); }
-  bool on_uint64(std::uint64_t value, Text, Error& error) {  // only what does not fit in 63 bits
+  bool on_uint64(std::uint64_t value, Text, Error& error) {  // only for values that don't fit into 63 bits
     return Go(builder.Fraction(static_cast<double>(value)), error);
   }
   bool on_double(double value, Text, Error& error) {
@@ -76,7 +76,7 @@
     return true;
   }
 
-  std::string text_;  // of the key or string being read
+  std::string text_;  // the parts so far of the current key or string
 };
 
 }  // namespace
@@ -90,7 +90,8 @@
   MessageBuilder& builder = parser.handler().builder;
   ReadResult result{std::move(builder.problem), std::move(builder.present)};
   if (!result.problem && (error || read < text.size())) {
-    result.problem = Problem{"JSON", "byte " + std::to_string(read), "can't be read: send the whole text"};
+    result.problem =
+        Problem{"JSON", "byte " + std::to_string(read), "can't be parsed: send the complete text"};
   }
   return result;
 }
--- a/src/configuration/json_reader.h
+++ b/src/configuration/json_reader.h
@@ -1,7 +1,7 @@
-// Reads JSON into a protobuf message in one pass, by a table made from the message's descriptor. Only the
-// names given as json_name are known; all others are skipped, whatever they hold. (protobuf's own reader also
-// takes the field names of the .proto file, so a new field of the operator could collide with one of those;
-// and it does not tell where a wrong type stands.)
+// Parses JSON into a protobuf message in one pass, using a table built from the message's descriptor. Only
+// the names given as json_name are recognized; all other members are skipped, whatever their values.
+// (protobuf's own parser also accepts the field names of the .proto file, which a new field of the operator
+// could collide with, and it doesn't report where a value has the wrong type.)
 #pragma once
 
 #include <google/protobuf/message.h>
@@ -16,11 +16,10 @@
 
 struct ReadResult {
   std::optional<Problem> problem;
-  std::vector<int> present;  // numbers of the message's own fields that the text holds, null or not
+  std::vector<int> present;  // numbers of the top-level fields in the text, including those that are null
 };
 
-// `message` is empty at first. null stands for an absent value; of two members of the same name the later
-// counts.
+// `message` must be empty. A null counts as an absent value; if a name is repeated, the last member wins.
 ReadResult ReadJson(std::string_view json, google::protobuf::Message* message);
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/judge.cpp
+++ b/src/configuration/judge.cpp
@@ -1,4 +1,4 @@
-// What a change of the operator makes of the register's payload.
+// Applies a change requested by the operator to the register's payload.
 #include <algorithm>
 #include <utility>
 
@@ -11,14 +11,14 @@
 
 using messages::ConfigurationState;
 
-// Digests kept of changes taken. A day holds hundreds of changes; 64 KiB hold those of many days.
+// Digests of accepted changes that are stored. With hundreds of changes a day, 64 KiB cover many days.
 constexpr int kDigestsKept = 8192;
 
-// The whole configuration that the request asks for.
+// The complete configuration that results from the request.
 std::variant<Parsed, Problem> Requested(const ConfigurationState& state, const ChangeRequest& request) {
   if (request.method == ChangeRequest::Method::kPut) return Parse(request.body);
   if (state.revision() == 0) {
-    return Problem{"patch", "the first configuration", "there is nothing to change yet: PUT a whole one"};
+    return Problem{"patch", "the first configuration", "there is nothing to change yet: PUT a complete one"};
   }
   auto patch = ReadPatch(request.body);
   if (auto* problem = std::get_if<Problem>(&patch)) return std::move(*problem);
@@ -44,7 +44,7 @@
 Judgement Judge(const std::string& payload, const ChangeRequest& request) {
   ConfigurationState state;
   if (!state.ParseFromString(payload)) {
-    return Refused({"configuration", "the register", "its record can't be read: restore the store"}, 0);
+    return Refused({"configuration", "the register", "its record can't be parsed: restore the store"}, 0);
   }
   const std::uint64_t digest = Digest(request);
   const auto& taken = state.taken_digests();
@@ -58,7 +58,7 @@
   const std::int64_t edition = parsed.configuration->edition();
   if (edition <= state.edition()) {
     return Refused(
-        {"edition", std::string(kTopLevel), "give a number over " + std::to_string(state.edition())},
+        {"edition", std::string(kTopLevel), "give a number greater than " + std::to_string(state.edition())},
         state.edition());
   }
   state.set_edition(edition);
--- a/src/configuration/known_versions.h
+++ b/src/configuration/known_versions.h
@@ -1,5 +1,6 @@
-// The configuration in force here and the few before it, so that a difference can be made from, and applied
-// to, whichever of them another dispatcher holds. Earlier ones are kept as differences backwards.
+// The current configuration and the last few before it, so that a difference can be computed from, or applied
+// to, any of them that another dispatcher has. Each earlier version is stored as a difference from its
+// successor.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +16,7 @@
 
 namespace lichenlug::configuration {
 
-// Bounds of what is kept of earlier versions; the oldest go first.
+// Limits for the earlier versions; the oldest are evicted first.
 inline constexpr std::size_t kMaxEarlierVersions = 32;
 inline constexpr std::size_t kMaxEarlierBytes = 64 << 10;
 
@@ -24,21 +25,22 @@
   const Follower::Version* current() const { return current_ ? &*current_ : nullptr; }
   std::uint64_t revision() const { return current_ ? current_->revision : 0; }
 
-  // The version, which is newer than the current one, is the current one from now on.
+  // Makes `version`, which must be newer than the current one, the current one.
   void Install(Follower::Version version);
 
-  // Newest first, the current one left out.
+  // Newest first, without the current one.
   std::vector<std::uint64_t> EarlierRevisions() const;
   bool Holds(std::uint64_t revision) const;
-  // None where that version is not kept.
+  // None if that version is not kept.
   std::optional<std::string> TextOf(std::uint64_t revision) const;
-  // From that version to the current one. Null where it is not kept, or where the whole is hardly longer.
+  // From that version to the current one. Null if it is not kept, or if the difference is not much shorter
+  // than the complete text.
   const VersionDelta* DifferenceFrom(std::uint64_t revision);
 
  private:
   struct Earlier {
     std::uint64_t revision = 0;
-    messages::TextDelta from_next;  // from the text of the version that followed here
+    messages::TextDelta from_next;  // from the text of the next version installed here
     std::size_t bytes = 0;
   };
 
@@ -47,7 +49,7 @@
   std::optional<Follower::Version> current_;
   std::deque<Earlier> earlier_;  // newest first
   std::size_t earlier_bytes_ = 0;
-  std::map<std::uint64_t, std::optional<VersionDelta>> differences_;  // to the current one, by base
+  std::map<std::uint64_t, std::optional<VersionDelta>> differences_;  // to current_, by base revision
 };
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/message_builder.cpp
+++ b/src/configuration/message_builder.cpp
@@ -18,11 +18,11 @@
   const FieldDescriptor* field = nullptr;
   FieldDescriptor::CppType type = FieldDescriptor::CPPTYPE_MESSAGE;
   bool repeated = false;
-  const FieldTable* inner = nullptr;  // of the field's message type
+  const FieldTable* inner = nullptr;  // table of the field's message type
 };
 
 struct FieldTable {
-  std::vector<FieldEntry> entries;  // few, so that a search by length and content is the fastest
+  std::vector<FieldEntry> entries;  // so few that linear search is fastest
 
   const FieldEntry* Find(std::string_view name) const {
     for (const FieldEntry& entry : entries) {
@@ -34,11 +34,11 @@
 
 namespace {
 
-// Tables of a message type and of all within it, made once a thread and kept.
+// The tables of a message type and of all types nested in it are built once per thread.
 const FieldTable* TableOf(const Descriptor* descriptor) {
   thread_local std::unordered_map<const Descriptor*, FieldTable> tables;
   auto [place, added] = tables.try_emplace(descriptor);
-  FieldTable& table = place->second;  // does not move: the map is one of nodes
+  FieldTable& table = place->second;  // stays valid on insertion: std::unordered_map is node-based
   if (!added) return &table;
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor* field = descriptor->field(i);
@@ -60,7 +60,7 @@
     case FieldDescriptor::CPPTYPE_DOUBLE:
       return "give a number";
     default:
-      return "give a whole number";
+      return "give an integer";
   }
 }
 
@@ -146,7 +146,7 @@
   const bool narrow = Expects(FieldDescriptor::CPPTYPE_INT32);
   if (!narrow && !Expects(FieldDescriptor::CPPTYPE_INT64)) return WrongType();
   const Frame& frame = frames_.back();
-  if (narrow) {  // a limit that does not fit stands for "as many as there are"
+  if (narrow) {  // a limit that doesn't fit means "unlimited"
     using Limits = std::numeric_limits<std::int32_t>;
     const auto bounded = std::clamp<std::int64_t>(value, Limits::min(), Limits::max());
     frame.reflection->SetInt32(frame.message, frame.entry->field, static_cast<std::int32_t>(bounded));
--- a/src/configuration/message_builder.h
+++ b/src/configuration/message_builder.h
@@ -14,10 +14,10 @@
 
 namespace lichenlug::configuration {
 
-struct FieldTable;  // the fields of a message type by their names in JSON
+struct FieldTable;  // the fields of a message type by their JSON names
 struct FieldEntry;
 
-// Events of values return false where the value does not fit, and then `problem` is set.
+// The functions that receive a value return false and set `problem` if its type doesn't match the field.
 class MessageBuilder {
  public:
   explicit MessageBuilder(google::protobuf::Message* root) : root_(root) {}
@@ -29,22 +29,22 @@
   void Key(std::string_view name);
   bool String(std::string value);
   bool Whole(std::int64_t value);  // a number without a fraction
-  bool Fraction(double value);     // any other
+  bool Fraction(double value);     // any other number
   bool Bool(bool value);
   bool Null();
 
   std::optional<Problem> problem;
-  std::vector<int> present;  // numbers of the fields of the root that the text holds
+  std::vector<int> present;  // numbers of the top-level fields in the text
 
  private:
   using FieldDescriptor = google::protobuf::FieldDescriptor;
 
-  // An object being read, and the member that the next value belongs to.
+  // An object being parsed, and the field that the next value belongs to.
   struct Frame {
     google::protobuf::Message* message = nullptr;
     const google::protobuf::Reflection* reflection = nullptr;
     const FieldTable* table = nullptr;
-    const FieldEntry* entry = nullptr;  // null: an unknown member, skipped
+    const FieldEntry* entry = nullptr;  // null: an unknown member, which is skipped
     bool in_list = false;
   };
 
@@ -55,7 +55,7 @@
 
   google::protobuf::Message* root_;
   std::vector<Frame> frames_;
-  int skipped_ = 0;  // depth within the value of an unknown member
+  int skipped_ = 0;  // nesting depth within the value of an unknown member
 };
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/patch.cpp
+++ b/src/configuration/patch.cpp
@@ -23,7 +23,7 @@
   return patch->lists.back();
 }
 
-// Reads {list name: [items]}, each item by `read_item`, which returns false where it has the wrong form.
+// Parses {list name: [items]}. `read_item` parses one item and returns false if it has the wrong form.
 template <typename ReadItem>
 std::optional<Problem> ReadLists(std::string_view section, std::string_view lists, std::string_view item_form,
                                  Patch* patch, const ReadItem& read_item) {
@@ -81,7 +81,7 @@
 
 std::string ChangedList(std::string_view list, const ListChange& change) {
   const std::unordered_set<std::string_view> removed(change.removals.begin(), change.removals.end());
-  std::unordered_map<std::string_view, std::string_view> given;  // the last of each name
+  std::unordered_map<std::string_view, std::string_view> given;  // the last upsert of each name
   for (const NamedItem& item : change.upserts) given[item.name] = item.text;
   std::unordered_set<std::string> placed;
   std::vector<std::string_view> items;
@@ -100,7 +100,8 @@
   return Join(items, '[', ']');
 }
 
-// A whole number over 0, by the reader of whole configurations, so that both take the same.
+// An integer greater than 0. Uses the parser of complete configurations, so that both accept the same
+// notations.
 bool IsEdition(std::string_view value) {
   if (value.empty()) return false;
   messages::Configuration configuration;
@@ -111,7 +112,7 @@
 }  // namespace
 
 std::variant<Patch, Problem> ReadPatch(std::string_view text) {
-  if (!IsValidJson(text)) return Problem{"JSON", "the whole text", "can't be read: send the whole text"};
+  if (!IsValidJson(text)) return Problem{"JSON", "the whole text", "can't be parsed: send the complete text"};
   if (KindOf(text) != JsonKind::kObject) return Problem{"patch", "the whole text", "give an object"};
   Patch patch;
   for (const JsonMember& member : ObjectMembers(text)) {
@@ -126,14 +127,14 @@
     if (problem) return *problem;
   }
   if (!IsEdition(patch.edition)) {
-    return Problem{std::string(kEdition), std::string(kTopLevel), "give a whole number over 0"};
+    return Problem{std::string(kEdition), std::string(kTopLevel), "give an integer greater than 0"};
   }
   return patch;
 }
 
 std::variant<std::string, Problem> ApplyPatch(std::string_view json, const Patch& patch) {
   std::vector<JsonMember> members = ObjectMembers(json);
-  std::vector<std::string> texts;  // of what is new; reserved, so that none moves
+  std::vector<std::string> texts;  // owns new values; reserved so that views stay valid
   texts.reserve(2 * patch.lists.size());
   std::vector<std::string_view> parts;
   for (const ListChange& change : patch.lists) {
@@ -142,7 +143,7 @@
     const bool absent = member == members.end();
     const JsonKind kind = absent ? JsonKind::kNull : KindOf(member->value);
     if (kind != JsonKind::kList && kind != JsonKind::kNull) {
-      return Problem{change.list, "patch", "is no list: replace the whole configuration"};
+      return Problem{change.list, "patch", "is not a list: replace the complete configuration"};
     }
     texts.push_back(ChangedList(absent ? std::string_view("[]") : member->value, change));
     if (!absent) {
--- a/src/configuration/patch.h
+++ b/src/configuration/patch.h
@@ -1,6 +1,6 @@
-// A patch of the operator: named items to add or to replace, and names of items to remove, in any of the
-// lists at the top level of a configuration. Works on the text, so that whatever is not named stays as it was
-// written, fields unknown to this program too.
+// The operator's patch: named items to add or to replace, and names of items to remove, in any of the lists
+// at the top level of a configuration. It is applied to the text, so that all other values keep their
+// exact text, including fields unknown to this program.
 #pragma once
 
 #include <string>
@@ -21,15 +21,15 @@
   std::vector<NamedItem> upserts;
   std::vector<std::string> removals;
 };
-struct Patch {  // its texts point into the one that it was read from
+struct Patch {  // its views point into the text that it was parsed from
   std::string_view edition;
   std::vector<ListChange> lists;
 };
 
 std::variant<Patch, Problem> ReadPatch(std::string_view text);
 
-// The changed text. `json` is an object that is known to be valid; a list that it lacks is added. Removing
-// what is not there changes nothing; what is both removed and given is there in the end.
+// Returns the changed text. `json` must be a valid object; missing lists are added. Removing an item that
+// doesn't exist has no effect; an item that is both removed and upserted is present in the result.
 std::variant<std::string, Problem> ApplyPatch(std::string_view json, const Patch& patch);
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/peers.cpp
+++ b/src/configuration/peers.cpp
@@ -16,7 +16,7 @@
     all_.push_back(member.address);
     if (member.counts_for_quorum) quorum_.push_back(member.address);
   }
-  if (first && !live_.empty()) {  // so that not all dispatchers ask the same one at the same time
+  if (first && !live_.empty()) {  // so that the dispatchers don't all poll the same one at once
     turn_ = RandomBelow(all_.size());
     quorum_turn_ = quorum_.empty() ? 0 : RandomBelow(quorum_.size());
   }
--- a/src/configuration/peers.h
+++ b/src/configuration/peers.h
@@ -1,5 +1,5 @@
-// The live dispatchers as the follower needs them: by zone, in an order for relays, and one after the other
-// for polls.
+// The live dispatchers, grouped by zone, with an order in which they are chosen as relays and a rotation for
+// polls.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,15 @@
 
   void Set(const std::vector<Member>& live);
 
-  std::vector<std::string> Zones() const;  // sorted, each once
+  std::vector<std::string> Zones() const;  // sorted, without duplicates
   std::vector<std::string> AddressesIn(std::string_view zone) const;
-  // The dispatcher that relays this revision in its zone, on the given try; empty where there is none. Each
-  // revision has another order, so that the work is spread.
+  // The address of the dispatcher that relays this revision in its zone on the given attempt; empty if there
+  // is none. The order differs between revisions, so that the load is spread.
   std::string Relay(std::string_view zone, std::uint64_t revision, std::size_t try_number) const;
   bool Contains(std::string_view address) const;
 
-  // Whom to poll next, in turn: one that counts for the quorum, then any. Empty where there is none.
+  // The address to poll next, alternating between members that count for the quorum and all members. Empty if
+  // there is none.
   std::string NextToPoll();
   std::uint64_t RandomBelow(std::uint64_t bound);
 
--- a/src/configuration/push_codec.cpp
+++ b/src/configuration/push_codec.cpp
@@ -12,7 +12,7 @@
 using messages::ConfigurationPush;
 using messages::DistributionMessage;
 
-constexpr std::size_t kWorthwhileRatio = 2;  // a difference is at most a half of the whole
+constexpr std::size_t kWorthwhileRatio = 2;  // a difference is sent if at most half the complete text's size
 
 std::uint64_t VersionDigest(std::uint64_t revision, std::int64_t edition, std::string_view json) {
   return Digester().Number(revision).Number(static_cast<std::uint64_t>(edition)).Text(json).Result();
--- a/src/configuration/push_codec.h
+++ b/src/configuration/push_codec.h
@@ -1,4 +1,4 @@
-// Versions of the configuration as messages between dispatchers.
+// Encodes versions of the configuration as messages between dispatchers, and decodes them.
 #pragma once
 
 #include <cstddef>
@@ -14,33 +14,33 @@
 
 inline constexpr std::size_t kMaxJsonBytes = 64 << 20;
 
-// How a version came out of an earlier one.
+// The difference between a version and an earlier one.
 struct VersionDelta {
   std::uint64_t base_revision = 0;
   messages::TextDelta delta;
 };
 
 messages::DistributionMessage PollMessage(std::uint64_t revision);
-// Asks for what a push of a difference did not bring, as its base is not here; `earlier` are.
+// Answers a push of a difference whose base is not kept here. `earlier` are the revisions that are kept.
 messages::DistributionMessage BaseIsLacking(std::uint64_t revision,
                                             const std::vector<std::uint64_t>& earlier);
 messages::DistributionMessage AckMessage(std::uint64_t revision);
-// As a difference, or whole where there is none.
+// A push of the difference, or of the complete version if `difference` is null.
 messages::DistributionMessage PushMessage(const Follower::Version& version, const VersionDelta* difference);
 
-// The difference, where it is worth sending instead of the whole.
+// The difference, if it is so much shorter than the complete text that it should be sent instead.
 std::optional<VersionDelta> WorthwhileDelta(std::uint64_t base_revision, std::string_view base,
                                             const Follower::Version& version);
 
 enum class PushFault { kNone, kNoBase, kDamaged };
 struct ReadPushResult {
   PushFault fault = PushFault::kNone;
-  Follower::Version version;  // without a fault
+  Follower::Version version;  // if fault is kNone
 };
-// `base`: the text that a difference is from, where it is known here; not looked at for a whole version.
+// `base`: the text that the difference refers to, if it is kept here; ignored for a complete version.
 ReadPushResult ReadPush(const messages::ConfigurationPush& push, const std::optional<std::string>& base);
 
-// The version of a register's state; none where it can't be read.
+// Parses and validates the text of a version; none if it is invalid or has another edition.
 std::optional<Follower::Version> ReadVersion(std::uint64_t revision, std::int64_t edition,
                                              std::string_view json);
 
--- a/src/configuration/push_schedule.cpp
+++ b/src/configuration/push_schedule.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Time kRepeatAfter = 150 * kMillisecond;
-constexpr std::size_t kMaxTries = 5;  // after these, polls bring what is missing
+constexpr std::size_t kMaxTries = 5;  // afterwards, polls deliver the version
 constexpr std::size_t kFanOut = 4;
-constexpr Time kLongestWithoutRelays = 200 * kMillisecond;  // of a link, for all of a zone
+constexpr Time kLongestWithoutRelays = 200 * kMillisecond;  // of one slow link, for a whole zone
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   pushes_.push_back({"", std::move(group), {}, 0, now});
 }
 
-// Each try goes to another one, as the one before may be dead.
+// Each attempt goes to another dispatcher, because the previous one may be dead.
 std::optional<PushSchedule::Due> PushSchedule::NextOf(const Push& push, const Peers& peers) const {
   if (!push.zone.empty()) {
     const std::string address = peers.Relay(push.zone, revision_, push.tries);
@@ -67,7 +67,7 @@
     }
     ++push.tries;
   }
-  // All of them leave on the same link, so each repeat waits for all.
+  // All pushes share one outgoing link, so each retry waits for the transfer of all of them.
   const Time pause = kRepeatAfter + transfer * static_cast<Time>(due.size());
   for (Push* push : sent) push->next_at = now + pause;
   return due;
--- a/src/configuration/push_schedule.h
+++ b/src/configuration/push_schedule.h
@@ -1,4 +1,4 @@
-// The pushes of one version that are not acknowledged yet, and when each is to be sent again.
+// The unacknowledged pushes of one version, and when each is to be sent again.
 #pragma once
 
 #include <cstddef>
@@ -18,29 +18,30 @@
  public:
   struct Due {
     std::string address;
-    bool relay = false;                 // to the dispatchers of its zone
-    std::vector<std::string> relay_to;  // by their addresses
+    bool relay = false;                 // the receiver relays it to its zone
+    std::vector<std::string> relay_to;  // the receiver relays it to these addresses
   };
 
-  // Begins with a newer version; what was under way of an older one is dropped.
+  // Starts with a newer version, and drops the pending pushes of the older one.
   void Begin(std::uint64_t revision);
-  void AddZone(Time now, const std::string& zone);  // to one dispatcher of it, which relays
-  // To these dispatchers, those left out that were added before: to each, or where that would keep a slow
-  // link busy, as one push takes `transfer` on it, to a few that relay to the others.
+  void AddZone(Time now, const std::string& zone);  // to one of its dispatchers, which relays
+  // Adds pushes to these dispatchers, except those added before. `transfer` is the time that one push takes
+  // on a slow link: if pushing to each would occupy such a link for too long, a few get the push and relay it
+  // to the others.
   void AddAll(Time now, const std::vector<std::string>& addresses, Time transfer);
 
-  // The pushes to be sent now, each of which takes `transfer` on a slow link. Each is sent again a few times
-  // at most, to the next one that can relay. Dispatchers that are gone are left out.
+  // The pushes to send now, each of which takes `transfer` on a slow link. A push without an acknowledgement
+  // is retried a few times, each time to the next candidate. Dispatchers that are no longer live are skipped.
   std::vector<Due> TakeDue(Time now, const Peers& peers, Time transfer);
   void Acknowledge(std::string_view address);
-  // Sent to that address, not acknowledged, and not yet to be sent again.
+  // A push was sent to that address, is unacknowledged, and its retry is not due yet.
   bool InFlight(Time now, std::string_view address) const;
   std::optional<Time> NextTimer() const;
 
  private:
   struct Push {
-    std::string zone;                // empty: to a group
-    std::vector<std::string> group;  // the one that is sent the push relays to the others
+    std::string zone;                // empty if the push goes to a group
+    std::vector<std::string> group;  // the member that receives the push relays it to the others
     std::vector<std::string> sent_to;
     std::size_t tries = 0;
     Time next_at = 0;
@@ -51,7 +52,7 @@
 
   std::uint64_t revision_ = 0;
   std::vector<Push> pushes_;
-  std::set<std::string, std::less<>> added_;  // of all groups
+  std::set<std::string, std::less<>> added_;  // addresses in all groups
 };
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/rules.cpp
+++ b/src/configuration/rules.cpp
@@ -14,12 +14,12 @@
 using messages::Configuration;
 using messages::Route;
 
-// Names of a list as the operator writes it.
+// List names in the operator's JSON.
 constexpr std::string_view kRoutes = "routes", kServices = "postal_lines", kTenants = "senders";
 
 using Names = std::unordered_set<std::string_view>;
 
-// Each item of a list has a name, and no two the same.
+// Each item of a list must have a name that is unique in the list.
 template <typename Items>
 std::optional<Problem> CheckNames(const Items& items, std::string_view list, Names* names) {
   names->reserve(static_cast<std::size_t>(items.size()));
@@ -27,13 +27,13 @@
     const std::string& name = items[i].name();
     if (name.empty()) return Problem{"name", PlaceInList(list, i, ""), "give a name"};
     if (!names->insert(name).second) {
-      return Problem{"name", PlaceInList(list, i, name), "give each item a name of its own"};
+      return Problem{"name", PlaceInList(list, i, name), "give each item a unique name"};
     }
   }
   return std::nullopt;
 }
 
-// A route and where it stands. The place is written only for a refusal.
+// A route and its position. The place is formatted only if the route is rejected.
 struct RouteAt {
   const Route& route;
   int index;
@@ -44,7 +44,7 @@
   const Route& route = at.route;
   const auto unknown = [&](const std::string& service) {
     return Problem{"line", at.Place(),
-                   "\"" + service + "\" is no service: name one of " + std::string(kServices)};
+                   "\"" + service + "\" is not a service: use a name from " + std::string(kServices)};
   };
   const bool weighted = route.weighted_services_size() > 0;
   if ((!weighted || !route.service().empty()) && !services.contains(route.service())) {
@@ -57,7 +57,7 @@
     if (target.weight() < 0) return Problem{"share", at.Place(), "give a number of 0 or more"};
     sum += target.weight();
   }
-  if (!(sum > 0)) return Problem{"apportion", at.Place(), "give shares that add up to more than 0"};
+  if (!(sum > 0)) return Problem{"apportion", at.Place(), "give shares with a sum greater than 0"};
   return std::nullopt;
 }
 
@@ -68,11 +68,11 @@
   if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/') {
     return Problem{"lane_prefix", at.Place(), "give a path that begins and ends with a slash"};
   }
-  if (!(route.deadline_ms() > 0)) return Problem{"deadline_ms", at.Place(), "give a number over 0"};
+  if (!(route.deadline_ms() > 0)) return Problem{"deadline_ms", at.Place(), "give a number greater than 0"};
   return CheckTargets(at, services);
 }
 
-// Host names are compared as HTTP does, without regard to case.
+// Host names are case-insensitive, as in HTTP.
 std::string HostAndPrefix(const Route& route) {
   std::string key;
   key.reserve(route.host().size() + route.path_prefix().size() + 1);
@@ -101,7 +101,7 @@
   return std::nullopt;
 }
 
-// No two tenants share a key. The problem does not show the key.
+// No two tenants may share a key. The problem doesn't include the key, which is a secret.
 std::optional<Problem> CheckTenants(const Configuration& configuration) {
   Names names;
   if (auto problem = CheckNames(configuration.tenants(), kTenants, &names)) return problem;
@@ -112,8 +112,9 @@
       if (added || entry->second == i) continue;
       const int first = entry->second;
       return Problem{"stamps", PlaceInList(kTenants, i, configuration.tenants(i).name()),
-                     "holds a key of " + PlaceInList(kTenants, first, configuration.tenants(first).name()) +
-                         ": give each key to one only"};
+                     "has a key that also belongs to " +
+                         PlaceInList(kTenants, first, configuration.tenants(first).name()) +
+                         ": give each key to one tenant only"};
     }
   }
   return std::nullopt;
@@ -123,7 +124,7 @@
 
 std::optional<Problem> CheckRules(const Configuration& configuration) {
   if (configuration.edition() <= 0) {
-    return Problem{"edition", std::string(kTopLevel), "give a whole number over 0"};
+    return Problem{"edition", std::string(kTopLevel), "give an integer greater than 0"};
   }
   Names services;
   if (auto problem = CheckNames(configuration.services(), kServices, &services)) return problem;
--- a/src/configuration/rules.h
+++ b/src/configuration/rules.h
@@ -1,5 +1,5 @@
-// The rules that a configuration must keep, beyond the types of its values. Only what the operator's
-// interface calls invalid, or what plainly can't be served, is refused: all else is left to the parts that
+// Validation rules for a configuration, beyond the types of its values. Rejects only what the operator's
+// interface defines as invalid, or what can't possibly be served; everything else is left to the modules that
 // use it.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace lichenlug::configuration {
 
-// The first rule that is broken, in the order of the text. Linear in the size of the configuration.
+// The first violation found, if any. Takes time linear in the size of the configuration.
 std::optional<Problem> CheckRules(const messages::Configuration& configuration);
 
 }  // namespace lichenlug::configuration
