--- a/tests/system/configuration/follower_test.cpp
+++ b/tests/system/configuration/follower_test.cpp
@@ -6,7 +6,7 @@
 namespace lichenlug::configuration {
 namespace {
 
-constexpr Time kBound = 1500 * kMillisecond;  // below the 2 s that a version has to be in force
+constexpr Time kBound = 1500 * kMillisecond;  // below the 2 s within which a version must take effect
 
 Json LargeConfiguration(std::int64_t edition, int routes) {
   Json json = SampleConfiguration(edition);
@@ -25,7 +25,7 @@
 TEST_CASE("A version goes to one dispatcher a zone, which relays it") {
   FollowerWorld testbed(100, 4, 1);
   testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
-  CHECK(testbed.pushes == 24 + 3);  // its own zone, and a relay for each other
+  CHECK(testbed.pushes == 24 + 3);  // its own zone, and one relay for each other zone
   CHECK(testbed.RunUntilAllCurrent(kBound) <= 5 * kMillisecond);
   CHECK(testbed.pushes == 24 + 3 + 3 * 24);
   CheckNoViolation(testbed);
@@ -36,7 +36,7 @@
   CHECK(last.Current()->configuration->routes_size() == 2);
 }
 
-TEST_CASE("After all have a version, nothing is sent but polls") {
+TEST_CASE("Once all dispatchers have a version, only polls are sent") {
   FollowerWorld testbed(20, 4, 2);
   testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
   testbed.Run(kSecond);
@@ -54,7 +54,7 @@
   CheckNoViolation(testbed);
 }
 
-TEST_CASE("Every dispatcher gets the newest version on a bad network, and none goes back") {
+TEST_CASE("Every dispatcher gets the newest version on a bad network, and none reverts to an older one") {
   const auto count = GENERATE(std::size_t{10}, std::size_t{100});
   const auto seed = GENERATE(range<std::uint64_t>(1, 41));
   FollowerWorld testbed(count, 4, seed);
@@ -71,14 +71,14 @@
   CheckNoViolation(testbed);
 }
 
-TEST_CASE("Each single kind of fault is survived") {
+TEST_CASE("Every dispatcher gets the newest version with any one kind of network fault") {
   struct Case {
     const char* name;
     NetworkFaults faults;
     Time bound;
   };
   const Case cases[] = {{"lost", {0.3, 0, 0, kMillisecond, 0}, 3 * kSecond},
-                        {"doubled", {0, 1, 0, kMillisecond, 0}, kBound},
+                        {"duplicated", {0, 1, 0, kMillisecond, 0}, kBound},
                         {"damaged", {0, 0, 0.3, kMillisecond, 0}, 3 * kSecond},
                         {"half damaged", {0, 0, 0.5, kMillisecond, 0}, 6 * kSecond},
                         {"reordered", {0, 0, 0, kMillisecond, 400 * kMillisecond}, kBound}};
@@ -96,7 +96,7 @@
   }
 }
 
-TEST_CASE("Two milliseconds in which all is damaged delay nothing beyond the bound") {
+TEST_CASE("Damage to all messages for two milliseconds delays no version beyond the bound") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     FollowerWorld testbed(10, 3, seed);
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
@@ -111,8 +111,8 @@
   }
 }
 
-// Of every message of a distribution, one after the other is spoiled in one way while all others arrive.
-TEST_CASE("One message that is lost, doubled, late or damaged delays nothing beyond the bound") {
+// Repeats one distribution, each time with a fault in another single message.
+TEST_CASE("One message that is lost, duplicated, late or damaged delays no version beyond the bound") {
   const auto run = [](Spoil spoil, std::size_t number) {
     FollowerWorld testbed(10, 3, 11);
     testbed.spoil = spoil;
@@ -132,10 +132,10 @@
   }
 }
 
-constexpr double kFastLink = 12.5, kSlowLink = 1.25;  // bytes a microsecond: 100 and 10 Mbit/s
+constexpr double kFastLink = 12.5, kSlowLink = 1.25;  // bytes per microsecond: 100 and 10 Mbit/s
 
-// Each change is taken where the one before it has not come into force yet.
-TEST_CASE("Changes in quick succession are in force in time at 300 dispatchers on slow links") {
+// Each change may be accepted by a dispatcher that hasn't received the previous one yet.
+TEST_CASE("Changes in quick succession take effect in time at 300 dispatchers on slow links") {
   constexpr std::size_t kDispatchers = 300, kZones = 5, kFast = 5, kRoutes = 250;
   const auto seed = GENERATE(range<std::uint64_t>(1, 6));
   const auto longest_pause = GENERATE(Time{5}, Time{200}, Time{900}) * kMillisecond;
@@ -156,8 +156,8 @@
   CheckNoViolation(testbed);
 }
 
-// Nothing of the version before is of use, so it goes whole to all.
-TEST_CASE("A configuration that is new in all parts is in force in time at 300 dispatchers on slow links") {
+// There is no earlier version to send a difference from, so the complete text goes to all.
+TEST_CASE("A complete configuration takes effect in time at 300 dispatchers on slow links") {
   constexpr std::size_t kDispatchers = 300, kZones = 5, kRoutes = 250;
   const auto seed = GENERATE(range<std::uint64_t>(1, 6));
   FollowerWorld testbed(kDispatchers, kZones, seed);
@@ -168,7 +168,7 @@
   CheckNoViolation(testbed);
 }
 
-TEST_CASE("Who relays to others is replaced by the next of them if it is dead") {
+TEST_CASE("A dead relay within a zone is replaced by the next one of its group") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     FollowerWorld testbed(60, 1, seed);
     for (std::size_t i = 0; i < testbed.size(); ++i) testbed.SetLink(i, kSlowLink);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("A dead relay is replaced by the next one") {
+TEST_CASE("A dead relay of another zone is replaced by the next one") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FollowerWorld testbed(30, 3, seed);
     Peers peers(seed);
@@ -197,7 +197,7 @@
   }
 }
 
-TEST_CASE("A push to a dead dispatcher is repeated a few times and then given up") {
+TEST_CASE("A push to a dead dispatcher is retried a few times and then dropped") {
   FollowerWorld testbed(2, 1, 5);
   testbed.Kill(1);
   testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
@@ -205,7 +205,7 @@
   CHECK(testbed.pushes == 5);
 }
 
-TEST_CASE("A dispatcher that dies amid its pushes leaves the rest to polls") {
+TEST_CASE("If a dispatcher dies during its pushes, polls deliver the version") {
   int seeds_with_a_push = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     FollowerWorld testbed(20, 4, seed);
@@ -216,7 +216,7 @@
     testbed.Kill(0);
     bool arrived = false;
     for (std::size_t i = 1; i < testbed.size(); ++i) arrived |= testbed.follower(i).Current() != nullptr;
-    if (!arrived) continue;  // then no other knows of it, and it comes from the register
+    if (!arrived) continue;  // no live dispatcher has it; it would have to come from the register
     ++seeds_with_a_push;
     INFO(seed);
     CHECK(testbed.RunUntilAllCurrent(10 * kSecond) < kBound);
@@ -254,7 +254,7 @@
   CHECK(testbed.follower(9).Current()->json == changed.dump());
 }
 
-TEST_CASE("Who lacks the base of a difference gets the whole") {
+TEST_CASE("A dispatcher without the base of a difference gets the complete version") {
   FollowerWorld testbed(2, 1, 7);
   testbed.Learn(0, testbed.MakeVersion(LargeConfiguration(1, 100)), false);
   testbed.Learn(0, testbed.MakeVersion(LargeConfiguration(2, 101)), true);
@@ -285,8 +285,8 @@
   follower.Receive(testbed.now, "peer", push, &output);
   CHECK(follower.statistics().stale == 1);
   REQUIRE(output.sends.size() == 1);
-  CHECK(output.sends[0].message.ack().revision() == 2);  // so the other asks for the newer one
-  push.mutable_push()->set_revision(9);                  // its digest is of something else
+  CHECK(output.sends[0].message.ack().revision() == 2);  // so the sender asks for the newer version
+  push.mutable_push()->set_revision(9);                  // the digest doesn't match
   output = {};
   follower.Receive(testbed.now, "peer", push, &output);
   CHECK(follower.statistics().damaged == 1);
@@ -296,7 +296,7 @@
   CHECK(output.sends.empty());
 }
 
-TEST_CASE("A state that can't be served is not installed") {
+TEST_CASE("A state with an invalid configuration is not installed") {
   Follower follower(FollowerSettings{"self", "zone"});
   messages::ConfigurationState state;
   state.set_revision(1);
--- a/tests/system/configuration/follower_world.h
+++ b/tests/system/configuration/follower_world.h
@@ -1,5 +1,5 @@
-// Followers on a simulated network, all by one seed: messages may be lost, doubled, delayed (so reordered)
-// and damaged, and links may be slow.
+// Followers on a simulated network, deterministic for a given seed: messages may be lost, duplicated, delayed
+// (thus reordered) and damaged, and links may be slow.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 
 struct NetworkFaults {
   double lost = 0, doubled = 0, damaged = 0;
-  Time delay = kMillisecond, more_delay = 0;  // the latter at random, up to
+  Time delay = kMillisecond, more_delay = 0;  // the fixed part, and the maximum of the random part
 };
 
 enum class Spoil { kLose, kDouble, kDelay, kDamage };
@@ -27,17 +27,17 @@
  public:
   FollowerWorld(std::size_t count, std::size_t zones, std::uint64_t seed);
 
-  // A version that is chosen; not told to anyone.
+  // A committed version; no follower knows it yet.
   messages::ConfigurationState MakeVersion(const Json& configuration);
   void Learn(std::size_t node, const messages::ConfigurationState& state, bool push);
   void Run(Time span);
-  // Runs until all live ones have the newest version. Returns the time that it took; `limit` where it did not
-  // happen.
+  // Runs until all live followers have the newest version. Returns the time that it took, or `limit` if it
+  // took longer.
   Time RunUntilAllCurrent(Time limit);
-  void Kill(std::size_t node) { dead_.insert(node); }  // at once; the others still think it live
+  void Kill(std::size_t node) { dead_.insert(node); }  // immediately; the others still consider it live
   bool Dead(std::size_t node) const { return dead_.contains(node); }
-  void Restart(std::size_t node);  // without memory
-  // Each way, with a queue; without a call a link takes no time to send.
+  void Restart(std::size_t node);  // with empty state
+  // For each direction, with a queue. By default a transfer takes no time.
   void SetLink(std::size_t node, double bytes_per_microsecond) { links_[node].speed = bytes_per_microsecond; }
 
   std::size_t size() const { return followers_.size(); }
@@ -47,13 +47,13 @@
   std::uint64_t Newest() const { return versions_.size(); }
 
   NetworkFaults faults;
-  Spoil spoil = Spoil::kLose;       // what is done to one message
-  std::size_t spoiled_message = 0;  // its number from 1; 0: none
+  Spoil spoil = Spoil::kLose;       // the fault applied to one message
+  std::size_t spoiled_message = 0;  // the number of that message, from 1; 0: none
   Time now = 1000 * kSecond;
-  std::size_t messages = 0;         // sent
-  std::size_t pushes = 0;           // of them
+  std::size_t messages = 0;         // number sent
+  std::size_t pushes = 0;           // of these messages
   std::size_t bytes = 0;            // of all messages sent
-  std::string went_back, differed;  // first violation, empty without one
+  std::string went_back, differed;  // a violating follower's name; empty if there is none
 
  private:
   struct Delivery {
@@ -62,7 +62,7 @@
   };
 
   struct Link {
-    double speed = 0;  // bytes a microsecond; 0: no bound
+    double speed = 0;  // bytes per microsecond; 0: unlimited
     Time sends_until = 0, receives_until = 0;
   };
 
@@ -79,7 +79,7 @@
   std::vector<Member> members_;
   std::vector<Link> links_;
   std::vector<std::unique_ptr<Follower>> followers_;
-  std::vector<std::uint64_t> revisions_;  // as last seen of each
+  std::vector<std::uint64_t> revisions_;  // last seen, by follower
   std::vector<messages::ConfigurationState> versions_;
   std::multimap<Time, Delivery> deliveries_;
   std::set<std::size_t> dead_;
--- a/tests/system/configuration/judge_test.cpp
+++ b/tests/system/configuration/judge_test.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug::configuration {
 namespace {
 
-// The register, as one operator after the other changes it.
+// The register's payload under successive changes.
 class Register {
  public:
   Judgement Change(const ChangeRequest& request) {
@@ -18,7 +18,7 @@
   std::string payload;
 };
 
-TEST_CASE("The first configuration is taken on top of 0") {
+TEST_CASE("The first configuration is accepted with edition 0 as its base") {
   Register reg;
   CHECK_FALSE(ReadState(reg.payload).has_value());
   CHECK(reg.Change(Put(5, SampleConfiguration(7))).verdict == Verdict::kConflict);
@@ -40,7 +40,7 @@
   CHECK(ReadState(reg.payload)->json() == text);
 }
 
-TEST_CASE("Of two changes on the same version one is taken") {
+TEST_CASE("Of two changes based on the same version only one is accepted") {
   Register reg;
   reg.Change(Put(0, SampleConfiguration(5)));
   Json other = SampleConfiguration(7);
@@ -52,7 +52,7 @@
   CHECK(reg.Stored() == SampleConfiguration(7));
 }
 
-TEST_CASE("A change that was taken is acknowledged again, also much later") {
+TEST_CASE("A repeated change is acknowledged again, even many changes later") {
   Register reg;
   const ChangeRequest first = Put(0, SampleConfiguration(1));
   CHECK(reg.Change(first).verdict == Verdict::kTake);
@@ -70,7 +70,7 @@
   CHECK(ReadState(reg.payload)->revision() == 302);
 }
 
-TEST_CASE("The digest covers method, version built on and body") {
+TEST_CASE("The digest covers the method, the base version and the body") {
   const ChangeRequest request = Put(3, SampleConfiguration(4));
   ChangeRequest method = request, version = request, body = request;
   method.method = ChangeRequest::Method::kPatch;
@@ -81,10 +81,10 @@
   CHECK(Digest(version) != Digest(request));
   CHECK(Digest(body) != Digest(request));
   CHECK(Digest({ChangeRequest::Method::kPut, 0, ""}) ==
-        0xa413b24eeacd6ef7ULL);  // kept on disk: never changes
+        0xa413b24eeacd6ef7ULL);  // stored on disk, so it must never change
 }
 
-TEST_CASE("Digests are bounded, and the oldest goes first") {
+TEST_CASE("The number of digests is bounded, and the oldest is evicted first") {
   Register reg;
   reg.Change(Put(0, SampleConfiguration(1)));
   auto state = *ReadState(reg.payload);
@@ -99,7 +99,7 @@
   CHECK(state.taken_digests(8191) == Digest(next));
 }
 
-TEST_CASE("An invalid change is refused, after a conflict, and leaves all as it was") {
+TEST_CASE("An invalid change is rejected without effect, and a conflict takes precedence") {
   Register reg;
   reg.Change(Put(0, SampleConfiguration(5)));
   Json invalid = SampleConfiguration(7);
@@ -114,7 +114,7 @@
   CHECK(reg.Change({ChangeRequest::Method::kPut, 5, "{\"edition\":"}).verdict == Verdict::kInvalid);
 }
 
-TEST_CASE("An edition that is not above the current one is refused") {
+TEST_CASE("An edition that is not greater than the current one is rejected") {
   Register reg;
   reg.Change(Put(0, SampleConfiguration(5)));
   Json other = SampleConfiguration(5);
@@ -129,13 +129,13 @@
   CHECK(reg.Change(PatchOf(5, {{"edition", 6}})).verdict == Verdict::kTake);
 }
 
-TEST_CASE("A register that can't be read takes nothing") {
+TEST_CASE("A register that can't be parsed accepts no change") {
   const Judgement judgement = Judge("\xff\xff", Put(0, SampleConfiguration(1)));
   CHECK(judgement.verdict == Verdict::kInvalid);
   CHECK_FALSE(ReadState("\xff\xff").has_value());
 }
 
-TEST_CASE("Shape is checked without the register") {
+TEST_CASE("A request is validated without the register") {
   CHECK_FALSE(CheckShape(Put(0, SampleConfiguration(1))).has_value());
   CHECK(CheckShape({ChangeRequest::Method::kPut, 0, "{"}).has_value());
   CHECK_FALSE(
--- a/tests/system/configuration/known_versions_test.cpp
+++ b/tests/system/configuration/known_versions_test.cpp
@@ -53,7 +53,7 @@
     many.Install(VersionOf(revision, Large(static_cast<std::int64_t>(revision), 7)));
   CHECK(many.EarlierRevisions().size() == kMaxEarlierVersions);
 
-  // Each says something else in each of its many items, so the difference is as long as the whole.
+  // The versions have no items in common, so each difference is about as long as the complete text.
   KnownVersions large;
   std::mt19937_64 random(1);
   for (std::uint64_t revision = 1; revision <= 10; ++revision) {
@@ -66,10 +66,10 @@
   }
   CHECK(large.EarlierRevisions().size() >= 1);
   CHECK(large.EarlierRevisions().size() < 9);
-  CHECK(large.DifferenceFrom(large.EarlierRevisions().front()) == nullptr);  // the whole is no longer
+  CHECK(large.DifferenceFrom(large.EarlierRevisions().front()) == nullptr);  // as long as the complete text
 }
 
-TEST_CASE("A version that can't be reached any more is not known") {
+TEST_CASE("A version that was never installed is not known") {
   KnownVersions versions;
   versions.Install(VersionOf(3, Large(3, 7)));
   versions.Install(VersionOf(7, Large(7, 7)));
--- a/tests/system/configuration/parse_test.cpp
+++ b/tests/system/configuration/parse_test.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug::configuration {
 namespace {
 
-// Spoils the sample by a JSON patch operation on the place, and tells the refusal.
+// Replaces one value of the sample, and returns the resulting problem.
 Problem RefusalWith(const std::string& pointer, const Json& value) {
   Json sample = SampleConfiguration(7);
   sample[Json::json_pointer(pointer)] = value;
@@ -27,7 +27,7 @@
   CHECK(problem.Line().find('\n') == std::string::npos);
 }
 
-TEST_CASE("A whole configuration is read into its usual names") {
+TEST_CASE("A complete configuration is parsed into its message") {
   const std::string text = SampleConfiguration(7).dump();
   const auto result = Parse(text);
   REQUIRE(std::holds_alternative<Parsed>(result));
@@ -68,11 +68,11 @@
   CHECK(configuration.services(0).engine().models(0).adapters() == 56);
 }
 
-TEST_CASE("Unknown fields are skipped, whatever they hold, and kept in the text") {
+TEST_CASE("Unknown fields are skipped, whatever their values, and kept in the text") {
   Json sample = SampleConfiguration(7);
   sample["new"] = Json::parse(R"({"a":[1,{"b":null}],"routes":[{"name":3}]})");
   sample["routes"][0]["later"] = Json::parse("[[],[{}],true]");
-  sample["routes"][0]["host"] = 5;      // a name of the code, not of the interface
+  sample["routes"][0]["host"] = 5;      // a name of the .proto file, not of the operator's interface
   sample["routes"][0]["service"] = {};  // likewise
   const std::string text = sample.dump();
   const auto result = Parse(text);
@@ -82,7 +82,7 @@
   CHECK(std::get<Parsed>(result).configuration->routes(0).tries() == 2);
 }
 
-TEST_CASE("null stands for an absent value, and the later of two members counts") {
+TEST_CASE("null counts as an absent value, and the last of two members wins") {
   CHECK(IsTakenWith("/routes/0/apportion", nullptr));
   CHECK(IsTakenWith("/postal_lines/1/fleet", nullptr));
   CHECK(IsTakenWith("/senders", nullptr));
@@ -93,7 +93,7 @@
   CHECK(std::get<Parsed>(result).configuration->routes_size() == 0);
 }
 
-TEST_CASE("What the page does not call invalid is taken") {
+TEST_CASE("Values that the operator's interface doesn't define as invalid are accepted") {
   CHECK(IsTakenWith("/routes/0/carriage", "newer"));
   CHECK(IsTakenWith("/routes/0/lane_prefix", "/"));
   CHECK(IsTakenWith("/routes/0/apportion", Json::array()));
@@ -111,7 +111,7 @@
   CHECK(IsTaken(sample));
 }
 
-TEST_CASE("A text that can't be read whole is refused") {
+TEST_CASE("A text that is not one complete JSON value is rejected") {
   const std::string text = SampleConfiguration(7).dump();
   for (std::size_t length = 0; length < text.size(); ++length) {
     INFO(length);
@@ -128,14 +128,14 @@
   CHECK(std::holds_alternative<Problem>(Parse("{\"x\":" + deep)));
 }
 
-TEST_CASE("What is no object is refused") {
+TEST_CASE("A text that is not an object is rejected") {
   for (const char* text : {"[]", "7", "\"text\"", "null", "true", "1.5", "[{}]"}) {
     INFO(text);
     CheckProblem(RefusalOf(text), "configuration", "the whole text");
   }
 }
 
-TEST_CASE("A wrong type is refused with its place") {
+TEST_CASE("A value of the wrong type is rejected with its place") {
   CheckProblem(RefusalWith("/edition", "7"), "edition", "the top level");
   CheckProblem(RefusalWith("/edition", 7.5), "edition", "the top level");
   CheckProblem(RefusalWith("/edition", 1e30), "edition", "the top level");
@@ -153,7 +153,7 @@
   CheckProblem(RefusalWith("/parcel_limits", 5), "parcel_limits", "the top level");
 }
 
-TEST_CASE("An edition that is missing or not above 0 is refused") {
+TEST_CASE("An edition that is missing or not greater than 0 is rejected") {
   CheckProblem(RefusalWith("/edition", 0), "edition", "the top level");
   CheckProblem(RefusalWith("/edition", -3), "edition", "the top level");
   CheckProblem(RefusalWith("/edition", nullptr), "edition", "the top level");
@@ -162,7 +162,7 @@
   CheckProblem(RefusalOf(sample.dump()), "edition", "the top level");
 }
 
-TEST_CASE("A text without the lists of routes and services is not whole") {
+TEST_CASE("A configuration without the list of routes or services is rejected") {
   for (const std::string list : {"routes", "postal_lines"}) {
     Json sample = SampleConfiguration(7);
     sample.erase(list);
@@ -171,7 +171,7 @@
   CheckProblem(RefusalOf(R"({"edition":9,"upsert":{}})"), "routes", "the top level");
 }
 
-TEST_CASE("A route to an unknown service is refused") {
+TEST_CASE("A route to an unknown service is rejected") {
   CheckProblem(RefusalWith("/routes/0/line", "nowhere"), "line", "routes[0] (plain)");
   CheckProblem(RefusalWith("/routes/0/line", nullptr), "line", "routes[0] (plain)");
   CheckProblem(RefusalWith("/routes/1/apportion/1/line", "nowhere"), "line", "routes[1] (split)");
@@ -181,7 +181,7 @@
   CheckProblem(RefusalOf(unused.dump()), "line", "routes[1] (split)");
 }
 
-TEST_CASE("Two routes with the same host and prefix are refused") {
+TEST_CASE("Two routes with the same host and prefix are rejected") {
   CheckProblem(RefusalWith("/routes/1/lane_prefix", "/plain/"), "lane_prefix", "routes[1] (split)");
   Json sample = SampleConfiguration(7);
   sample["routes"][1]["lane_prefix"] = "/plain/";
@@ -189,7 +189,7 @@
   CheckProblem(RefusalOf(sample.dump()), "lane_prefix", "routes[1] (split)");
 }
 
-TEST_CASE("Weights that add up to 0 or are negative are refused") {
+TEST_CASE("Weights that are negative or have a sum of 0 are rejected") {
   Json sample = SampleConfiguration(7);
   sample["routes"][1]["apportion"][0]["share"] = 0;
   sample["routes"][1]["apportion"][1]["share"] = 0.0;
@@ -199,19 +199,19 @@
   CheckProblem(RefusalWith("/routes/1/apportion/1/share", -10), "share", "routes[1] (split)");
 }
 
-TEST_CASE("A deadline that is 0, negative or missing is refused") {
+TEST_CASE("A deadline that is 0, negative or missing is rejected") {
   CheckProblem(RefusalWith("/routes/0/deadline_ms", 0), "deadline_ms", "routes[0] (plain)");
   CheckProblem(RefusalWith("/routes/0/deadline_ms", -1), "deadline_ms", "routes[0] (plain)");
   CheckProblem(RefusalWith("/routes/0/deadline_ms", nullptr), "deadline_ms", "routes[0] (plain)");
 }
 
-TEST_CASE("Two tenants that share a key are refused, and the key is not shown") {
+TEST_CASE("Two tenants that share a key are rejected, and the key is not shown") {
   const Problem problem = RefusalWith("/senders/1/stamps", Json::array({"four", "two"}));
   CheckProblem(problem, "stamps", "senders[1] (other)");
   CHECK(problem.Line().find("two") == std::string::npos);
 }
 
-TEST_CASE("Names are given, and each once in its list") {
+TEST_CASE("Each item of a list needs a unique name") {
   CheckProblem(RefusalWith("/routes/1/name", "plain"), "name", "routes[1] (plain)");
   CheckProblem(RefusalWith("/postal_lines/1/name", "first"), "name", "postal_lines[1] (first)");
   CheckProblem(RefusalWith("/senders/1/name", "tenant"), "name", "senders[1] (tenant)");
@@ -220,7 +220,7 @@
   CheckProblem(RefusalWith("/senders/1/name", nullptr), "name", "senders[1]");
 }
 
-TEST_CASE("A prefix begins and ends with a slash, and a route has a host") {
+TEST_CASE("A route needs a host, and a prefix that begins and ends with a slash") {
   for (const char* prefix : {"", "plain/", "/plain", "plain"}) {
     INFO(prefix);
     CheckProblem(RefusalWith("/routes/0/lane_prefix", prefix), "lane_prefix", "routes[0] (plain)");
--- a/tests/system/configuration/patch_test.cpp
+++ b/tests/system/configuration/patch_test.cpp
@@ -31,7 +31,7 @@
   CHECK(Patched(SampleConfiguration(7).dump(2), patch) == expected);
 }
 
-TEST_CASE("Unknown fields and lists survive a patch") {
+TEST_CASE("A patch preserves unknown fields and lists") {
   Json before = SampleConfiguration(7);
   before["routes"][0]["later"] = {{"deep", Json::array({1, "] } \\\" {", nullptr})}};
   before["more"] = Json::parse(R"([{"name":"a","x":1},{"name":"b","x":2}])");
@@ -62,7 +62,7 @@
   CHECK(after == Json::parse(R"({"edition":8,"routes":[{"name":"café","x":2}]})"));
 }
 
-TEST_CASE("The last of several items with one name counts, and what is removed and given is there") {
+TEST_CASE("The last of several upserts of a name wins, and an upsert overrides a removal") {
   const std::string before = R"({"edition":7,"routes":[{"name":"a","x":0},{"name":"b"}]})";
   const Json patch =
       Json::parse(R"({"edition":8,"upsert":{"routes":[{"name":"a","x":1},{"name":"a","x":2}]},)"
@@ -70,14 +70,14 @@
   CHECK(Patched(before, patch) == Json::parse(R"({"edition":8,"routes":[{"name":"a","x":2}]})"));
 }
 
-TEST_CASE("A patch of what is no list is refused") {
+TEST_CASE("A patch of a member that is not a list is rejected") {
   const auto read = ReadPatch(R"({"edition":8,"upsert":{"parcel_limits":[{"name":"a"}]}})");
   const auto result = ApplyPatch(SampleConfiguration(7).dump(), std::get<Patch>(read));
   REQUIRE(std::holds_alternative<Problem>(result));
   CHECK(std::get<Problem>(result).key == "parcel_limits");
 }
 
-TEST_CASE("A patch is checked as a whole configuration is") {
+TEST_CASE("The result of a patch is validated like a complete configuration") {
   const std::string payload = Judge("", Put(0, SampleConfiguration(7))).new_payload;
   const auto refused = [&](const char* body) {
     const Judgement judgement = Judge(payload, {ChangeRequest::Method::kPatch, 7, body});
@@ -89,12 +89,12 @@
   CHECK(refused(R"({"edition":8,"upsert":{"routes":)") == "JSON");
 }
 
-TEST_CASE("A patch on nothing is refused") {
+TEST_CASE("A patch without a configuration to change is rejected") {
   CHECK(Judge("", PatchOf(0, {{"edition", 1}})).verdict == Verdict::kInvalid);
   CHECK(Judge("", PatchOf(4, {{"edition", 5}})).verdict == Verdict::kConflict);
 }
 
-TEST_CASE("The outline finds what stands in a text") {
+TEST_CASE("The outline finds the members and items of a text") {
   const auto members = ObjectMembers(R"( { "a" : [1, 2] , "b":{"c":"}"},"a":"]", "d":null } )");
   REQUIRE(members.size() == 3);
   CHECK(members[0].value == "\"]\"");
--- a/tests/system/configuration/sample.h
+++ b/tests/system/configuration/sample.h
@@ -1,4 +1,4 @@
-// A valid configuration in the operator's words, for tests to spoil in one place.
+// A valid configuration in the operator's JSON format, which tests make invalid in one place.
 #pragma once
 
 #include <cstdint>
@@ -44,7 +44,7 @@
   return {ChangeRequest::Method::kPatch, if_match, body.dump()};
 }
 
-// The refusal; fails the test where the text is taken.
+// The problem found in `text`. If it is accepted, a Problem that matches no expectation.
 inline Problem RefusalOf(const std::string& text) {
   auto parsed = Parse(text);
   if (auto* problem = std::get_if<Problem>(&parsed)) return *problem;
