--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -47,7 +47,7 @@
       .Result();
 }
 
-std::optional<Problem> CheckShape(const ChangeRequest& request) {
+std::optional<Problem> ValidateRequest(const ChangeRequest& request) {
   if (request.method == ChangeRequest::Method::kPut) {
     auto parsed = Parse(request.body);
     if (auto* problem = std::get_if<Problem>(&parsed)) return std::move(*problem);
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -42,18 +42,18 @@
 std::uint64_t Digest(const ChangeRequest& request);
 
 // Validates what can be checked without the register: a complete configuration, or the structure of a patch.
-std::optional<Problem> CheckShape(const ChangeRequest& request);
+std::optional<Problem> ValidateRequest(const ChangeRequest& request);
 
 // The result of applying a change to the register's payload (a serialized ConfigurationState; empty at
 // first).
-enum class Verdict { kTake, kTakenBefore, kConflict, kInvalid };
-struct Judgement {
+enum class Verdict { kTake, kAlreadyAccepted, kConflict, kInvalid };
+struct ChangeResult {
   Verdict verdict = Verdict::kInvalid;
   std::string new_payload;         // with kTake
   std::optional<Problem> problem;  // with kInvalid
   std::int64_t current_edition = 0;
 };
-Judgement Judge(const std::string& payload, const ChangeRequest& request);
+ChangeResult Judge(const std::string& payload, const ChangeRequest& request);
 
 // The configuration in a payload; none if the payload is empty or unreadable, or holds no version yet.
 std::optional<messages::ConfigurationState> ReadState(const std::string& payload);
--- a/src/configuration/judge.cpp
+++ b/src/configuration/judge.cpp
@@ -27,7 +27,7 @@
   return Parse(std::get<std::string>(patched));
 }
 
-Judgement Refused(Problem problem, std::int64_t current_edition) {
+ChangeResult Refused(Problem problem, std::int64_t current_edition) {
   return {Verdict::kInvalid, "", std::move(problem), current_edition};
 }
 
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-Judgement Judge(const std::string& payload, const ChangeRequest& request) {
+ChangeResult Judge(const std::string& payload, const ChangeRequest& request) {
   ConfigurationState state;
   if (!state.ParseFromString(payload)) {
     return Refused({"configuration", "the register", "its record can't be parsed: restore the store"}, 0);
@@ -49,7 +49,7 @@
   const std::uint64_t digest = Digest(request);
   const auto& taken = state.taken_digests();
   if (std::find(taken.rbegin(), taken.rend(), digest) != taken.rend()) {
-    return {Verdict::kTakenBefore, "", std::nullopt, state.edition()};
+    return {Verdict::kAlreadyAccepted, "", std::nullopt, state.edition()};
   }
   if (request.if_match != state.edition()) return {Verdict::kConflict, "", std::nullopt, state.edition()};
   auto requested = Requested(state, request);
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -14,7 +14,7 @@
 // Callers move on after a second of silence, so an operation ends just before it.
 constexpr Time kGiveUpAfter = 900 * kMillisecond;
 
-enum Reason { kTakenBefore = 1, kConflict, kInvalid, kRead };
+enum Reason { kAlreadyAccepted = 1, kConflict, kInvalid, kRead };
 
 ControlResponse ErrorResponse(int status, const std::string& line) {
   ControlResponse response;
@@ -43,7 +43,7 @@
 // One call on its way through the register.
 struct PendingChange {
   configuration::ChangeRequest request;
-  configuration::Judgement judgement;  // of the last value it was judged against
+  configuration::ChangeResult judgement;  // of the last value it was judged against
 };
 
 consensus::Change Apply(PendingChange* pending, const std::string& payload) {
@@ -51,8 +51,8 @@
   switch (pending->judgement.verdict) {
     case configuration::Verdict::kTake:
       return consensus::NewPayload{pending->judgement.new_payload};
-    case configuration::Verdict::kTakenBefore:
-      return consensus::KeepPayload{kTakenBefore};
+    case configuration::Verdict::kAlreadyAccepted:
+      return consensus::KeepPayload{kAlreadyAccepted};
     case configuration::Verdict::kConflict:
       return consensus::KeepPayload{kConflict};
     default:
@@ -62,7 +62,7 @@
 
 ControlResponse KeptResponse(const PendingChange& pending, int reason) {
   const auto& judgement = pending.judgement;
-  if (reason == kTakenBefore) return Acknowledgement(judgement.current_edition);
+  if (reason == kAlreadyAccepted) return Acknowledgement(judgement.current_edition);
   if (reason == kConflict)
     return ErrorResponse(412, "If-Match: the edition in place is " +
                                   std::to_string(judgement.current_edition) +
@@ -83,7 +83,7 @@
         ErrorResponse(400, "If-Match: give the edition that the change builds on, 0 for the first"));
   auto pending = std::make_shared<PendingChange>();
   pending->request = {method, *if_match, request.body};
-  if (const auto problem = configuration::CheckShape(pending->request))
+  if (const auto problem = configuration::ValidateRequest(pending->request))
     return respond(ErrorResponse(400, problem->Line()));
   registers_->Submit(
       std::string(configuration::kRegisterName),
@@ -95,7 +95,7 @@
           return respond(ErrorResponse(503, "no majority of replicas answers; send the same call again"));
         const auto state = configuration::ReadState(completion.payload);
         if (state) learned_(*state, chosen);
-        const bool acknowledges = chosen || completion.reason == kTakenBefore;
+        const bool acknowledges = chosen || completion.reason == kAlreadyAccepted;
         if (acknowledges && !is_safe_in_(completion.group))
           return respond(ErrorResponse(503, "taken, but not yet on enough disks; send the same call again"));
         if (!chosen) return respond(KeptResponse(*pending, completion.reason));
--- a/tests/system/configuration/judge_test.cpp
+++ b/tests/system/configuration/judge_test.cpp
@@ -8,8 +8,8 @@
 // The register's payload under successive changes.
 class Register {
  public:
-  Judgement Change(const ChangeRequest& request) {
-    Judgement judgement = Judge(payload, request);
+  ChangeResult Change(const ChangeRequest& request) {
+    ChangeResult judgement = Judge(payload, request);
     if (judgement.verdict == Verdict::kTake) payload = judgement.new_payload;
     return judgement;
   }
@@ -22,7 +22,7 @@
   Register reg;
   CHECK_FALSE(ReadState(reg.payload).has_value());
   CHECK(reg.Change(Put(5, SampleConfiguration(7))).verdict == Verdict::kConflict);
-  const Judgement judgement = reg.Change(Put(0, SampleConfiguration(7)));
+  const ChangeResult judgement = reg.Change(Put(0, SampleConfiguration(7)));
   CHECK(judgement.verdict == Verdict::kTake);
   CHECK(judgement.current_edition == 7);
   const auto state = ReadState(reg.payload);
@@ -46,7 +46,7 @@
   Json other = SampleConfiguration(7);
   other["routes"][0]["tries"] = 3;
   CHECK(reg.Change(Put(5, SampleConfiguration(7))).verdict == Verdict::kTake);
-  const Judgement loser = reg.Change(Put(5, other));
+  const ChangeResult loser = reg.Change(Put(5, other));
   CHECK(loser.verdict == Verdict::kConflict);
   CHECK(loser.current_edition == 7);
   CHECK(reg.Stored() == SampleConfiguration(7));
@@ -56,17 +56,17 @@
   Register reg;
   const ChangeRequest first = Put(0, SampleConfiguration(1));
   CHECK(reg.Change(first).verdict == Verdict::kTake);
-  CHECK(reg.Change(first).verdict == Verdict::kTakenBefore);
+  CHECK(reg.Change(first).verdict == Verdict::kAlreadyAccepted);
   const ChangeRequest patch = PatchOf(1, {{"edition", 2}, {"remove", {{"routes", {"plain"}}}}});
   CHECK(reg.Change(patch).verdict == Verdict::kTake);
-  CHECK(reg.Change(patch).verdict == Verdict::kTakenBefore);
+  CHECK(reg.Change(patch).verdict == Verdict::kAlreadyAccepted);
   for (int edition = 2; edition < 302; ++edition) {
     REQUIRE(reg.Change(Put(edition, SampleConfiguration(edition + 1))).verdict == Verdict::kTake);
   }
-  const Judgement late = reg.Change(first);
-  CHECK(late.verdict == Verdict::kTakenBefore);
+  const ChangeResult late = reg.Change(first);
+  CHECK(late.verdict == Verdict::kAlreadyAccepted);
   CHECK(late.current_edition == 302);
-  CHECK(reg.Change(patch).verdict == Verdict::kTakenBefore);
+  CHECK(reg.Change(patch).verdict == Verdict::kAlreadyAccepted);
   CHECK(ReadState(reg.payload)->revision() == 302);
 }
 
@@ -104,7 +104,7 @@
   reg.Change(Put(0, SampleConfiguration(5)));
   Json invalid = SampleConfiguration(7);
   invalid["routes"][0]["deadline_ms"] = 0;
-  const Judgement judgement = reg.Change(Put(5, invalid));
+  const ChangeResult judgement = reg.Change(Put(5, invalid));
   CHECK(judgement.verdict == Verdict::kInvalid);
   REQUIRE(judgement.problem.has_value());
   CHECK(judgement.problem->key == "deadline_ms");
@@ -121,7 +121,7 @@
   other["routes"][0]["tries"] = 9;
   for (const int edition : {5, 4}) {
     other["edition"] = edition;
-    const Judgement judgement = reg.Change(Put(5, other));
+    const ChangeResult judgement = reg.Change(Put(5, other));
     CHECK(judgement.verdict == Verdict::kInvalid);
     CHECK(judgement.problem->key == "edition");
   }
@@ -130,16 +130,16 @@
 }
 
 TEST_CASE("A register that can't be parsed accepts no change") {
-  const Judgement judgement = Judge("\xff\xff", Put(0, SampleConfiguration(1)));
+  const ChangeResult judgement = Judge("\xff\xff", Put(0, SampleConfiguration(1)));
   CHECK(judgement.verdict == Verdict::kInvalid);
   CHECK_FALSE(ReadState("\xff\xff").has_value());
 }
 
 TEST_CASE("A request is validated without the register") {
-  CHECK_FALSE(CheckShape(Put(0, SampleConfiguration(1))).has_value());
-  CHECK(CheckShape({ChangeRequest::Method::kPut, 0, "{"}).has_value());
+  CHECK_FALSE(ValidateRequest(Put(0, SampleConfiguration(1))).has_value());
+  CHECK(ValidateRequest({ChangeRequest::Method::kPut, 0, "{"}).has_value());
   CHECK_FALSE(
-      CheckShape(PatchOf(0, {{"edition", 1}, {"upsert", {{"routes", {{{"name", "r"}}}}}}})).has_value());
+      ValidateRequest(PatchOf(0, {{"edition", 1}, {"upsert", {{"routes", {{{"name", "r"}}}}}}})).has_value());
   for (const char* body :
        {"", "{", "[]", "7", "{}", R"({"upsert":{}})", R"({"edition":3,"upsert":[]})",
         R"({"edition":3,"upsert":{"routes":{}}})", R"({"edition":3,"upsert":{"routes":[3]}})",
@@ -148,7 +148,7 @@
         R"({"edition":3,"remove":{"routes":"x"}})", R"({"edition":3,"remove":{"routes":[{}]}})",
         R"({"edition":3}x)", R"({"edition":"3"})", R"({"edition":3.5})", R"({"edition":0})"}) {
     INFO(body);
-    CHECK(CheckShape({ChangeRequest::Method::kPatch, 3, body}).has_value());
+    CHECK(ValidateRequest({ChangeRequest::Method::kPatch, 3, body}).has_value());
   }
 }
 
