--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -17,7 +17,7 @@
 // Lists that a complete configuration must have, so that a patch sent by PUT is rejected.
 constexpr int kRequiredLists[] = {Configuration::kRoutesFieldNumber, Configuration::kServicesFieldNumber};
 
-std::optional<Problem> CheckPresence(const std::vector<int>& present) {
+std::optional<Problem> CheckRequiredLists(const std::vector<int>& present) {
   for (const int number : kRequiredLists) {
     if (std::find(present.begin(), present.end(), number) != present.end()) continue;
     const auto* field = Configuration::descriptor()->FindFieldByNumber(number);
@@ -34,7 +34,7 @@
   auto configuration = std::make_shared<Configuration>();
   ReadResult read = ReadJson(json, configuration.get());
   if (read.problem) return *std::move(read.problem);
-  if (auto problem = CheckPresence(read.present)) return *std::move(problem);
+  if (auto problem = CheckRequiredLists(read.present)) return *std::move(problem);
   if (auto problem = CheckRules(*configuration)) return *std::move(problem);
   return Parsed{std::move(configuration), std::string(json)};
 }
--- a/src/configuration/follower.cpp
+++ b/src/configuration/follower.cpp
@@ -15,9 +15,9 @@
 using messages::DistributionMessage;
 
 // Minimum time between two pulls: several peers may announce the same version at once.
-constexpr Time kPullPause = 100 * kMillisecond;
-constexpr Time kTransferOf1000Bytes = 800;  // on the slowest supported links, 10 Mbit/s
-constexpr Time kShareOfWholeAnswers = 4;    // complete answers to polls use at most 1/4 of a slow link
+constexpr Time kMinPullInterval = 100 * kMillisecond;
+constexpr Time kSlowLinkTimePer1000Bytes = 800;  // on the slowest supported links, 10 Mbit/s
+constexpr Time kWholeReplySpacingFactor = 4;     // complete answers to polls use at most 1/4 of a slow link
 
 }  // namespace
 
@@ -79,7 +79,7 @@
 
  private:
   // The recipients that a push asks this dispatcher to relay it to.
-  struct RelayDuty {
+  struct RelayRequest {
     std::uint64_t revision = 0;
     bool in_zone = false;
     std::vector<std::string> to;
@@ -95,25 +95,26 @@
     if (poll.revision() > Revision()) return Pull(now, from, PollMessage(Revision()), output);
     if (poll.revision() == Revision()) return;
     if (!poll.lacks_base() && schedule_.InFlight(now, from)) return;
-    const VersionDelta* difference = versions_.DifferenceFrom(BaseFor(poll));
-    if (difference == nullptr && !MayAnswerWhole(now)) return;
+    const VersionDelta* difference = versions_.DifferenceFrom(CommonBase(poll));
+    if (difference == nullptr && !MaySendWholeReply(now)) return;
     SendPush(from, PushMessage(*versions_.current(), difference), output);
   }
 
   // Limits the rate of complete configurations sent in answer to polls, to leave most of a slow link to
   // pushes. A poll without an answer is repeated, to another dispatcher.
-  bool MayAnswerWhole(Time now) {
-    if (now < next_whole_answer_) return false;
-    next_whole_answer_ = now + TransferOf(versions_.current()->json.size()) * kShareOfWholeAnswers;
+  bool MaySendWholeReply(Time now) {
+    if (now < next_whole_reply_) return false;
+    next_whole_reply_ =
+        now + SlowLinkTransferTime(versions_.current()->json.size()) * kWholeReplySpacingFactor;
     return true;
   }
 
   // The newest version that both the sender of the poll and this dispatcher keep; 0 if there is none.
-  std::uint64_t BaseFor(const messages::ConfigurationPoll& poll) const {
-    if (versions_.Holds(poll.revision())) return poll.revision();
+  std::uint64_t CommonBase(const messages::ConfigurationPoll& poll) const {
+    if (versions_.HasEarlier(poll.revision())) return poll.revision();
     std::uint64_t newest = 0;
     for (const std::uint64_t revision : poll.earlier()) {
-      if (revision > newest && versions_.Holds(revision)) newest = revision;
+      if (revision > newest && versions_.HasEarlier(revision)) newest = revision;
     }
     return newest;
   }
@@ -127,9 +128,9 @@
       if (result.fault == PushFault::kDamaged) ++statistics_.damaged;
       if (result.fault == PushFault::kNoBase) {
         ++statistics_.no_base;
-        Pull(now, from, BaseIsLacking(Revision(), versions_.EarlierRevisions()), output);
+        Pull(now, from, MissingBaseMessage(Revision(), versions_.EarlierRevisions()), output);
       }
-      if (result.fault == PushFault::kNoBase) NoteRelay(push);
+      if (result.fault == PushFault::kNoBase) AddPendingRelay(push);
       if (result.fault != PushFault::kNone) return;
       const Arrival arrival = push.has_delta() ? Arrival::kDifference : Arrival::kWhole;
       const std::uint64_t base = push.has_delta() ? push.base_revision() : Revision();
@@ -139,25 +140,25 @@
     }
     output->sends.push_back({from, AckMessage(Revision())});
     if (push.revision() != Revision() || versions_.current() == nullptr) return;
-    if (relay_.revision == Revision()) Relay(now, from, std::exchange(relay_, {}), output);
-    Relay(now, from, DutyOf(push), output);
+    if (pending_relay_.revision == Revision()) Relay(now, from, std::exchange(pending_relay_, {}), output);
+    Relay(now, from, RelayRequestOf(push), output);
   }
 
-  static RelayDuty DutyOf(const messages::ConfigurationPush& push) {
+  static RelayRequest RelayRequestOf(const messages::ConfigurationPush& push) {
     return {push.revision(), push.relay(), {push.relay_to().begin(), push.relay_to().end()}};
   }
 
   // Remembers to relay the push once its version is installed.
-  void NoteRelay(const messages::ConfigurationPush& push) {
+  void AddPendingRelay(const messages::ConfigurationPush& push) {
     if (!push.relay() && push.relay_to().empty()) return;
-    if (push.revision() != relay_.revision) relay_ = {push.revision(), false, {}};
-    relay_.in_zone |= push.relay();
-    relay_.to.insert(relay_.to.end(), push.relay_to().begin(), push.relay_to().end());
+    if (push.revision() != pending_relay_.revision) pending_relay_ = {push.revision(), false, {}};
+    pending_relay_.in_zone |= push.relay();
+    pending_relay_.to.insert(pending_relay_.to.end(), push.relay_to().begin(), push.relay_to().end());
   }
 
-  void Relay(Time now, const std::string& from, const RelayDuty& duty, FollowerOutput* output) {
-    schedule_.AddAll(now, duty.to, TransferTime());
-    if (duty.in_zone) RelayInZone(now, from, output);
+  void Relay(Time now, const std::string& from, const RelayRequest& request, FollowerOutput* output) {
+    schedule_.AddAll(now, request.to, PushTransferTime());
+    if (request.in_zone) RelayInZone(now, from, output);
     SendDue(now, output);
   }
 
@@ -189,24 +190,26 @@
     if (std::exchange(relayed_, Revision()) != Revision()) {
       std::vector<std::string> addresses = peers_.AddressesIn(settings_.zone);
       std::erase(addresses, except);
-      schedule_.AddAll(now, addresses, TransferTime());
+      schedule_.AddAll(now, addresses, PushTransferTime());
     }
     SendDue(now, output);
   }
 
   // The time that one push takes on a slow link.
-  Time TransferTime() {
+  Time PushTransferTime() {
     const VersionDelta* difference = versions_.DifferenceFrom(push_base_);
     const std::size_t bytes =
         difference != nullptr ? difference->delta.ByteSizeLong() : versions_.current()->json.size();
-    return TransferOf(bytes);
+    return SlowLinkTransferTime(bytes);
   }
 
-  static Time TransferOf(std::size_t bytes) { return static_cast<Time>(bytes) * kTransferOf1000Bytes / 1000; }
+  static Time SlowLinkTransferTime(std::size_t bytes) {
+    return static_cast<Time>(bytes) * kSlowLinkTimePer1000Bytes / 1000;
+  }
 
   void SendDue(Time now, FollowerOutput* output) {
     if (!versions_.current()) return;
-    for (const auto& due : schedule_.TakeDue(now, peers_, TransferTime())) {
+    for (const auto& due : schedule_.TakeDue(now, peers_, PushTransferTime())) {
       DistributionMessage message = PushMessage(*versions_.current(), versions_.DifferenceFrom(push_base_));
       message.mutable_push()->set_relay(due.relay);
       message.mutable_push()->mutable_relay_to()->Add(due.relay_to.begin(), due.relay_to.end());
@@ -215,7 +218,7 @@
   }
 
   void Pull(Time now, const std::string& from, DistributionMessage poll, FollowerOutput* output) {
-    if (last_pull_ && now < *last_pull_ + kPullPause) return;
+    if (last_pull_ && now < *last_pull_ + kMinPullInterval) return;
     last_pull_ = now;
     output->sends.push_back({from, std::move(poll)});
   }
@@ -227,9 +230,9 @@
   KnownVersions versions_;
   std::uint64_t push_base_ = 0;
   std::uint64_t published_ = 0, relayed_ = 0;  // newest revisions sent by this dispatcher
-  RelayDuty relay_;
+  RelayRequest pending_relay_;
   std::optional<Time> next_poll_, last_pull_;
-  Time next_whole_answer_ = 0;
+  Time next_whole_reply_ = 0;
 };
 
 Follower::Follower(FollowerSettings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
--- a/src/configuration/json_outline.cpp
+++ b/src/configuration/json_outline.cpp
@@ -8,7 +8,7 @@
 namespace lichenlug::configuration {
 namespace {
 
-boost::json::string_view ForBoost(std::string_view text) { return {text.data(), text.size()}; }
+boost::json::string_view ToBoostView(std::string_view text) { return {text.data(), text.size()}; }
 
 // Iterates over the members or items of one container. Never reads past the end of the text, even if it is
 // invalid.
@@ -96,7 +96,7 @@
 
 }  // namespace
 
-JsonKind KindOf(std::string_view value) {
+JsonKind JsonKindOf(std::string_view value) {
   value.remove_prefix(std::min(value.find_first_not_of(" \n\r\t"), value.size()));
   if (value.empty()) return JsonKind::kOther;
   switch (value.front()) {
@@ -116,29 +116,29 @@
 std::string StringContent(std::string_view string) {
   if (string.find('\\') == std::string_view::npos) return std::string(string.substr(1, string.size() - 2));
   boost::json::error_code error;
-  const boost::json::value value = boost::json::parse(ForBoost(string), error);
+  const boost::json::value value = boost::json::parse(ToBoostView(string), error);
   return error || !value.is_string() ? std::string()
                                      : std::string(value.get_string().c_str(), value.get_string().size());
 }
 
 std::string QuotedString(std::string_view content) {
-  return boost::json::serialize(boost::json::string(ForBoost(content)));
+  return boost::json::serialize(boost::json::string(ToBoostView(content)));
 }
 
 bool IsValidJson(std::string_view text) {
   boost::json::error_code error;
   boost::json::parse_options options;
   options.max_depth = kMaxJsonDepth;
-  boost::json::parse(ForBoost(text), error, {}, options);
+  boost::json::parse(ToBoostView(text), error, {}, options);
   return !error;
 }
 
 std::vector<JsonMember> ObjectMembers(std::string_view object) {
   std::vector<JsonMember> members;
-  std::unordered_map<std::string, std::size_t> places;
+  std::unordered_map<std::string, std::size_t> index_by_name;
   VisitMembers(object, [&](std::string_view raw_name, std::string_view value) {
     std::string name = StringContent(raw_name);
-    const auto [entry, added] = places.emplace(name, members.size());
+    const auto [entry, added] = index_by_name.emplace(name, members.size());
     if (added) {
       members.push_back({std::move(name), raw_name, value});
     } else {
--- a/src/configuration/json_outline.h
+++ b/src/configuration/json_outline.h
@@ -17,7 +17,7 @@
 };
 
 enum class JsonKind { kObject, kList, kString, kNull, kOther };
-JsonKind KindOf(std::string_view value);
+JsonKind JsonKindOf(std::string_view value);
 
 // In the order of the text; the last value wins if a name is repeated. Empty if `object` is not an object.
 std::vector<JsonMember> ObjectMembers(std::string_view object);
--- a/src/configuration/json_reader.cpp
+++ b/src/configuration/json_reader.cpp
@@ -36,47 +36,48 @@
 
   bool on_document_begin(Error&) { return true; }
   bool on_document_end(Error&) { return true; }
-  bool on_object_begin(Error& error) { return Go(builder.BeginObject(), error); }
+  bool on_object_begin(Error& error) { return ContinueIf(builder.BeginObject(), error); }
   bool on_object_end(std::size_t, Error&) { return builder.EndObject(); }
-  bool on_array_begin(Error& error) { return Go(builder.BeginList(), error); }
+  bool on_array_begin(Error& error) { return ContinueIf(builder.BeginList(), error); }
   bool on_array_end(std::size_t, Error&) { return builder.EndList(); }
-  bool on_key_part(Text part, std::size_t, Error&) { return Keep(part); }
+  bool on_key_part(Text part, std::size_t, Error&) { return AppendText(part); }
   bool on_key(Text part, std::size_t, Error&) {
-    Keep(part);
-    builder.Key(text_);
-    text_.clear();
+    AppendText(part);
+    builder.Key(partial_text_);
+    partial_text_.clear();
     return true;
   }
-  bool on_string_part(Text part, std::size_t, Error&) { return Keep(part); }
+  bool on_string_part(Text part, std::size_t, Error&) { return AppendText(part); }
   bool on_string(Text part, std::size_t, Error& error) {
-    Keep(part);
-    return Go(builder.String(std::exchange(text_, {})), error);
+    AppendText(part);
+    return ContinueIf(builder.String(std::exchange(partial_text_, {})), error);
   }
   bool on_number_part(Text, Error&) { return true; }
-  bool on_int64(std::int64_t value, Text, Error& error) { return Go(builder.Whole(value), error); }
+  bool on_int64(std::int64_t value, Text, Error& error) { return ContinueIf(builder.Integer(value), error); }
   bool on_uint64(std::uint64_t value, Text, Error& error) {  // only for values that don't fit into 63 bits
-    return Go(builder.Fraction(static_cast<double>(value)), error);
+    return ContinueIf(builder.Double(static_cast<double>(value)), error);
   }
   bool on_double(double value, Text, Error& error) {
     const bool whole = std::trunc(value) == value && std::abs(value) < kInt64Limit;
-    return Go(whole ? builder.Whole(static_cast<std::int64_t>(value)) : builder.Fraction(value), error);
+    return ContinueIf(whole ? builder.Integer(static_cast<std::int64_t>(value)) : builder.Double(value),
+                      error);
   }
-  bool on_bool(bool value, Error& error) { return Go(builder.Bool(value), error); }
-  bool on_null(Error& error) { return Go(builder.Null(), error); }
+  bool on_bool(bool value, Error& error) { return ContinueIf(builder.Bool(value), error); }
+  bool on_null(Error& error) { return ContinueIf(builder.Null(), error); }
   bool on_comment_part(Text, Error&) { return true; }
   bool on_comment(Text, Error&) { return true; }
 
  private:
-  static bool Go(bool fits, Error& error) {
+  static bool ContinueIf(bool fits, Error& error) {
     if (!fits) error = boost::json::error::exception;
     return fits;
   }
-  bool Keep(Text part) {
-    text_.append(part.data(), part.size());
+  bool AppendText(Text part) {
+    partial_text_.append(part.data(), part.size());
     return true;
   }
 
-  std::string text_;  // the parts so far of the current key or string
+  std::string partial_text_;  // the parts so far of the current key or string
 };
 
 }  // namespace
--- a/src/configuration/judge.cpp
+++ b/src/configuration/judge.cpp
@@ -12,10 +12,11 @@
 using messages::ConfigurationState;
 
 // Digests of accepted changes that are stored. With hundreds of changes a day, 64 KiB cover many days.
-constexpr int kDigestsKept = 8192;
+constexpr int kMaxStoredDigests = 8192;
 
 // The complete configuration that results from the request.
-std::variant<Parsed, Problem> Requested(const ConfigurationState& state, const ChangeRequest& request) {
+std::variant<Parsed, Problem> BuildConfiguration(const ConfigurationState& state,
+                                                 const ChangeRequest& request) {
   if (request.method == ChangeRequest::Method::kPut) return Parse(request.body);
   if (state.revision() == 0) {
     return Problem{"patch", "the first configuration", "there is nothing to change yet: PUT a complete one"};
@@ -27,14 +28,14 @@
   return Parse(std::get<std::string>(patched));
 }
 
-ChangeResult Refused(Problem problem, std::int64_t current_edition) {
+ChangeResult InvalidChange(Problem problem, std::int64_t current_edition) {
   return {Verdict::kInvalid, "", std::move(problem), current_edition};
 }
 
-void KeepDigest(std::uint64_t digest, ConfigurationState* state) {
+void StoreDigest(std::uint64_t digest, ConfigurationState* state) {
   auto* digests = state->mutable_taken_digests();
-  if (digests->size() >= kDigestsKept) {
-    digests->erase(digests->begin(), digests->begin() + (digests->size() - kDigestsKept + 1));
+  if (digests->size() >= kMaxStoredDigests) {
+    digests->erase(digests->begin(), digests->begin() + (digests->size() - kMaxStoredDigests + 1));
   }
   digests->Add(digest);
 }
@@ -44,7 +45,8 @@
 ChangeResult Judge(const std::string& payload, const ChangeRequest& request) {
   ConfigurationState state;
   if (!state.ParseFromString(payload)) {
-    return Refused({"configuration", "the register", "its record can't be parsed: restore the store"}, 0);
+    return InvalidChange({"configuration", "the register", "its record can't be parsed: restore the store"},
+                         0);
   }
   const std::uint64_t digest = Digest(request);
   const auto& taken = state.taken_digests();
@@ -52,19 +54,20 @@
     return {Verdict::kAlreadyAccepted, "", std::nullopt, state.edition()};
   }
   if (request.if_match != state.edition()) return {Verdict::kConflict, "", std::nullopt, state.edition()};
-  auto requested = Requested(state, request);
-  if (auto* problem = std::get_if<Problem>(&requested)) return Refused(std::move(*problem), state.edition());
+  auto requested = BuildConfiguration(state, request);
+  if (auto* problem = std::get_if<Problem>(&requested))
+    return InvalidChange(std::move(*problem), state.edition());
   auto& parsed = std::get<Parsed>(requested);
   const std::int64_t edition = parsed.configuration->edition();
   if (edition <= state.edition()) {
-    return Refused(
+    return InvalidChange(
         {"edition", std::string(kTopLevel), "give a number greater than " + std::to_string(state.edition())},
         state.edition());
   }
   state.set_edition(edition);
   state.set_revision(state.revision() + 1);
   state.set_json(std::move(parsed.json));
-  KeepDigest(digest, &state);
+  StoreDigest(digest, &state);
   return {Verdict::kTake, state.SerializeAsString(), std::nullopt, edition};
 }
 
--- a/src/configuration/known_versions.cpp
+++ b/src/configuration/known_versions.cpp
@@ -9,15 +9,15 @@
 
 void KnownVersions::Install(Follower::Version version) {
   differences_.clear();
-  if (current_) KeepEarlier(*current_, version);
+  if (current_) StoreEarlier(*current_, version);
   current_ = std::move(version);
 }
 
-void KnownVersions::KeepEarlier(const Follower::Version& earlier, const Follower::Version& next) {
-  Earlier kept{earlier.revision, lichenlug::delta::MakeDelta(next.json, earlier.json), 0};
-  kept.bytes = kept.from_next.ByteSizeLong();
-  earlier_bytes_ += kept.bytes;
-  earlier_.push_front(std::move(kept));
+void KnownVersions::StoreEarlier(const Follower::Version& earlier, const Follower::Version& next) {
+  EarlierVersion entry{earlier.revision, lichenlug::delta::MakeDelta(next.json, earlier.json), 0};
+  entry.bytes = entry.from_next.ByteSizeLong();
+  earlier_bytes_ += entry.bytes;
+  earlier_.push_front(std::move(entry));
   while (earlier_.size() > kMaxEarlierVersions || earlier_bytes_ > kMaxEarlierBytes) {
     earlier_bytes_ -= earlier_.back().bytes;
     earlier_.pop_back();
@@ -26,21 +26,21 @@
 
 std::vector<std::uint64_t> KnownVersions::EarlierRevisions() const {
   std::vector<std::uint64_t> revisions;
-  for (const Earlier& earlier : earlier_) revisions.push_back(earlier.revision);
+  for (const EarlierVersion& earlier : earlier_) revisions.push_back(earlier.revision);
   return revisions;
 }
 
-bool KnownVersions::Holds(std::uint64_t revision) const {
+bool KnownVersions::HasEarlier(std::uint64_t revision) const {
   return std::any_of(earlier_.begin(), earlier_.end(),
-                     [&](const Earlier& earlier) { return earlier.revision == revision; });
+                     [&](const EarlierVersion& earlier) { return earlier.revision == revision; });
 }
 
 std::optional<std::string> KnownVersions::TextOf(std::uint64_t revision) const {
   if (!current_) return std::nullopt;
   if (revision == current_->revision) return current_->json;
-  if (!Holds(revision)) return std::nullopt;
+  if (!HasEarlier(revision)) return std::nullopt;
   std::string text = current_->json;
-  for (const Earlier& earlier : earlier_) {
+  for (const EarlierVersion& earlier : earlier_) {
     auto before = lichenlug::delta::ApplyDelta(text, earlier.from_next, kMaxJsonBytes);
     if (!before) return std::nullopt;
     text = std::move(*before);
@@ -50,10 +50,10 @@
 }
 
 const VersionDelta* KnownVersions::DifferenceFrom(std::uint64_t revision) {
-  if (!current_ || !Holds(revision)) return nullptr;
+  if (!current_ || !HasEarlier(revision)) return nullptr;
   const auto [found, is_new] = differences_.try_emplace(revision);
   if (is_new) {
-    if (const auto base = TextOf(revision)) found->second = WorthwhileDelta(revision, *base, *current_);
+    if (const auto base = TextOf(revision)) found->second = MakeDeltaIfWorthwhile(revision, *base, *current_);
   }
   return found->second ? &*found->second : nullptr;
 }
--- a/src/configuration/known_versions.h
+++ b/src/configuration/known_versions.h
@@ -30,7 +30,7 @@
 
   // Newest first, without the current one.
   std::vector<std::uint64_t> EarlierRevisions() const;
-  bool Holds(std::uint64_t revision) const;
+  bool HasEarlier(std::uint64_t revision) const;
   // None if that version is not kept.
   std::optional<std::string> TextOf(std::uint64_t revision) const;
   // From that version to the current one. Null if it is not kept, or if the difference is not much shorter
@@ -38,16 +38,16 @@
   const VersionDelta* DifferenceFrom(std::uint64_t revision);
 
  private:
-  struct Earlier {
+  struct EarlierVersion {
     std::uint64_t revision = 0;
     messages::TextDelta from_next;  // from the text of the next version installed here
     std::size_t bytes = 0;
   };
 
-  void KeepEarlier(const Follower::Version& earlier, const Follower::Version& next);
+  void StoreEarlier(const Follower::Version& earlier, const Follower::Version& next);
 
   std::optional<Follower::Version> current_;
-  std::deque<Earlier> earlier_;  // newest first
+  std::deque<EarlierVersion> earlier_;  // newest first
   std::size_t earlier_bytes_ = 0;
   std::map<std::uint64_t, std::optional<VersionDelta>> differences_;  // to current_, by base revision
 };
--- a/src/configuration/message_builder.cpp
+++ b/src/configuration/message_builder.cpp
@@ -35,14 +35,14 @@
 namespace {
 
 // The tables of a message type and of all types nested in it are built once per thread.
-const FieldTable* TableOf(const Descriptor* descriptor) {
+const FieldTable* FieldTableFor(const Descriptor* descriptor) {
   thread_local std::unordered_map<const Descriptor*, FieldTable> tables;
   auto [place, added] = tables.try_emplace(descriptor);
   FieldTable& table = place->second;  // stays valid on insertion: std::unordered_map is node-based
   if (!added) return &table;
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor* field = descriptor->field(i);
-    const FieldTable* inner = field->message_type() ? TableOf(field->message_type()) : nullptr;
+    const FieldTable* inner = field->message_type() ? FieldTableFor(field->message_type()) : nullptr;
     table.entries.push_back({field->json_name(), field, field->cpp_type(), field->is_repeated(), inner});
   }
   return &table;
@@ -76,21 +76,21 @@
   Frame& frame = frames_.back();
   frame.entry = frame.table->Find(name);
   if (!frame.entry) return;
-  const bool gathers = frame.entry->repeated || frame.entry->type == FieldDescriptor::CPPTYPE_MESSAGE;
-  if (gathers) frame.reflection->ClearField(frame.message, frame.entry->field);
+  const bool is_composite = frame.entry->repeated || frame.entry->type == FieldDescriptor::CPPTYPE_MESSAGE;
+  if (is_composite) frame.reflection->ClearField(frame.message, frame.entry->field);
   if (frames_.size() == 1) present.push_back(frame.entry->field->number());
 }
 
 bool MessageBuilder::BeginObject() {
-  if (Skips()) {
+  if (InUnknownMember()) {
     ++skipped_;
     return true;
   }
   if (frames_.empty()) {
-    frames_.push_back({root_, root_->GetReflection(), TableOf(root_->GetDescriptor())});
+    frames_.push_back({root_, root_->GetReflection(), FieldTableFor(root_->GetDescriptor())});
     return true;
   }
-  if (!Expects(FieldDescriptor::CPPTYPE_MESSAGE)) return WrongType();
+  if (!ExpectsType(FieldDescriptor::CPPTYPE_MESSAGE)) return ReportWrongType();
   const Frame& frame = frames_.back();
   Message* inner = frame.in_list ? frame.reflection->AddMessage(frame.message, frame.entry->field)
                                  : frame.reflection->MutableMessage(frame.message, frame.entry->field);
@@ -108,13 +108,13 @@
 }
 
 bool MessageBuilder::BeginList() {
-  if (Skips()) {
+  if (InUnknownMember()) {
     ++skipped_;
     return true;
   }
-  if (frames_.empty()) return WrongType();
+  if (frames_.empty()) return ReportWrongType();
   Frame& frame = frames_.back();
-  if (!frame.entry->repeated || frame.in_list) return WrongType();
+  if (!frame.entry->repeated || frame.in_list) return ReportWrongType();
   frame.in_list = true;
   return true;
 }
@@ -129,8 +129,8 @@
 }
 
 bool MessageBuilder::String(std::string value) {
-  if (Skips()) return true;
-  if (!Expects(FieldDescriptor::CPPTYPE_STRING)) return WrongType();
+  if (InUnknownMember()) return true;
+  if (!ExpectsType(FieldDescriptor::CPPTYPE_STRING)) return ReportWrongType();
   const Frame& frame = frames_.back();
   if (frame.in_list) {
     frame.reflection->AddString(frame.message, frame.entry->field, std::move(value));
@@ -140,13 +140,13 @@
   return true;
 }
 
-bool MessageBuilder::Whole(std::int64_t value) {
-  if (Skips()) return true;
-  if (Expects(FieldDescriptor::CPPTYPE_DOUBLE)) return Fraction(static_cast<double>(value));
-  const bool narrow = Expects(FieldDescriptor::CPPTYPE_INT32);
-  if (!narrow && !Expects(FieldDescriptor::CPPTYPE_INT64)) return WrongType();
+bool MessageBuilder::Integer(std::int64_t value) {
+  if (InUnknownMember()) return true;
+  if (ExpectsType(FieldDescriptor::CPPTYPE_DOUBLE)) return Double(static_cast<double>(value));
+  const bool is_int32 = ExpectsType(FieldDescriptor::CPPTYPE_INT32);
+  if (!is_int32 && !ExpectsType(FieldDescriptor::CPPTYPE_INT64)) return ReportWrongType();
   const Frame& frame = frames_.back();
-  if (narrow) {  // a limit that doesn't fit means "unlimited"
+  if (is_int32) {  // a limit that doesn't fit means "unlimited"
     using Limits = std::numeric_limits<std::int32_t>;
     const auto bounded = std::clamp<std::int64_t>(value, Limits::min(), Limits::max());
     frame.reflection->SetInt32(frame.message, frame.entry->field, static_cast<std::int32_t>(bounded));
@@ -156,37 +156,37 @@
   return true;
 }
 
-bool MessageBuilder::Fraction(double value) {
-  if (Skips()) return true;
-  if (!Expects(FieldDescriptor::CPPTYPE_DOUBLE)) return WrongType();
+bool MessageBuilder::Double(double value) {
+  if (InUnknownMember()) return true;
+  if (!ExpectsType(FieldDescriptor::CPPTYPE_DOUBLE)) return ReportWrongType();
   const Frame& frame = frames_.back();
   frame.reflection->SetDouble(frame.message, frame.entry->field, value);
   return true;
 }
 
 bool MessageBuilder::Bool(bool value) {
-  if (Skips()) return true;
-  if (!Expects(FieldDescriptor::CPPTYPE_BOOL)) return WrongType();
+  if (InUnknownMember()) return true;
+  if (!ExpectsType(FieldDescriptor::CPPTYPE_BOOL)) return ReportWrongType();
   const Frame& frame = frames_.back();
   frame.reflection->SetBool(frame.message, frame.entry->field, value);
   return true;
 }
 
 bool MessageBuilder::Null() {
-  if (Skips()) return true;
-  if (frames_.empty() || frames_.back().in_list) return WrongType();
+  if (InUnknownMember()) return true;
+  if (frames_.empty() || frames_.back().in_list) return ReportWrongType();
   const Frame& frame = frames_.back();
   frame.reflection->ClearField(frame.message, frame.entry->field);
   return true;
 }
 
-bool MessageBuilder::Expects(FieldDescriptor::CppType type) const {
+bool MessageBuilder::ExpectsType(FieldDescriptor::CppType type) const {
   if (frames_.empty()) return false;
   const Frame& frame = frames_.back();
   return frame.entry->type == type && frame.entry->repeated == frame.in_list;
 }
 
-bool MessageBuilder::WrongType() {
+bool MessageBuilder::ReportWrongType() {
   if (frames_.empty()) {
     problem = Problem{"configuration", "the whole text", "give an object"};
     return false;
--- a/src/configuration/message_builder.h
+++ b/src/configuration/message_builder.h
@@ -28,8 +28,8 @@
   bool EndList();
   void Key(std::string_view name);
   bool String(std::string value);
-  bool Whole(std::int64_t value);  // a number without a fraction
-  bool Fraction(double value);     // any other number
+  bool Integer(std::int64_t value);  // a number without a fraction
+  bool Double(double value);         // any other number
   bool Bool(bool value);
   bool Null();
 
@@ -48,9 +48,11 @@
     bool in_list = false;
   };
 
-  bool Skips() const { return skipped_ > 0 || (!frames_.empty() && frames_.back().entry == nullptr); }
-  bool Expects(FieldDescriptor::CppType type) const;
-  bool WrongType();
+  bool InUnknownMember() const {
+    return skipped_ > 0 || (!frames_.empty() && frames_.back().entry == nullptr);
+  }
+  bool ExpectsType(FieldDescriptor::CppType type) const;
+  bool ReportWrongType();
   std::string Place() const;
 
   google::protobuf::Message* root_;
--- a/src/configuration/patch.cpp
+++ b/src/configuration/patch.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kEdition = "edition", kUpsert = "upsert", kRemove = "remove", kName = "name";
 
-ListChange& ChangeOf(std::string_view list, Patch* patch) {
+ListChange& ListChangeFor(std::string_view list, Patch* patch) {
   const auto found = std::find_if(patch->lists.begin(), patch->lists.end(),
                                   [&](const ListChange& change) { return change.list == list; });
   if (found != patch->lists.end()) return *found;
@@ -27,15 +27,15 @@
 template <typename ReadItem>
 std::optional<Problem> ReadLists(std::string_view section, std::string_view lists, std::string_view item_form,
                                  Patch* patch, const ReadItem& read_item) {
-  if (KindOf(lists) == JsonKind::kNull) return std::nullopt;
-  if (KindOf(lists) != JsonKind::kObject) {
+  if (JsonKindOf(lists) == JsonKind::kNull) return std::nullopt;
+  if (JsonKindOf(lists) != JsonKind::kObject) {
     return Problem{std::string(section), std::string(kTopLevel), "give an object of lists"};
   }
   for (const JsonMember& member : ObjectMembers(lists)) {
     const std::string place = std::string(section) + "." + member.name;
-    if (KindOf(member.value) != JsonKind::kList)
+    if (JsonKindOf(member.value) != JsonKind::kList)
       return Problem{member.name, std::string(section), "give a list"};
-    ListChange& change = ChangeOf(member.name, patch);
+    ListChange& change = ListChangeFor(member.name, patch);
     const auto items = ListItems(member.value);
     for (std::size_t i = 0; i < items.size(); ++i) {
       if (read_item(items[i], &change)) continue;
@@ -48,7 +48,7 @@
 
 std::optional<std::string> ItemName(std::string_view item) {
   const auto name = FindMember(item, kName);
-  if (!name || KindOf(*name) != JsonKind::kString) return std::nullopt;
+  if (!name || JsonKindOf(*name) != JsonKind::kString) return std::nullopt;
   return StringContent(*name);
 }
 
@@ -60,7 +60,7 @@
 }
 
 bool ReadRemoval(std::string_view item, ListChange* change) {
-  if (KindOf(item) != JsonKind::kString) return false;
+  if (JsonKindOf(item) != JsonKind::kString) return false;
   change->removals.push_back(StringContent(item));
   return true;
 }
@@ -79,23 +79,23 @@
   return text;
 }
 
-std::string ChangedList(std::string_view list, const ListChange& change) {
+std::string ApplyListChange(std::string_view list, const ListChange& change) {
   const std::unordered_set<std::string_view> removed(change.removals.begin(), change.removals.end());
-  std::unordered_map<std::string_view, std::string_view> given;  // the last upsert of each name
-  for (const NamedItem& item : change.upserts) given[item.name] = item.text;
-  std::unordered_set<std::string> placed;
+  std::unordered_map<std::string_view, std::string_view> upsert_by_name;  // the last upsert of each name
+  for (const NamedItem& item : change.upserts) upsert_by_name[item.name] = item.text;
+  std::unordered_set<std::string> written;
   std::vector<std::string_view> items;
   for (const std::string_view item : ListItems(list)) {
     const std::string name = ItemName(item).value_or("");
-    const auto replacement = given.find(name);
-    if (replacement != given.end()) {
-      if (placed.insert(name).second) items.push_back(replacement->second);
+    const auto replacement = upsert_by_name.find(name);
+    if (replacement != upsert_by_name.end()) {
+      if (written.insert(name).second) items.push_back(replacement->second);
     } else if (!removed.contains(name)) {
       items.push_back(item);
     }
   }
   for (const NamedItem& item : change.upserts) {
-    if (placed.insert(item.name).second) items.push_back(given[item.name]);
+    if (written.insert(item.name).second) items.push_back(upsert_by_name[item.name]);
   }
   return Join(items, '[', ']');
 }
@@ -113,7 +113,7 @@
 
 std::variant<Patch, Problem> ReadPatch(std::string_view text) {
   if (!IsValidJson(text)) return Problem{"JSON", "the whole text", "can't be parsed: send the complete text"};
-  if (KindOf(text) != JsonKind::kObject) return Problem{"patch", "the whole text", "give an object"};
+  if (JsonKindOf(text) != JsonKind::kObject) return Problem{"patch", "the whole text", "give an object"};
   Patch patch;
   for (const JsonMember& member : ObjectMembers(text)) {
     std::optional<Problem> problem;
@@ -141,11 +141,11 @@
     const auto member = std::find_if(members.begin(), members.end(),
                                      [&](const JsonMember& other) { return other.name == change.list; });
     const bool absent = member == members.end();
-    const JsonKind kind = absent ? JsonKind::kNull : KindOf(member->value);
+    const JsonKind kind = absent ? JsonKind::kNull : JsonKindOf(member->value);
     if (kind != JsonKind::kList && kind != JsonKind::kNull) {
       return Problem{change.list, "patch", "is not a list: replace the complete configuration"};
     }
-    texts.push_back(ChangedList(absent ? std::string_view("[]") : member->value, change));
+    texts.push_back(ApplyListChange(absent ? std::string_view("[]") : member->value, change));
     if (!absent) {
       member->value = texts.back();
       continue;
--- a/src/configuration/peers.cpp
+++ b/src/configuration/peers.cpp
@@ -17,8 +17,8 @@
     if (member.counts_for_quorum) quorum_.push_back(member.address);
   }
   if (first && !live_.empty()) {  // so that the dispatchers don't all poll the same one at once
-    turn_ = RandomBelow(all_.size());
-    quorum_turn_ = quorum_.empty() ? 0 : RandomBelow(quorum_.size());
+    next_index_ = RandomBelow(all_.size());
+    quorum_next_index_ = quorum_.empty() ? 0 : RandomBelow(quorum_.size());
   }
 }
 
@@ -38,7 +38,7 @@
   return addresses;
 }
 
-std::string Peers::Relay(std::string_view zone, std::uint64_t revision, std::size_t try_number) const {
+std::string Peers::SelectRelay(std::string_view zone, std::uint64_t revision, std::size_t attempt) const {
   std::vector<std::pair<std::uint64_t, const Member*>> order;
   for (const Member& member : live_) {
     if (member.zone != zone) continue;
@@ -46,7 +46,7 @@
   }
   if (order.empty()) return {};
   std::sort(order.begin(), order.end());
-  return order[try_number % order.size()].second->address;
+  return order[attempt % order.size()].second->address;
 }
 
 bool Peers::Contains(std::string_view address) const {
@@ -54,16 +54,16 @@
 }
 
 std::string Peers::NextToPoll() {
-  const bool quorum = quorum_next_ && !quorum_.empty();
-  quorum_next_ = !quorum_next_;
-  return quorum ? NextOf(quorum_, &quorum_turn_) : NextOf(all_, &turn_);
+  const bool quorum = poll_quorum_next_ && !quorum_.empty();
+  poll_quorum_next_ = !poll_quorum_next_;
+  return quorum ? NextInRotation(quorum_, &quorum_next_index_) : NextInRotation(all_, &next_index_);
 }
 
 std::uint64_t Peers::RandomBelow(std::uint64_t bound) { return random_() % bound; }
 
-std::string Peers::NextOf(const std::vector<std::string>& addresses, std::size_t* turn) {
+std::string Peers::NextInRotation(const std::vector<std::string>& addresses, std::size_t* index) {
   if (addresses.empty()) return {};
-  return addresses[(*turn)++ % addresses.size()];
+  return addresses[(*index)++ % addresses.size()];
 }
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/push_codec.cpp
+++ b/src/configuration/push_codec.cpp
@@ -12,7 +12,7 @@
 using messages::ConfigurationPush;
 using messages::DistributionMessage;
 
-constexpr std::size_t kWorthwhileRatio = 2;  // a difference is sent if at most half the complete text's size
+constexpr std::size_t kMinSizeRatio = 2;  // a difference is sent if at most half the complete text's size
 
 std::uint64_t VersionDigest(std::uint64_t revision, std::int64_t edition, std::string_view json) {
   return Digester().Number(revision).Number(static_cast<std::uint64_t>(edition)).Text(json).Result();
@@ -26,7 +26,7 @@
   return message;
 }
 
-DistributionMessage BaseIsLacking(std::uint64_t revision, const std::vector<std::uint64_t>& earlier) {
+DistributionMessage MissingBaseMessage(std::uint64_t revision, const std::vector<std::uint64_t>& earlier) {
   DistributionMessage message = PollMessage(revision);
   message.mutable_poll()->set_lacks_base(true);
   for (const std::uint64_t held : earlier) message.mutable_poll()->add_earlier(held);
@@ -54,10 +54,10 @@
   return message;
 }
 
-std::optional<VersionDelta> WorthwhileDelta(std::uint64_t base_revision, std::string_view base,
-                                            const Follower::Version& version) {
+std::optional<VersionDelta> MakeDeltaIfWorthwhile(std::uint64_t base_revision, std::string_view base,
+                                                  const Follower::Version& version) {
   VersionDelta result{base_revision, lichenlug::delta::MakeDelta(base, version.json)};
-  if (result.delta.ByteSizeLong() * kWorthwhileRatio > version.json.size()) return std::nullopt;
+  if (result.delta.ByteSizeLong() * kMinSizeRatio > version.json.size()) return std::nullopt;
   return result;
 }
 
@@ -78,9 +78,9 @@
 std::optional<Follower::Version> ReadVersion(std::uint64_t revision, std::int64_t edition,
                                              std::string_view json) {
   auto parsed = Parse(json);
-  auto* good = std::get_if<Parsed>(&parsed);
-  if (!good || good->configuration->edition() != edition) return std::nullopt;
-  return Follower::Version{revision, edition, std::move(good->json), std::move(good->configuration)};
+  auto* valid = std::get_if<Parsed>(&parsed);
+  if (!valid || valid->configuration->edition() != edition) return std::nullopt;
+  return Follower::Version{revision, edition, std::move(valid->json), std::move(valid->configuration)};
 }
 
 }  // namespace lichenlug::configuration
--- a/src/configuration/push_codec.h
+++ b/src/configuration/push_codec.h
@@ -22,15 +22,15 @@
 
 messages::DistributionMessage PollMessage(std::uint64_t revision);
 // Answers a push of a difference whose base is not kept here. `earlier` are the revisions that are kept.
-messages::DistributionMessage BaseIsLacking(std::uint64_t revision,
-                                            const std::vector<std::uint64_t>& earlier);
+messages::DistributionMessage MissingBaseMessage(std::uint64_t revision,
+                                                 const std::vector<std::uint64_t>& earlier);
 messages::DistributionMessage AckMessage(std::uint64_t revision);
 // A push of the difference, or of the complete version if `difference` is null.
 messages::DistributionMessage PushMessage(const Follower::Version& version, const VersionDelta* difference);
 
 // The difference, if it is so much shorter than the complete text that it should be sent instead.
-std::optional<VersionDelta> WorthwhileDelta(std::uint64_t base_revision, std::string_view base,
-                                            const Follower::Version& version);
+std::optional<VersionDelta> MakeDeltaIfWorthwhile(std::uint64_t base_revision, std::string_view base,
+                                                  const Follower::Version& version);
 
 enum class PushFault { kNone, kNoBase, kDamaged };
 struct ReadPushResult {
--- a/src/configuration/push_schedule.cpp
+++ b/src/configuration/push_schedule.cpp
@@ -6,10 +6,10 @@
 namespace lichenlug::configuration {
 namespace {
 
-constexpr Time kRepeatAfter = 150 * kMillisecond;
-constexpr std::size_t kMaxTries = 5;  // afterwards, polls deliver the version
+constexpr Time kRetryDelay = 150 * kMillisecond;
+constexpr std::size_t kMaxAttempts = 5;  // afterwards, polls deliver the version
 constexpr std::size_t kFanOut = 4;
-constexpr Time kLongestWithoutRelays = 200 * kMillisecond;  // of one slow link, for a whole zone
+constexpr Time kMaxDirectTransferTime = 200 * kMillisecond;  // of one slow link, for a whole zone
 
 }  // namespace
 
@@ -22,15 +22,15 @@
 void PushSchedule::AddZone(Time now, const std::string& zone) { pushes_.push_back({zone, {}, {}, 0, now}); }
 
 void PushSchedule::AddAll(Time now, const std::vector<std::string>& addresses, Time transfer) {
-  std::vector<std::string> fresh;
+  std::vector<std::string> new_addresses;
   for (const std::string& address : addresses) {
-    if (added_.insert(address).second) fresh.push_back(address);
+    if (added_.insert(address).second) new_addresses.push_back(address);
   }
-  const bool directly = transfer * static_cast<Time>(fresh.size()) <= kLongestWithoutRelays;
-  const std::size_t groups = directly ? fresh.size() : std::min(kFanOut, fresh.size());
+  const bool push_directly = transfer * static_cast<Time>(new_addresses.size()) <= kMaxDirectTransferTime;
+  const std::size_t groups = push_directly ? new_addresses.size() : std::min(kFanOut, new_addresses.size());
   for (std::size_t first = 0; first < groups; ++first) {
     std::vector<std::string> group;
-    for (std::size_t i = first; i < fresh.size(); i += groups) group.push_back(fresh[i]);
+    for (std::size_t i = first; i < new_addresses.size(); i += groups) group.push_back(new_addresses[i]);
     AddGroup(now, std::move(group));
   }
 }
@@ -40,9 +40,9 @@
 }
 
 // Each attempt goes to another dispatcher, because the previous one may be dead.
-std::optional<PushSchedule::Due> PushSchedule::NextOf(const Push& push, const Peers& peers) const {
+std::optional<PushSchedule::Due> PushSchedule::NextDue(const Push& push, const Peers& peers) const {
   if (!push.zone.empty()) {
-    const std::string address = peers.Relay(push.zone, revision_, push.tries);
+    const std::string address = peers.SelectRelay(push.zone, revision_, push.attempts);
     if (!peers.Contains(address)) return std::nullopt;
     return Due{address, true, {}};
   }
@@ -50,25 +50,27 @@
   std::copy_if(push.group.begin(), push.group.end(), std::back_inserter(live),
                [&](const std::string& address) { return peers.Contains(address); });
   if (live.empty()) return std::nullopt;
-  std::rotate(live.begin(), live.begin() + static_cast<std::ptrdiff_t>(push.tries % live.size()), live.end());
+  std::rotate(live.begin(), live.begin() + static_cast<std::ptrdiff_t>(push.attempts % live.size()),
+              live.end());
   return Due{live.front(), false, {live.begin() + 1, live.end()}};
 }
 
 std::vector<PushSchedule::Due> PushSchedule::TakeDue(Time now, const Peers& peers, Time transfer) {
-  std::erase_if(pushes_, [&](const Push& push) { return push.next_at <= now && push.tries >= kMaxTries; });
+  std::erase_if(pushes_,
+                [&](const Push& push) { return push.next_at <= now && push.attempts >= kMaxAttempts; });
   std::vector<Due> due;
   std::vector<Push*> sent;
   for (Push& push : pushes_) {
     if (push.next_at > now) continue;
     sent.push_back(&push);
-    if (auto next = NextOf(push, peers)) {
+    if (auto next = NextDue(push, peers)) {
       push.sent_to.push_back(next->address);
       due.push_back(std::move(*next));
     }
-    ++push.tries;
+    ++push.attempts;
   }
   // All pushes share one outgoing link, so each retry waits for the transfer of all of them.
-  const Time pause = kRepeatAfter + transfer * static_cast<Time>(due.size());
+  const Time pause = kRetryDelay + transfer * static_cast<Time>(due.size());
   for (Push* push : sent) push->next_at = now + pause;
   return due;
 }
--- a/src/configuration/push_schedule.h
+++ b/src/configuration/push_schedule.h
@@ -43,12 +43,12 @@
     std::string zone;                // empty if the push goes to a group
     std::vector<std::string> group;  // the member that receives the push relays it to the others
     std::vector<std::string> sent_to;
-    std::size_t tries = 0;
+    std::size_t attempts = 0;
     Time next_at = 0;
   };
 
   void AddGroup(Time now, std::vector<std::string> group);
-  std::optional<Due> NextOf(const Push& push, const Peers& peers) const;
+  std::optional<Due> NextDue(const Push& push, const Peers& peers) const;
 
   std::uint64_t revision_ = 0;
   std::vector<Push> pushes_;
--- a/src/configuration/rules.cpp
+++ b/src/configuration/rules.cpp
@@ -34,16 +34,16 @@
 }
 
 // A route and its position. The place is formatted only if the route is rejected.
-struct RouteAt {
+struct RoutePosition {
   const Route& route;
   int index;
   std::string Place() const { return PlaceInList(kRoutes, index, route.name()); }
 };
 
-std::optional<Problem> CheckTargets(const RouteAt& at, const Names& services) {
-  const Route& route = at.route;
+std::optional<Problem> CheckTargets(const RoutePosition& position, const Names& services) {
+  const Route& route = position.route;
   const auto unknown = [&](const std::string& service) {
-    return Problem{"line", at.Place(),
+    return Problem{"line", position.Place(),
                    "\"" + service + "\" is not a service: use a name from " + std::string(kServices)};
   };
   const bool weighted = route.weighted_services_size() > 0;
@@ -54,22 +54,23 @@
   double sum = 0;
   for (const auto& target : route.weighted_services()) {
     if (!services.contains(target.service())) return unknown(target.service());
-    if (target.weight() < 0) return Problem{"share", at.Place(), "give a number of 0 or more"};
+    if (target.weight() < 0) return Problem{"share", position.Place(), "give a number of 0 or more"};
     sum += target.weight();
   }
-  if (!(sum > 0)) return Problem{"apportion", at.Place(), "give shares with a sum greater than 0"};
+  if (!(sum > 0)) return Problem{"apportion", position.Place(), "give shares with a sum greater than 0"};
   return std::nullopt;
 }
 
-std::optional<Problem> CheckRoute(const RouteAt& at, const Names& services) {
-  const Route& route = at.route;
-  if (route.host().empty()) return Problem{"depot", at.Place(), "give a host"};
+std::optional<Problem> CheckRoute(const RoutePosition& position, const Names& services) {
+  const Route& route = position.route;
+  if (route.host().empty()) return Problem{"depot", position.Place(), "give a host"};
   const std::string& prefix = route.path_prefix();
   if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/') {
-    return Problem{"lane_prefix", at.Place(), "give a path that begins and ends with a slash"};
+    return Problem{"lane_prefix", position.Place(), "give a path that begins and ends with a slash"};
   }
-  if (!(route.deadline_ms() > 0)) return Problem{"deadline_ms", at.Place(), "give a number greater than 0"};
-  return CheckTargets(at, services);
+  if (!(route.deadline_ms() > 0))
+    return Problem{"deadline_ms", position.Place(), "give a number greater than 0"};
+  return CheckTargets(position, services);
 }
 
 // Host names are case-insensitive, as in HTTP.
@@ -83,16 +84,16 @@
 std::optional<Problem> CheckRoutes(const Configuration& configuration, const Names& services) {
   Names names;
   if (auto problem = CheckNames(configuration.routes(), kRoutes, &names)) return problem;
-  std::unordered_map<std::string, int> taken;
-  taken.reserve(static_cast<std::size_t>(configuration.routes_size()));
+  std::unordered_map<std::string, int> route_by_host_and_prefix;
+  route_by_host_and_prefix.reserve(static_cast<std::size_t>(configuration.routes_size()));
   for (int i = 0; i < configuration.routes_size(); ++i) {
     const Route& route = configuration.routes(i);
-    const RouteAt at{route, i};
-    if (auto problem = CheckRoute(at, services)) return problem;
-    const auto [entry, added] = taken.emplace(HostAndPrefix(route), i);
+    const RoutePosition position{route, i};
+    if (auto problem = CheckRoute(position, services)) return problem;
+    const auto [entry, added] = route_by_host_and_prefix.emplace(HostAndPrefix(route), i);
     if (!added) {
       const int first = entry->second;
-      return Problem{"lane_prefix", at.Place(),
+      return Problem{"lane_prefix", position.Place(),
                      "the same host and prefix as " +
                          PlaceInList(kRoutes, first, configuration.routes(first).name()) +
                          ": change or remove one"};
@@ -105,10 +106,10 @@
 std::optional<Problem> CheckTenants(const Configuration& configuration) {
   Names names;
   if (auto problem = CheckNames(configuration.tenants(), kTenants, &names)) return problem;
-  std::unordered_map<std::string_view, int> holders;
+  std::unordered_map<std::string_view, int> tenant_by_key;
   for (int i = 0; i < configuration.tenants_size(); ++i) {
     for (const std::string& key : configuration.tenants(i).keys()) {
-      const auto [entry, added] = holders.emplace(key, i);
+      const auto [entry, added] = tenant_by_key.emplace(key, i);
       if (added || entry->second == i) continue;
       const int first = entry->second;
       return Problem{"stamps", PlaceInList(kTenants, i, configuration.tenants(i).name()),
