--- a/tests/system/configuration/follower_test.cpp
+++ b/tests/system/configuration/follower_test.cpp
@@ -17,13 +17,13 @@
   return json;
 }
 
-void CheckNoViolation(const FollowerWorld& testbed) {
-  CHECK(testbed.went_back == "");
-  CHECK(testbed.differed == "");
+void CheckNoViolation(const FollowerTestbed& testbed) {
+  CHECK(testbed.reverted == "");
+  CHECK(testbed.mismatched == "");
 }
 
 TEST_CASE("A version goes to one dispatcher a zone, which relays it") {
-  FollowerWorld testbed(100, 4, 1);
+  FollowerTestbed testbed(100, 4, 1);
   testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
   CHECK(testbed.pushes == 24 + 3);  // its own zone, and one relay for each other zone
   CHECK(testbed.RunUntilAllCurrent(kBound) <= 5 * kMillisecond);
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("Once all dispatchers have a version, only polls are sent") {
-  FollowerWorld testbed(20, 4, 2);
+  FollowerTestbed testbed(20, 4, 2);
   testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
   testbed.Run(kSecond);
   const std::size_t pushes = testbed.pushes, bytes = testbed.bytes;
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("A version learned without a push spreads by polls alone") {
-  FollowerWorld testbed(10, 3, 3);
+  FollowerTestbed testbed(10, 3, 3);
   testbed.Learn(7, testbed.MakeVersion(SampleConfiguration(1)), false);
   CHECK(testbed.pushes == 0);
   CHECK(testbed.RunUntilAllCurrent(10 * kSecond) < 4 * kSecond);
@@ -57,7 +57,7 @@
 TEST_CASE("Every dispatcher gets the newest version on a bad network, and none reverts to an older one") {
   const auto count = GENERATE(std::size_t{10}, std::size_t{100});
   const auto seed = GENERATE(range<std::uint64_t>(1, 41));
-  FollowerWorld testbed(count, 4, seed);
+  FollowerTestbed testbed(count, 4, seed);
   testbed.faults = {0.1, 0.1, 0.05, kMillisecond, 60 * kMillisecond};
   std::mt19937_64 random(seed);
   for (int edition = 1; edition <= 5; ++edition) {
@@ -82,15 +82,15 @@
                         {"damaged", {0, 0, 0.3, kMillisecond, 0}, 3 * kSecond},
                         {"half damaged", {0, 0, 0.5, kMillisecond, 0}, 6 * kSecond},
                         {"reordered", {0, 0, 0, kMillisecond, 400 * kMillisecond}, kBound}};
-  for (const Case& one : cases) {
+  for (const Case& test_case : cases) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      FollowerWorld testbed(10, 3, seed);
-      testbed.faults = one.faults;
+      FollowerTestbed testbed(10, 3, seed);
+      testbed.faults = test_case.faults;
       for (int edition = 1; edition <= 3; ++edition) {
         testbed.Learn(seed % 10, testbed.MakeVersion(SampleConfiguration(edition)), true);
       }
-      INFO(one.name << ", seed " << seed);
-      CHECK(testbed.RunUntilAllCurrent(10 * kSecond) < one.bound);
+      INFO(test_case.name << ", seed " << seed);
+      CHECK(testbed.RunUntilAllCurrent(10 * kSecond) < test_case.bound);
       CheckNoViolation(testbed);
     }
   }
@@ -98,7 +98,7 @@
 
 TEST_CASE("Damage to all messages for two milliseconds delays no version beyond the bound") {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    FollowerWorld testbed(10, 3, seed);
+    FollowerTestbed testbed(10, 3, seed);
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
     testbed.Run(static_cast<Time>(seed % 4) * kMillisecond);
     testbed.faults.damaged = 1;
@@ -113,10 +113,10 @@
 
 // Repeats one distribution, each time with a fault in another single message.
 TEST_CASE("One message that is lost, duplicated, late or damaged delays no version beyond the bound") {
-  const auto run = [](Spoil spoil, std::size_t number) {
-    FollowerWorld testbed(10, 3, 11);
-    testbed.spoil = spoil;
-    testbed.spoiled_message = number;
+  const auto run = [](MessageFault message_fault, std::size_t number) {
+    FollowerTestbed testbed(10, 3, 11);
+    testbed.message_fault = message_fault;
+    testbed.faulty_message = number;
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
     testbed.Run(2 * kMillisecond);
     testbed.Learn(4, testbed.MakeVersion(SampleConfiguration(2)), true);
@@ -125,10 +125,11 @@
     CheckNoViolation(testbed);
     return testbed.messages;
   };
-  const std::size_t messages = run(Spoil::kLose, 0);
+  const std::size_t messages = run(MessageFault::kLose, 0);
   REQUIRE(messages > 20);
-  for (const Spoil spoil : {Spoil::kLose, Spoil::kDouble, Spoil::kDelay, Spoil::kDamage}) {
-    for (std::size_t number = 1; number <= messages; ++number) run(spoil, number);
+  for (const MessageFault message_fault :
+       {MessageFault::kLose, MessageFault::kDuplicate, MessageFault::kDelay, MessageFault::kDamage}) {
+    for (std::size_t number = 1; number <= messages; ++number) run(message_fault, number);
   }
 }
 
@@ -139,7 +140,7 @@
   constexpr std::size_t kDispatchers = 300, kZones = 5, kFast = 5, kRoutes = 250;
   const auto seed = GENERATE(range<std::uint64_t>(1, 6));
   const auto longest_pause = GENERATE(Time{5}, Time{200}, Time{900}) * kMillisecond;
-  FollowerWorld testbed(kDispatchers, kZones, seed);
+  FollowerTestbed testbed(kDispatchers, kZones, seed);
   for (std::size_t i = 0; i < kDispatchers; ++i) testbed.SetLink(i, i < kFast ? kFastLink : kSlowLink);
   std::mt19937_64 random(seed);
   Json configuration = LargeConfiguration(1, kRoutes);
@@ -160,7 +161,7 @@
 TEST_CASE("A complete configuration takes effect in time at 300 dispatchers on slow links") {
   constexpr std::size_t kDispatchers = 300, kZones = 5, kRoutes = 250;
   const auto seed = GENERATE(range<std::uint64_t>(1, 6));
-  FollowerWorld testbed(kDispatchers, kZones, seed);
+  FollowerTestbed testbed(kDispatchers, kZones, seed);
   for (std::size_t i = 0; i < kDispatchers; ++i) testbed.SetLink(i, kSlowLink);
   testbed.Learn(seed % kDispatchers, testbed.MakeVersion(LargeConfiguration(1, kRoutes)), true);
   INFO("seed " << seed);
@@ -170,7 +171,7 @@
 
 TEST_CASE("A dead relay within a zone is replaced by the next one of its group") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    FollowerWorld testbed(60, 1, seed);
+    FollowerTestbed testbed(60, 1, seed);
     for (std::size_t i = 0; i < testbed.size(); ++i) testbed.SetLink(i, kSlowLink);
     for (std::size_t i = 0; i < 6; ++i) testbed.Kill(10 + (seed * 7 + i * 9) % 50);
     testbed.Learn(0, testbed.MakeVersion(LargeConfiguration(1, 250)), true);
@@ -182,13 +183,13 @@
 
 TEST_CASE("A dead relay of another zone is replaced by the next one") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    FollowerWorld testbed(30, 3, seed);
+    FollowerTestbed testbed(30, 3, seed);
     Peers peers(seed);
     std::vector<Member> members;
     for (std::size_t i = 1; i < testbed.size(); ++i) members.push_back(testbed.member(i));
     peers.Set(members);
-    const std::string relay = peers.Relay("zone-1", 1, 0);
-    CHECK(peers.Relay("zone-1", 1, 1) != relay);
+    const std::string relay = peers.SelectRelay("zone-1", 1, 0);
+    CHECK(peers.SelectRelay("zone-1", 1, 1) != relay);
     testbed.Kill(testbed.Find(relay));
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
     INFO(seed);
@@ -198,7 +199,7 @@
 }
 
 TEST_CASE("A push to a dead dispatcher is retried a few times and then dropped") {
-  FollowerWorld testbed(2, 1, 5);
+  FollowerTestbed testbed(2, 1, 5);
   testbed.Kill(1);
   testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
   testbed.Run(10 * kSecond);
@@ -208,7 +209,7 @@
 TEST_CASE("If a dispatcher dies during its pushes, polls deliver the version") {
   int seeds_with_a_push = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    FollowerWorld testbed(20, 4, seed);
+    FollowerTestbed testbed(20, 4, seed);
     testbed.faults.lost = 0.6;
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
     testbed.Run(2 * kMillisecond);
@@ -227,7 +228,7 @@
 
 TEST_CASE("A restarted dispatcher catches up within the bound") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    FollowerWorld testbed(10, 3, seed);
+    FollowerTestbed testbed(10, 3, seed);
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(1)), true);
     testbed.Learn(0, testbed.MakeVersion(SampleConfiguration(2)), true);
     testbed.Run(kSecond);
@@ -238,7 +239,7 @@
 }
 
 TEST_CASE("A small change of a large configuration is pushed as a difference") {
-  FollowerWorld testbed(10, 3, 6);
+  FollowerTestbed testbed(10, 3, 6);
   testbed.Learn(0, testbed.MakeVersion(LargeConfiguration(1, 1000)), true);
   testbed.Run(20 * kSecond);
   REQUIRE(testbed.RunUntilAllCurrent(kSecond) < kSecond);
@@ -255,7 +256,7 @@
 }
 
 TEST_CASE("A dispatcher without the base of a difference gets the complete version") {
-  FollowerWorld testbed(2, 1, 7);
+  FollowerTestbed testbed(2, 1, 7);
   testbed.Learn(0, testbed.MakeVersion(LargeConfiguration(1, 100)), false);
   testbed.Learn(0, testbed.MakeVersion(LargeConfiguration(2, 101)), true);
   CHECK(testbed.RunUntilAllCurrent(kBound) < 10 * kMillisecond);
@@ -268,7 +269,7 @@
   settings.self_name = "self";
   settings.zone = "zone";
   Follower follower(settings);
-  FollowerWorld testbed(1, 1, 8);
+  FollowerTestbed testbed(1, 1, 8);
   const auto first = testbed.MakeVersion(SampleConfiguration(1));
   const auto second = testbed.MakeVersion(SampleConfiguration(2));
   FollowerOutput output;
--- a/tests/system/configuration/follower_world.h
+++ b/tests/system/configuration/follower_world.h
@@ -17,15 +17,15 @@
 namespace lichenlug::configuration {
 
 struct NetworkFaults {
-  double lost = 0, doubled = 0, damaged = 0;
-  Time delay = kMillisecond, more_delay = 0;  // the fixed part, and the maximum of the random part
+  double lost = 0, duplicated = 0, damaged = 0;
+  Time delay = kMillisecond, max_extra_delay = 0;  // the fixed part, and the maximum of the random part
 };
 
-enum class Spoil { kLose, kDouble, kDelay, kDamage };
+enum class MessageFault { kLose, kDuplicate, kDelay, kDamage };
 
-class FollowerWorld {
+class FollowerTestbed {
  public:
-  FollowerWorld(std::size_t count, std::size_t zones, std::uint64_t seed);
+  FollowerTestbed(std::size_t count, std::size_t zones, std::uint64_t seed);
 
   // A committed version; no follower knows it yet.
   messages::ConfigurationState MakeVersion(const Json& configuration);
@@ -47,13 +47,13 @@
   std::uint64_t Newest() const { return versions_.size(); }
 
   NetworkFaults faults;
-  Spoil spoil = Spoil::kLose;       // the fault applied to one message
-  std::size_t spoiled_message = 0;  // the number of that message, from 1; 0: none
+  MessageFault message_fault = MessageFault::kLose;  // the fault applied to one message
+  std::size_t faulty_message = 0;                    // the number of that message, from 1; 0: none
   Time now = 1000 * kSecond;
-  std::size_t messages = 0;         // number sent
-  std::size_t pushes = 0;           // of these messages
-  std::size_t bytes = 0;            // of all messages sent
-  std::string went_back, differed;  // a violating follower's name; empty if there is none
+  std::size_t messages = 0;          // number sent
+  std::size_t pushes = 0;            // of these messages
+  std::size_t bytes = 0;             // of all messages sent
+  std::string reverted, mismatched;  // a violating follower's name; empty if there is none
 
  private:
   struct Delivery {
@@ -63,16 +63,16 @@
 
   struct Link {
     double speed = 0;  // bytes per microsecond; 0: unlimited
-    Time sends_until = 0, receives_until = 0;
+    Time send_busy_until = 0, receive_busy_until = 0;
   };
 
   Time Arrival(std::size_t from, std::size_t to, std::size_t size, Time delay);
   bool Chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
-  void Take(std::size_t node, const FollowerOutput& output);
+  void HandleOutput(std::size_t node, const FollowerOutput& output);
   void Send(std::size_t from, const DistributionSend& send);
   void Deliver(const Delivery& delivery);
   void Step(Time until);
-  std::string Damaged(std::string bytes);
+  std::string WithFlippedBit(std::string bytes);
   bool AllCurrent() const;
 
   std::mt19937_64 random_;
--- a/tests/system/configuration/judge_test.cpp
+++ b/tests/system/configuration/judge_test.cpp
@@ -9,9 +9,9 @@
 class Register {
  public:
   ChangeResult Change(const ChangeRequest& request) {
-    ChangeResult judgement = Judge(payload, request);
-    if (judgement.verdict == Verdict::kTake) payload = judgement.new_payload;
-    return judgement;
+    ChangeResult result = Judge(payload, request);
+    if (result.verdict == Verdict::kTake) payload = result.new_payload;
+    return result;
   }
   Json Stored() const { return Json::parse(ReadState(payload)->json()); }
 
@@ -22,9 +22,9 @@
   Register reg;
   CHECK_FALSE(ReadState(reg.payload).has_value());
   CHECK(reg.Change(Put(5, SampleConfiguration(7))).verdict == Verdict::kConflict);
-  const ChangeResult judgement = reg.Change(Put(0, SampleConfiguration(7)));
-  CHECK(judgement.verdict == Verdict::kTake);
-  CHECK(judgement.current_edition == 7);
+  const ChangeResult result = reg.Change(Put(0, SampleConfiguration(7)));
+  CHECK(result.verdict == Verdict::kTake);
+  CHECK(result.current_edition == 7);
   const auto state = ReadState(reg.payload);
   REQUIRE(state.has_value());
   CHECK(state->edition() == 7);
@@ -46,9 +46,9 @@
   Json other = SampleConfiguration(7);
   other["routes"][0]["tries"] = 3;
   CHECK(reg.Change(Put(5, SampleConfiguration(7))).verdict == Verdict::kTake);
-  const ChangeResult loser = reg.Change(Put(5, other));
-  CHECK(loser.verdict == Verdict::kConflict);
-  CHECK(loser.current_edition == 7);
+  const ChangeResult rejected = reg.Change(Put(5, other));
+  CHECK(rejected.verdict == Verdict::kConflict);
+  CHECK(rejected.current_edition == 7);
   CHECK(reg.Stored() == SampleConfiguration(7));
 }
 
@@ -104,12 +104,12 @@
   reg.Change(Put(0, SampleConfiguration(5)));
   Json invalid = SampleConfiguration(7);
   invalid["routes"][0]["deadline_ms"] = 0;
-  const ChangeResult judgement = reg.Change(Put(5, invalid));
-  CHECK(judgement.verdict == Verdict::kInvalid);
-  REQUIRE(judgement.problem.has_value());
-  CHECK(judgement.problem->key == "deadline_ms");
-  CHECK(judgement.current_edition == 5);
-  CHECK(judgement.new_payload.empty());
+  const ChangeResult result = reg.Change(Put(5, invalid));
+  CHECK(result.verdict == Verdict::kInvalid);
+  REQUIRE(result.problem.has_value());
+  CHECK(result.problem->key == "deadline_ms");
+  CHECK(result.current_edition == 5);
+  CHECK(result.new_payload.empty());
   CHECK(reg.Change(Put(4, invalid)).verdict == Verdict::kConflict);
   CHECK(reg.Change({ChangeRequest::Method::kPut, 5, "{\"edition\":"}).verdict == Verdict::kInvalid);
 }
@@ -121,17 +121,17 @@
   other["routes"][0]["tries"] = 9;
   for (const int edition : {5, 4}) {
     other["edition"] = edition;
-    const ChangeResult judgement = reg.Change(Put(5, other));
-    CHECK(judgement.verdict == Verdict::kInvalid);
-    CHECK(judgement.problem->key == "edition");
+    const ChangeResult result = reg.Change(Put(5, other));
+    CHECK(result.verdict == Verdict::kInvalid);
+    CHECK(result.problem->key == "edition");
   }
   CHECK(reg.Change(PatchOf(5, {{"edition", 5}})).verdict == Verdict::kInvalid);
   CHECK(reg.Change(PatchOf(5, {{"edition", 6}})).verdict == Verdict::kTake);
 }
 
 TEST_CASE("A register that can't be parsed accepts no change") {
-  const ChangeResult judgement = Judge("\xff\xff", Put(0, SampleConfiguration(1)));
-  CHECK(judgement.verdict == Verdict::kInvalid);
+  const ChangeResult result = Judge("\xff\xff", Put(0, SampleConfiguration(1)));
+  CHECK(result.verdict == Verdict::kInvalid);
   CHECK_FALSE(ReadState("\xff\xff").has_value());
 }
 
--- a/tests/system/configuration/known_versions_test.cpp
+++ b/tests/system/configuration/known_versions_test.cpp
@@ -73,8 +73,8 @@
   KnownVersions versions;
   versions.Install(VersionOf(3, Large(3, 7)));
   versions.Install(VersionOf(7, Large(7, 7)));
-  CHECK(versions.Holds(3));
-  CHECK_FALSE(versions.Holds(5));
+  CHECK(versions.HasEarlier(3));
+  CHECK_FALSE(versions.HasEarlier(5));
   CHECK_FALSE(versions.TextOf(5));
   CHECK(versions.DifferenceFrom(5) == nullptr);
 }
--- a/tests/system/configuration/parse_test.cpp
+++ b/tests/system/configuration/parse_test.cpp
@@ -6,18 +6,18 @@
 namespace {
 
 // Replaces one value of the sample, and returns the resulting problem.
-Problem RefusalWith(const std::string& pointer, const Json& value) {
+Problem ProblemWith(const std::string& pointer, const Json& value) {
   Json sample = SampleConfiguration(7);
   sample[Json::json_pointer(pointer)] = value;
-  return RefusalOf(sample.dump());
+  return ProblemOf(sample.dump());
 }
 
-bool IsTaken(const Json& json) { return std::holds_alternative<Parsed>(Parse(json.dump())); }
+bool IsAccepted(const Json& json) { return std::holds_alternative<Parsed>(Parse(json.dump())); }
 
-bool IsTakenWith(const std::string& pointer, const Json& value) {
+bool IsAcceptedWith(const std::string& pointer, const Json& value) {
   Json sample = SampleConfiguration(7);
   sample[Json::json_pointer(pointer)] = value;
-  return IsTaken(sample);
+  return IsAccepted(sample);
 }
 
 void CheckProblem(const Problem& problem, const std::string& key, const std::string& place) {
@@ -83,9 +83,9 @@
 }
 
 TEST_CASE("null counts as an absent value, and the last of two members wins") {
-  CHECK(IsTakenWith("/routes/0/apportion", nullptr));
-  CHECK(IsTakenWith("/postal_lines/1/fleet", nullptr));
-  CHECK(IsTakenWith("/senders", nullptr));
+  CHECK(IsAcceptedWith("/routes/0/apportion", nullptr));
+  CHECK(IsAcceptedWith("/postal_lines/1/fleet", nullptr));
+  CHECK(IsAcceptedWith("/senders", nullptr));
   const auto result = Parse(R"({"edition":1,"routes":[{"name":"gone"}],"postal_lines":[],)"
                             R"("routes":[],"edition":4,"parcel_limits":{}})");
   REQUIRE(std::holds_alternative<Parsed>(result));
@@ -94,21 +94,21 @@
 }
 
 TEST_CASE("Values that the operator's interface doesn't define as invalid are accepted") {
-  CHECK(IsTakenWith("/routes/0/carriage", "newer"));
-  CHECK(IsTakenWith("/routes/0/lane_prefix", "/"));
-  CHECK(IsTakenWith("/routes/0/apportion", Json::array()));
-  CHECK(IsTakenWith("/routes/0/tries", 0));
-  CHECK(IsTakenWith("/routes/0/target_ms", 0));
-  CHECK(IsTakenWith("/routes/1/apportion/0/share", 0));
-  CHECK(IsTakenWith("/routes/0/depot", "elsewhere.example"));
-  CHECK(IsTakenWith("/routes/1/lane_prefix", "/plain/longer/"));
-  CHECK(IsTakenWith("/senders/0/stamps", Json::array({"one", "one"})));
-  CHECK(IsTakenWith("/senders/0/stamps", Json::array()));
-  CHECK(IsTakenWith("/postal_lines/0/conn_limit", 1e12));
+  CHECK(IsAcceptedWith("/routes/0/carriage", "newer"));
+  CHECK(IsAcceptedWith("/routes/0/lane_prefix", "/"));
+  CHECK(IsAcceptedWith("/routes/0/apportion", Json::array()));
+  CHECK(IsAcceptedWith("/routes/0/tries", 0));
+  CHECK(IsAcceptedWith("/routes/0/target_ms", 0));
+  CHECK(IsAcceptedWith("/routes/1/apportion/0/share", 0));
+  CHECK(IsAcceptedWith("/routes/0/depot", "elsewhere.example"));
+  CHECK(IsAcceptedWith("/routes/1/lane_prefix", "/plain/longer/"));
+  CHECK(IsAcceptedWith("/senders/0/stamps", Json::array({"one", "one"})));
+  CHECK(IsAcceptedWith("/senders/0/stamps", Json::array()));
+  CHECK(IsAcceptedWith("/postal_lines/0/conn_limit", 1e12));
   Json sample = SampleConfiguration(7);
   sample.erase("senders");
   sample.erase("parcel_limits");
-  CHECK(IsTaken(sample));
+  CHECK(IsAccepted(sample));
 }
 
 TEST_CASE("A text that is not one complete JSON value is rejected") {
@@ -117,7 +117,7 @@
     INFO(length);
     REQUIRE(std::holds_alternative<Problem>(Parse(std::string_view(text).substr(0, length))));
   }
-  CheckProblem(RefusalOf(text.substr(0, 100)), "JSON", "byte 100");
+  CheckProblem(ProblemOf(text.substr(0, 100)), "JSON", "byte 100");
   CHECK(std::holds_alternative<Problem>(Parse(text + "}")));
   CHECK(std::holds_alternative<Problem>(Parse(text + "x")));
   CHECK(std::holds_alternative<Problem>(Parse(text + text)));
@@ -131,101 +131,101 @@
 TEST_CASE("A text that is not an object is rejected") {
   for (const char* text : {"[]", "7", "\"text\"", "null", "true", "1.5", "[{}]"}) {
     INFO(text);
-    CheckProblem(RefusalOf(text), "configuration", "the whole text");
+    CheckProblem(ProblemOf(text), "configuration", "the whole text");
   }
 }
 
 TEST_CASE("A value of the wrong type is rejected with its place") {
-  CheckProblem(RefusalWith("/edition", "7"), "edition", "the top level");
-  CheckProblem(RefusalWith("/edition", 7.5), "edition", "the top level");
-  CheckProblem(RefusalWith("/edition", 1e30), "edition", "the top level");
-  CheckProblem(RefusalWith("/routes", Json::object()), "routes", "the top level");
-  CheckProblem(RefusalWith("/routes/1", 3), "routes", "the top level");
-  CheckProblem(RefusalWith("/routes/1", nullptr), "routes", "the top level");
-  CheckProblem(RefusalWith("/routes/1", Json::array()), "routes", "the top level");
-  CheckProblem(RefusalWith("/routes/1/deadline_ms", "soon"), "deadline_ms", "routes[1]");
-  CheckProblem(RefusalWith("/routes/1/unstamped", 1), "unstamped", "routes[1] (split)");
-  CheckProblem(RefusalWith("/routes/1/apportion/1/share", "many"), "share", "routes[1].apportion[1]");
-  CheckProblem(RefusalWith("/routes/0/tries", 1.5), "tries", "routes[0] (plain)");
-  CheckProblem(RefusalWith("/postal_lines/0/fleet/minimum", true), "minimum", "postal_lines[0].fleet");
-  CheckProblem(RefusalWith("/senders/0/stamps", "one"), "stamps", "senders[0] (tenant)");
-  CheckProblem(RefusalWith("/senders/0/stamps/1", 2), "stamps", "senders[0] (tenant)");
-  CheckProblem(RefusalWith("/parcel_limits", 5), "parcel_limits", "the top level");
+  CheckProblem(ProblemWith("/edition", "7"), "edition", "the top level");
+  CheckProblem(ProblemWith("/edition", 7.5), "edition", "the top level");
+  CheckProblem(ProblemWith("/edition", 1e30), "edition", "the top level");
+  CheckProblem(ProblemWith("/routes", Json::object()), "routes", "the top level");
+  CheckProblem(ProblemWith("/routes/1", 3), "routes", "the top level");
+  CheckProblem(ProblemWith("/routes/1", nullptr), "routes", "the top level");
+  CheckProblem(ProblemWith("/routes/1", Json::array()), "routes", "the top level");
+  CheckProblem(ProblemWith("/routes/1/deadline_ms", "soon"), "deadline_ms", "routes[1]");
+  CheckProblem(ProblemWith("/routes/1/unstamped", 1), "unstamped", "routes[1] (split)");
+  CheckProblem(ProblemWith("/routes/1/apportion/1/share", "many"), "share", "routes[1].apportion[1]");
+  CheckProblem(ProblemWith("/routes/0/tries", 1.5), "tries", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/postal_lines/0/fleet/minimum", true), "minimum", "postal_lines[0].fleet");
+  CheckProblem(ProblemWith("/senders/0/stamps", "one"), "stamps", "senders[0] (tenant)");
+  CheckProblem(ProblemWith("/senders/0/stamps/1", 2), "stamps", "senders[0] (tenant)");
+  CheckProblem(ProblemWith("/parcel_limits", 5), "parcel_limits", "the top level");
 }
 
 TEST_CASE("An edition that is missing or not greater than 0 is rejected") {
-  CheckProblem(RefusalWith("/edition", 0), "edition", "the top level");
-  CheckProblem(RefusalWith("/edition", -3), "edition", "the top level");
-  CheckProblem(RefusalWith("/edition", nullptr), "edition", "the top level");
+  CheckProblem(ProblemWith("/edition", 0), "edition", "the top level");
+  CheckProblem(ProblemWith("/edition", -3), "edition", "the top level");
+  CheckProblem(ProblemWith("/edition", nullptr), "edition", "the top level");
   Json sample = SampleConfiguration(7);
   sample.erase("edition");
-  CheckProblem(RefusalOf(sample.dump()), "edition", "the top level");
+  CheckProblem(ProblemOf(sample.dump()), "edition", "the top level");
 }
 
 TEST_CASE("A configuration without the list of routes or services is rejected") {
   for (const std::string list : {"routes", "postal_lines"}) {
     Json sample = SampleConfiguration(7);
     sample.erase(list);
-    CheckProblem(RefusalOf(sample.dump()), list, "the top level");
+    CheckProblem(ProblemOf(sample.dump()), list, "the top level");
   }
-  CheckProblem(RefusalOf(R"({"edition":9,"upsert":{}})"), "routes", "the top level");
+  CheckProblem(ProblemOf(R"({"edition":9,"upsert":{}})"), "routes", "the top level");
 }
 
 TEST_CASE("A route to an unknown service is rejected") {
-  CheckProblem(RefusalWith("/routes/0/line", "nowhere"), "line", "routes[0] (plain)");
-  CheckProblem(RefusalWith("/routes/0/line", nullptr), "line", "routes[0] (plain)");
-  CheckProblem(RefusalWith("/routes/1/apportion/1/line", "nowhere"), "line", "routes[1] (split)");
-  CheckProblem(RefusalWith("/routes/1/line", "nowhere"), "line", "routes[1] (split)");
+  CheckProblem(ProblemWith("/routes/0/line", "nowhere"), "line", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/routes/0/line", nullptr), "line", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/routes/1/apportion/1/line", "nowhere"), "line", "routes[1] (split)");
+  CheckProblem(ProblemWith("/routes/1/line", "nowhere"), "line", "routes[1] (split)");
   Json unused = SampleConfiguration(7);
   unused["routes"][1]["apportion"][1] = {{"line", "nowhere"}, {"share", 0}};
-  CheckProblem(RefusalOf(unused.dump()), "line", "routes[1] (split)");
+  CheckProblem(ProblemOf(unused.dump()), "line", "routes[1] (split)");
 }
 
 TEST_CASE("Two routes with the same host and prefix are rejected") {
-  CheckProblem(RefusalWith("/routes/1/lane_prefix", "/plain/"), "lane_prefix", "routes[1] (split)");
+  CheckProblem(ProblemWith("/routes/1/lane_prefix", "/plain/"), "lane_prefix", "routes[1] (split)");
   Json sample = SampleConfiguration(7);
   sample["routes"][1]["lane_prefix"] = "/plain/";
   sample["routes"][1]["depot"] = "SHOP.example";
-  CheckProblem(RefusalOf(sample.dump()), "lane_prefix", "routes[1] (split)");
+  CheckProblem(ProblemOf(sample.dump()), "lane_prefix", "routes[1] (split)");
 }
 
 TEST_CASE("Weights that are negative or have a sum of 0 are rejected") {
   Json sample = SampleConfiguration(7);
   sample["routes"][1]["apportion"][0]["share"] = 0;
   sample["routes"][1]["apportion"][1]["share"] = 0.0;
-  CheckProblem(RefusalOf(sample.dump()), "apportion", "routes[1] (split)");
+  CheckProblem(ProblemOf(sample.dump()), "apportion", "routes[1] (split)");
   sample["routes"][1]["apportion"][1].erase("share");
-  CheckProblem(RefusalOf(sample.dump()), "apportion", "routes[1] (split)");
-  CheckProblem(RefusalWith("/routes/1/apportion/1/share", -10), "share", "routes[1] (split)");
+  CheckProblem(ProblemOf(sample.dump()), "apportion", "routes[1] (split)");
+  CheckProblem(ProblemWith("/routes/1/apportion/1/share", -10), "share", "routes[1] (split)");
 }
 
 TEST_CASE("A deadline that is 0, negative or missing is rejected") {
-  CheckProblem(RefusalWith("/routes/0/deadline_ms", 0), "deadline_ms", "routes[0] (plain)");
-  CheckProblem(RefusalWith("/routes/0/deadline_ms", -1), "deadline_ms", "routes[0] (plain)");
-  CheckProblem(RefusalWith("/routes/0/deadline_ms", nullptr), "deadline_ms", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/routes/0/deadline_ms", 0), "deadline_ms", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/routes/0/deadline_ms", -1), "deadline_ms", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/routes/0/deadline_ms", nullptr), "deadline_ms", "routes[0] (plain)");
 }
 
 TEST_CASE("Two tenants that share a key are rejected, and the key is not shown") {
-  const Problem problem = RefusalWith("/senders/1/stamps", Json::array({"four", "two"}));
+  const Problem problem = ProblemWith("/senders/1/stamps", Json::array({"four", "two"}));
   CheckProblem(problem, "stamps", "senders[1] (other)");
   CHECK(problem.Line().find("two") == std::string::npos);
 }
 
 TEST_CASE("Each item of a list needs a unique name") {
-  CheckProblem(RefusalWith("/routes/1/name", "plain"), "name", "routes[1] (plain)");
-  CheckProblem(RefusalWith("/postal_lines/1/name", "first"), "name", "postal_lines[1] (first)");
-  CheckProblem(RefusalWith("/senders/1/name", "tenant"), "name", "senders[1] (tenant)");
-  CheckProblem(RefusalWith("/routes/1/name", ""), "name", "routes[1]");
-  CheckProblem(RefusalWith("/postal_lines/1/name", nullptr), "name", "postal_lines[1]");
-  CheckProblem(RefusalWith("/senders/1/name", nullptr), "name", "senders[1]");
+  CheckProblem(ProblemWith("/routes/1/name", "plain"), "name", "routes[1] (plain)");
+  CheckProblem(ProblemWith("/postal_lines/1/name", "first"), "name", "postal_lines[1] (first)");
+  CheckProblem(ProblemWith("/senders/1/name", "tenant"), "name", "senders[1] (tenant)");
+  CheckProblem(ProblemWith("/routes/1/name", ""), "name", "routes[1]");
+  CheckProblem(ProblemWith("/postal_lines/1/name", nullptr), "name", "postal_lines[1]");
+  CheckProblem(ProblemWith("/senders/1/name", nullptr), "name", "senders[1]");
 }
 
 TEST_CASE("A route needs a host, and a prefix that begins and ends with a slash") {
   for (const char* prefix : {"", "plain/", "/plain", "plain"}) {
     INFO(prefix);
-    CheckProblem(RefusalWith("/routes/0/lane_prefix", prefix), "lane_prefix", "routes[0] (plain)");
+    CheckProblem(ProblemWith("/routes/0/lane_prefix", prefix), "lane_prefix", "routes[0] (plain)");
   }
-  CheckProblem(RefusalWith("/routes/0/depot", nullptr), "depot", "routes[0] (plain)");
+  CheckProblem(ProblemWith("/routes/0/depot", nullptr), "depot", "routes[0] (plain)");
 }
 
 }  // namespace
--- a/tests/system/configuration/patch_test.cpp
+++ b/tests/system/configuration/patch_test.cpp
@@ -80,8 +80,8 @@
 TEST_CASE("The result of a patch is validated like a complete configuration") {
   const std::string payload = Judge("", Put(0, SampleConfiguration(7))).new_payload;
   const auto refused = [&](const char* body) {
-    const ChangeResult judgement = Judge(payload, {ChangeRequest::Method::kPatch, 7, body});
-    return judgement.verdict == Verdict::kInvalid ? judgement.problem->key : "";
+    const ChangeResult result = Judge(payload, {ChangeRequest::Method::kPatch, 7, body});
+    return result.verdict == Verdict::kInvalid ? result.problem->key : "";
   };
   CHECK(refused(R"({"edition":8,"remove":{"postal_lines":["second"]}})") == "line");
   CHECK(refused(R"({"edition":8,"upsert":{"routes":[{"name":"x"}]}})") == "depot");
--- a/tests/system/configuration/sample.h
+++ b/tests/system/configuration/sample.h
@@ -45,7 +45,7 @@
 }
 
 // The problem found in `text`. If it is accepted, a Problem that matches no expectation.
-inline Problem RefusalOf(const std::string& text) {
+inline Problem ProblemOf(const std::string& text) {
   auto parsed = Parse(text);
   if (auto* problem = std::get_if<Problem>(&parsed)) return *problem;
   return {"taken", "taken", "taken"};
