--- a/tests/system/configuration/follower_test.cpp
+++ b/tests/system/configuration/follower_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "configuration/peers.h"
-#include "follower_world.h"
+#include "follower_testbed.h"
 
 namespace lichenlug::configuration {
 namespace {
--- a/tests/system/configuration/follower_world.cpp
+++ b/tests/system/configuration/follower_testbed.cpp
@@ -1,4 +1,4 @@
-#include "follower_world.h"
+#include "follower_testbed.h"
 
 #include <algorithm>
 
