--- a/src/configuration/follower.cpp
+++ b/src/configuration/follower.cpp
@@ -162,7 +162,7 @@
     SendDue(now, output);
   }
 
-  // `base`: what pushes from here tell the difference from, where it is kept.
+  // `base`: the revision that pushes from this dispatcher are a difference from, if it is still kept.
   void Install(Version version, std::uint64_t base, Arrival arrival, FollowerOutput* output) {
     versions_.Install(std::move(version));
     push_base_ = base;
