--- a/src/configuration/change.cpp
+++ b/src/configuration/change.cpp
@@ -49,8 +49,8 @@
                          0);
   }
   const std::uint64_t digest = Digest(request);
-  const auto& taken = state.taken_digests();
-  if (std::find(taken.rbegin(), taken.rend(), digest) != taken.rend()) {
+  const auto& accepted_digests = state.taken_digests();
+  if (std::find(accepted_digests.rbegin(), accepted_digests.rend(), digest) != accepted_digests.rend()) {
     return {Verdict::kAlreadyAccepted, "", std::nullopt, state.edition()};
   }
   if (request.if_match != state.edition()) return {Verdict::kConflict, "", std::nullopt, state.edition()};
