--- a/src/registry/anti_entropy.cpp
+++ b/src/registry/anti_entropy.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Time kDigestInterval = kSecond;
-constexpr Time kHurriedDigestInterval = 250 * kMillisecond;  // of a fresh process, and after a death
+constexpr Time kHurriedDigestInterval = 250 * kMillisecond;  // in a new process, and after a peer failed
 constexpr Time kHurry = 2 * kSecond;
-constexpr std::size_t kGreeters = 8;      // about so many compare with a newly live one at once
-constexpr int kMaxRecordsInRepair = 256;  // a message
+constexpr std::size_t kGreeters = 8;      // expected number of peers that send a newly live one a digest
+constexpr int kMaxRecordsInRepair = 256;  // per message
 
-// Splits records into updates that ask for no acknowledgement.
+// Splits records into updates that require no acknowledgement.
 class RepairWriter {
  public:
   RepairWriter(std::string address, RegistryOutput* output) : address_(std::move(address)), output_(output) {}
--- a/src/registry/anti_entropy.h
+++ b/src/registry/anti_entropy.h
@@ -1,6 +1,7 @@
-// Finds what the spread has missed: a digest to one other dispatcher a second, another to one of the core,
-// and what follows where they differ. An end that a majority of the core holds so reaches all who can ask the
-// core.
+// Anti-entropy: repairs what direct propagation has missed. Once a second a dispatcher sends a digest to one
+// random peer and another to one random core peer; where the hashes differ, the two exchange the missing
+// records. A drain or removal stored by a majority of the core thus reaches every dispatcher that can reach
+// the core.
 //
 //   A: digest with a hash  ->  B: its own digest, with entries  ->  A: the records that B lacks, and the ids
 //   of those that A lacks  ->  B: these records.
@@ -32,9 +33,10 @@
                RunnerTable* table, RegistryOutput* output);
   void AnswerWanted(Time now, const std::string& from_address, const messages::RegistryUpdate& update,
                     RunnerTable* table, RegistryOutput* output) const;
-  void TookUpdate(RunnerTable* table);  // after records were merged
+  void TookUpdate(RunnerTable* table);  // to be called after records were merged
 
-  // Whether this dispatcher has got the whole table of one that has it, or heard runners for long enough.
+  // Whether this dispatcher has received the complete table of a settled peer, or has received heartbeats for
+  // long enough.
   bool Settled(Time now) const;
 
  private:
@@ -45,13 +47,13 @@
   Time heartbeat_interval_;
   std::mt19937_64 random_;
   std::vector<std::string> peers_;
-  std::vector<std::string> core_peers_;  // those of them that count for the quorum
-  std::vector<std::string> greet_;       // newly live ones, to be compared with at once
+  std::vector<std::string> core_peers_;  // the peers that count for the quorum
+  std::vector<std::string> greet_;       // newly live peers, which are sent a digest immediately
   Time started_at_ = -1;
   Time next_at_ = 0;
-  Time hurry_until_ = 0;  // a dispatcher has died of late, maybe while it spread something
+  Time hurry_until_ = 0;  // set when a peer fails, as it may have been propagating a change
   bool settled_ = false;
-  std::map<std::string, Version> awaited_;  // what a settled dispatcher has and this one has asked for
+  std::map<std::string, Version> awaited_;  // requested from a settled peer, not yet received
 };
 
 }  // namespace lichenlug::registry
--- a/src/registry/end_receipts.h
+++ b/src/registry/end_receipts.h
@@ -1,5 +1,6 @@
-// Which dispatchers have said that they know of a runner's end (it drains, or is gone). An acknowledgement to
-// the runner binds all dispatchers, so it waits until enough of them are known to hold it. Pure.
+// Which dispatchers have acknowledged a runner's end (it drains, or was removed). An acknowledgement to the
+// runner is binding for all dispatchers, so it is sent only once enough of them are known to have stored the
+// end. Does no I/O.
 #pragma once
 
 #include <functional>
@@ -11,14 +12,14 @@
 
 class EndReceipts {
  public:
-  // `address` holds the end of this runner.
+  // The dispatcher at `address` has stored the end of this runner.
   void Add(const std::string& runner_id, const std::string& address);
   bool Has(const std::string& runner_id, const std::string& address) const;
-  // The runner lives, or is forgotten.
+  // For a runner that is alive again, or no longer tracked.
   void Drop(const std::string& runner_id) { receipts_.erase(runner_id); }
-  // Forgets all runners but those that are kept.
+  // Removes the receipts of all runners for which `is_kept` is false.
   void Keep(const std::function<bool(const std::string& runner_id)>& is_kept);
-  // A process that has started anew has forgotten all.
+  // For a peer that has restarted, and so has lost its table.
   void DropPeer(const std::string& address);
 
  private:
--- a/src/registry/hashing.h
+++ b/src/registry/hashing.h
@@ -1,4 +1,4 @@
-// A 64-bit hash that is the same in every build of every dispatcher: FNV-1a with a final mix.
+// A 64-bit hash with the same result in every build: FNV-1a with a finalizer.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
   return bits ^ (bits >> 31);
 }
 
-// Of the parts in order; where one part ends and the next begins counts.
+// Hashes the parts in order; the boundaries between them are part of the hash.
 constexpr std::uint64_t HashOf(std::initializer_list<std::string_view> parts) {
   std::uint64_t hash = 0xcbf29ce484222325u;
   const auto add = [&hash](unsigned char byte) { hash = (hash ^ byte) * 0x100000001b3u; };
--- a/src/registry/heartbeat_codec.cpp
+++ b/src/registry/heartbeat_codec.cpp
@@ -1,4 +1,4 @@
-// Reads the JSON body of a runner's heartbeat. The names that runners use on the wire stand here alone.
+// Parses the JSON body of a runner's heartbeat. The wire names are defined only in this file.
 #include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kLongestName = 256;
 constexpr std::size_t kMaxModels = 1024;
-constexpr std::size_t kMaxAdapters = 4096;  // of one model
+constexpr std::size_t kMaxAdapters = 4096;  // per model
 constexpr std::int64_t kMaxSlots = 1'000'000;
 
-// Reads members of one JSON object, and keeps the first thing wrong.
+// Reads members of one JSON object, and keeps the first error.
 class ObjectReader {
  public:
   ObjectReader(const Json& object, std::string place, std::string* error)
@@ -100,7 +100,7 @@
   if (models == nullptr) return;
   for (std::size_t i = 0; i < models->size() && error->empty(); ++i)
     ReadModel((*models)[i], "models[" + std::to_string(i) + "]", record, error);
-  // In one order, so that the same holdings told in another order are no change.
+  // Sorted, so that the same models in another order are not a change.
   std::sort(record->mutable_models()->begin(), record->mutable_models()->end(),
             [](const auto& left, const auto& right) { return left.name() < right.name(); });
 }
--- a/src/registry/homes.cpp
+++ b/src/registry/homes.cpp
@@ -8,9 +8,9 @@
 namespace lichenlug::registry {
 namespace {
 
-constexpr std::size_t kMaxHomes = 65536;  // services come and go; beyond this all are chosen anew
+constexpr std::size_t kMaxHomes = 65536;  // bounds the cache as services come and go; cleared when full
 
-// Drops those that do not fit, if any fits.
+// Removes the candidates that do not match, unless none matches.
 template <typename Fits>
 void KeepWhereAny(std::vector<const Homes::Candidate*>* candidates, Fits fits) {
   const auto fitting = [&](const Homes::Candidate* candidate) { return fits(*candidate); };
--- a/src/registry/homes.h
+++ b/src/registry/homes.h
@@ -1,8 +1,8 @@
-// Which dispatcher is the home of the runners of a service in a zone: the first by rendezvous hash among the
-// live ones of that zone, or among all where the zone has none. Only those that serve control are asked, and
-// of these, where there are any, those that count for the quorum: the few machines that hold the control
-// state have the links and the processors to spread the news of runners, those that clients reach may have
-// neither.
+// Which dispatcher is the home of the runners of a service in a zone: the first by rendezvous hashing among
+// the live ones of that zone, or among all if the zone has none. Only dispatchers that serve the control
+// endpoint are eligible, and those that count for the quorum are preferred if there are any: the few machines
+// that hold the control state have the network and processor capacity to propagate runner changes, which
+// client-facing ones may lack.
 #pragma once
 
 #include <map>
@@ -18,9 +18,9 @@
 struct Home {
   bool is_self = false;
   std::string name;
-  std::string address;          // empty: this dispatcher itself
-  std::string control_address;  // empty: this dispatcher itself
-  Time since = 0;               // when it became the home, as seen here
+  std::string address;          // empty: this dispatcher
+  std::string control_address;  // empty: this dispatcher
+  Time since = 0;               // when this dispatcher first saw it as the home
 };
 
 class Homes {
@@ -32,7 +32,7 @@
 
   Homes(Candidate self, bool prefers_stores);
 
-  void SetMembers(Time now, const std::vector<Member>& live);  // without this one
+  void SetMembers(Time now, const std::vector<Member>& live);  // excluding this one
   const Home& HomeOf(Time now, const std::string& service, const std::string& zone);
 
  private:
@@ -40,7 +40,7 @@
 
   const Candidate self_;
   const bool prefers_stores_;
-  std::vector<Candidate> dispatchers_;  // with this one
+  std::vector<Candidate> dispatchers_;  // including this one
   std::map<std::pair<std::string, std::string>, Home> homes_;
 };
 
--- a/src/registry/merge.cpp
+++ b/src/registry/merge.cpp
@@ -16,7 +16,7 @@
   return record.was_draining() || record.state() == messages::RUNNER_DRAINING;
 }
 
-// Carries "once draining" over to a record that has taken the place of another; true: that changed its state.
+// Carries the draining flag over to a record that replaced another. Returns whether its state changed.
 bool KeepDraining(bool has_drained, RunnerRecord* record) {
   if (!has_drained) return false;
   if (!IsAlive(record->state())) return record->set_was_draining(true), false;
--- a/src/registry/merge.h
+++ b/src/registry/merge.h
@@ -1,5 +1,5 @@
-// How two records of one runner become one. The merge is a join: of draining, of gone and of (call count,
-// lost) the greater is kept, each by itself, so the order and the number of merges do not matter.
+// Merges two records of one runner. The merge is a join: the maximum is kept separately for draining, for
+// gone and for (call count, lost), so it is commutative, associative and idempotent.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 // A runner as one dispatcher knows it.
 struct TrackedRunner {
   messages::RunnerRecord record;
-  std::uint64_t heard_count = 0;  // the highest call count known, of heartbeats without news too
-  Time last_heard = 0;            // when the call count last rose
-  Time ended_at = 0;              // when it was lost or gone
-  Time spread_at = 0;             // when this dispatcher last spread it; 0: never
+  std::uint64_t heard_count = 0;  // the highest call count seen, including heartbeats without changes
+  Time last_heard = 0;            // when the call count last increased
+  Time ended_at = 0;              // when it was declared lost or removed
+  Time spread_at = 0;             // when this dispatcher last propagated it; 0: never
 };
 
 // The part of a record that decides a merge.
@@ -27,23 +27,24 @@
 enum class MergeResult {
   kNothing,
   kChanged,
-  kRefuted,  // the record says lost, but a later heartbeat is known here: this one is to be spread instead
+  kRefuted,  // the record says lost, but a later heartbeat is known here: propagate the local record instead
 };
 
 bool IsAlive(messages::RunnerState state);  // ready or draining
 Version VersionOf(const messages::RunnerRecord& record);
 
-// Nothing follows the end that a runner told of, so no count is kept with it.
+// Marks a runner as removed. This state is final, so it needs no call count.
 void MarkGone(messages::RunnerRecord* record);
 
-// Whether all that is worth spreading is the same: anything but the count and the spans of time.
+// Whether the records are equal in everything that is propagated, that is all but the call count and
+// durations.
 bool SameNews(const messages::RunnerRecord& left, const messages::RunnerRecord& right);
 
 // Whether merging a record of version `offered` into one of version `held` would change it.
 bool WouldChange(const Version& held, const Version& offered);
 
-// Merges what another dispatcher tells into what is known here. `may_refute`: false where another runner has
-// the address by now.
+// Merges a record received from another dispatcher into the local one. `may_refute`: false if another runner
+// now has the address.
 MergeResult MergeRecord(const messages::RunnerRecord& offered, bool may_refute, TrackedRunner* runner);
 
 }  // namespace lichenlug::registry
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -8,13 +8,13 @@
 namespace lichenlug::registry {
 namespace {
 
-constexpr int kSilentHeartbeats = 3;           // after so many periods a runner counts as lost
-constexpr int kGraceHeartbeats = 1;            // more for a new home: runners have yet to find it
-constexpr Time kFreeze = kSecond;              // a longer pause between ticks says nothing of runners
-constexpr Time kLongestTick = kSecond / 4;     // between two looks for silent runners
-constexpr Time kNewsToNewPeers = 4 * kSecond;  // what was spread of late goes to a newly live one too
+constexpr int kSilentHeartbeats = 3;        // heartbeat intervals without a heartbeat until a runner is lost
+constexpr int kGraceHeartbeats = 1;         // added for a new home, as runners have yet to switch to it
+constexpr Time kFreeze = kSecond;           // a longer gap between ticks is a pause of this process
+constexpr Time kLongestTick = kSecond / 4;  // between two checks for silent runners
+constexpr Time kNewsToNewPeers = 4 * kSecond;  // changes this recent are also sent to a newly live peer
 
-// Shows the home that a runner which calls here is alive.
+// Notifies the home that a runner which reports to this dispatcher is alive.
 void PassOn(const Home& home, const TrackedRunner& runner, RegistryOutput* output) {
   if (!IsAlive(runner.record.state())) return;
   auto& send = output->sends.emplace_back();
@@ -108,7 +108,7 @@
 
 void Registry::Impl::Changed(Time now, TrackedRunner* runner, RegistryOutput* output) {
   if (!IsAlive(runner->record.state())) runner->ended_at = now;
-  receipts_.Drop(runner->record.runner_id());  // they were for an earlier record
+  receipts_.Drop(runner->record.runner_id());  // they are for the previous record
   runner->spread_at = now;
   spread_.Add(runner->record.runner_id());
   output->changed = true;
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -1,6 +1,6 @@
-// Which runners there are. Each service has a home dispatcher in each zone, to which its runners report;
-// whoever hears of a change spreads it to every live dispatcher until each has answered, and digests find
-// what was missed. A state machine.
+// The registry of runners. Each service has a home dispatcher in each zone, to which its runners send
+// heartbeats. A dispatcher that learns of a change propagates it to every live dispatcher, with retries until
+// each has acknowledged it; anti-entropy repairs what was missed. A state machine without I/O.
 #pragma once
 
 #include <cstdint>
@@ -23,21 +23,21 @@
 };
 struct RegistryOutput {
   std::vector<RegistrySend> sends;
-  bool changed = false;  // Runners() is another now
+  bool changed = false;  // whether Runners() has changed
 };
 
 struct RegistrySettings {
   std::string self_name;
   std::string zone;
-  bool serves_control = true;                     // this dispatcher; runners are sent only to such
-  bool counts_for_quorum = false;                 // this dispatcher
-  bool prefers_stores = true;                     // as homes, dispatchers that count for the quorum
+  bool serves_control = true;                     // whether this dispatcher can be the home of runners
+  bool counts_for_quorum = false;                 // whether this dispatcher does
+  bool prefers_stores = true;                     // prefer dispatchers that count for the quorum as homes
   Time heartbeat_interval = 1200 * kMillisecond;  // report_ms
   std::size_t max_runners = 20000;
   std::uint64_t seed = 0;
 };
 
-// The body of a runner's heartbeat, or a one-line reason why it can't be read.
+// Parses the body of a runner's heartbeat. Returns a one-line error message if it is invalid.
 std::variant<messages::RunnerRecord, std::string> ReadHeartbeat(std::string_view runner_id,
                                                                 std::string_view json);
 
@@ -48,26 +48,27 @@
 
   struct Answer {
     bool taken = false;     // false: the table is full
-    std::string report_to;  // the home's control address; empty: none to name
-    // The runner drains: not to be acknowledged before enough dispatchers are known to hold it.
+    std::string report_to;  // the control address of the home; empty: none known
+    // The runner drains: must not be acknowledged before enough dispatchers are known to have stored the
+    // drain.
     bool is_end = false;
   };
   Answer Heartbeat(Time now, const messages::RunnerRecord& record, RegistryOutput* output);
   void Delete(Time now, const std::string& runner_id, RegistryOutput* output);
-  // Of a runner that drains or is gone: whether this dispatcher holds it, and the one at `address` has said
-  // so.
+  // For a runner that drains or was removed: whether the dispatcher at `address` has acknowledged that.
   bool EndIsKnownAt(const std::string& runner_id, const std::string& address) const;
-  // Tells those of them that have not said so.
+  // Sends the end to those of the addresses that have not acknowledged it.
   void TellEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
                RegistryOutput* output);
   void Receive(Time now, const std::string& from_address, const messages::RegistryMessage& message,
                RegistryOutput* output);
-  void SetMembers(Time now, const std::vector<Member>& live, RegistryOutput* output);  // without this one
+  void SetMembers(Time now, const std::vector<Member>& live, RegistryOutput* output);  // excluding this one
   void Tick(Time now, RegistryOutput* output);
   std::optional<Time> NextTimer() const;
 
   std::vector<messages::RunnerRecord> Runners() const;  // ready and draining, by id
-  // For a fresh process: knows the table of a settled dispatcher, or has listened for 2.5 heartbeat periods.
+  // Whether a new process has received the table of a settled dispatcher, or has run for 2.5 heartbeat
+  // intervals.
   bool Settled(Time now) const;
 
  private:
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -1,4 +1,4 @@
-// The parts of a registry put together; what each does stands with it.
+// Implementation of Registry, which combines the components declared in the included headers.
 #pragma once
 
 #include <optional>
@@ -33,40 +33,41 @@
   bool Settled(Time now) const { return anti_entropy_.Settled(now); }
 
  private:
-  // Heartbeats and silence (registry.cpp).
+  // Heartbeats and expiry (registry.cpp).
 
-  // A heartbeat of a known runner; true: it was news.
+  // Handles a heartbeat of a known runner. Returns whether it changed the record.
   bool TakeHeartbeat(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
                      RegistryOutput* output);
-  // An old heartbeat changes nothing, but that its runner drains holds from then on, as it is acknowledged.
+  // A stale heartbeat changes nothing, except that a drain in it takes effect, because it is acknowledged to
+  // the runner.
   bool TakeLateDrain(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
                      RegistryOutput* output);
-  // A runner that was lost does not come back while another one reports from its address.
+  // Whether the runner may be alive: a lost runner stays lost while another one reports from its address.
   bool MayLive(Time now, const TrackedRunner& runner, const std::string& address);
-  // Another runner at the address of this one must have ended.
+  // Marks any other runner with the address of this one as lost, as it must have ended.
   void TakeAddress(Time now, const TrackedRunner& runner, RegistryOutput* output);
   void Lose(Time now, TrackedRunner* runner, RegistryOutput* output);
-  // Takes note of a change made here, to be spread.
+  // Records a local change and queues it for propagation.
   void Changed(Time now, TrackedRunner* runner, RegistryOutput* output);
-  // Only the home of a runner declares it lost.
+  // Declares silent runners lost; only the home of a runner does that.
   void Expire(Time now, RegistryOutput* output);
-  Time HomeTimeout() const;  // of a new home with its runners
+  Time HomeTimeout() const;  // how long a new home waits before it declares runners lost
   const Home& HomeOf(Time now, const messages::RunnerRecord& record);
 
-  // What other dispatchers tell (registry_receive.cpp).
+  // Messages from other dispatchers (registry_receive.cpp).
 
   void ReceiveUpdate(Time now, const std::string& from_address, const messages::RegistryUpdate& update,
                      RegistryOutput* output);
-  // A dispatcher that was cut off may count runners as lost that others hear well. Found by a digest alone,
-  // such a loss is put to the runner's home, which confirms or refutes it to all; a home that is new has yet
-  // to hear its runners.
+  // A dispatcher that was partitioned may have declared runners lost that still report to others. A loss
+  // learned through anti-entropy is therefore forwarded to the runner's home, which confirms or refutes it to
+  // all. It is ignored while the home is new, as runners have yet to report to it.
   enum class Loss { kTake, kIgnore, kAskHome };
   Loss JudgeLoss(Time now, const std::string& from_address, const messages::RunnerRecord& record);
   void ReceiveRecord(Time now, const std::string& from_address, const messages::RunnerRecord& record,
                      bool is_spread, RegistryOutput* output);
-  // The peer holds what was sent to it; an end that it holds is noted.
+  // The peer has acknowledged these records; records a receipt for each that is an end.
   void NoteHeld(const std::string& address, const std::vector<std::string>& runner_ids);
-  // A heartbeat without news that reached another dispatcher.
+  // Handles the notice of a heartbeat without changes that another dispatcher received.
   void ReceiveAlive(Time now, const messages::RegistryUpdate::Alive& alive, RegistryOutput* output);
 
   RegistrySettings settings_;
@@ -76,7 +77,7 @@
   EndReceipts receipts_;
   AntiEntropy anti_entropy_;
   std::optional<Time> last_tick_;
-  Time thawed_at_ = 0;  // end of the last freeze of this process
+  Time thawed_at_ = 0;  // end of the last pause of this process
   Time next_watch_ = 0;
 };
 
--- a/src/registry/registry_receive.cpp
+++ b/src/registry/registry_receive.cpp
@@ -1,4 +1,4 @@
-// What other dispatchers tell a registry.
+// Handles messages from other dispatchers.
 #include <utility>
 
 #include "registry/registry_impl.h"
@@ -67,7 +67,7 @@
 void Registry::Impl::ReceiveRecord(Time now, const std::string& from_address,
                                    const messages::RunnerRecord& record, bool is_spread,
                                    RegistryOutput* output) {
-  const bool is_home = HomeOf(now, record).is_self;  // its watch begins now at the latest
+  const bool is_home = HomeOf(now, record).is_self;  // also starts the timeout of the home
   TrackedRunner* runner = table_.Find(record.runner_id());
   if (runner == nullptr) {
     if (!RunnerTable::WorthLearning(record) || table_.Add(now, record) == nullptr) return;
@@ -88,7 +88,7 @@
   } else if (result == MergeResult::kChanged) {
     output->changed = true;
     spread_.SendAnew(record.runner_id());
-    // A loss that was put to this home is confirmed to all.
+    // This dispatcher is the home and confirms the forwarded loss to all.
     if (is_home && !is_spread && record.state() == messages::RUNNER_LOST) Changed(now, runner, output);
   } else if (!is_alive && (IsAlive(record.state()) || !is_spread)) {
     // The sender does not know that the runner has ended.
--- a/src/registry/spread.cpp
+++ b/src/registry/spread.cpp
@@ -9,12 +9,12 @@
 namespace lichenlug::registry {
 namespace {
 
-// From the second repeat on the wait doubles, up to a bound (RFC 6298, section 5.5): an answer that is late
-// because links are full must not fill them further.
+// From the second retransmission on the wait doubles, up to a bound (RFC 6298, section 5.5), so that
+// acknowledgements delayed by congestion do not cause more of it.
 constexpr int kMaxRepeatsCounted = 3;
-// Of messages that held a record; the acknowledgement of an older one is not counted.
+// Message numbers remembered per record; the acknowledgement of an older message is ignored.
 constexpr std::size_t kMaxNumbersKept = 4;
-// Changes in a message, but for ends: so much may be on the way to each peer at a time.
+// Changes per message, not counting ends; this bounds the unacknowledged changes of each peer.
 constexpr std::size_t kMaxChangesAtOnce = 8;
 
 }  // namespace
@@ -126,7 +126,8 @@
   pending->repeat_at = now + std::min(wait, kLongestRepeatAfter);
 }
 
-// Those alive first: a runner that has the address of another by now is known before that one's end.
+// Live runners come first, so that a runner that took over an address is known before the end of the previous
+// runner there.
 std::vector<std::string> Spread::TakeDue(Time now, const Peer& peer, RunnerTable* table) const {
   std::vector<std::string> changes, ends;
   for (const auto& [runner_id, pending] : peer.pending) {
--- a/src/registry/table.cpp
+++ b/src/registry/table.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr Time kKeepEnded = 120 * kSecond;
-constexpr Time kCompareEnded = 60 * kSecond;  // well below, so that nobody learns anew what others forget
+constexpr Time kCompareEnded =
+    60 * kSecond;  // well below kKeepEnded, so that removed entries are not relearned
 constexpr std::size_t kMaxEnded = 4096;
 
 bool InDigest(Time now, const TrackedRunner& runner) {
--- a/src/registry/table.h
+++ b/src/registry/table.h
@@ -1,5 +1,5 @@
-// The runners that one dispatcher knows, with those that ended of late, so that old news of them changes
-// nothing.
+// The runners that one dispatcher knows, including tombstones of those that ended recently, so that stale
+// records of them have no effect.
 #pragma once
 
 #include <cstddef>
@@ -19,24 +19,25 @@
   explicit RunnerTable(std::size_t max_runners) : max_runners_(max_runners) {}
 
   TrackedRunner* Find(const std::string& runner_id);
-  // A new entry, or null where the table is full.
+  // Adds an entry; null if the table is full.
   TrackedRunner* Add(Time now, const messages::RunnerRecord& record);
   // Another runner that is alive and has this address, or null.
   TrackedRunner* HolderOfAddress(const std::string& address, const std::string& other_than);
   std::vector<messages::RunnerRecord> Alive() const;  // by id
   std::map<std::string, TrackedRunner>& runners() { return runners_; }
 
-  // Forgets those that ended long ago, and the oldest of too many.
+  // Removes runners that ended long ago, and the oldest ones beyond the limit.
   void DropEnded(Time now);
 
-  // What digests compare. Those that ended some time ago are left out, as dispatchers forget them one by one.
+  // The hash that digests compare. Runners that ended some time ago are left out, as dispatchers remove them
+  // at different times.
   std::uint64_t Hash(Time now) const;
   void Describe(Time now, messages::RegistryDigest* digest) const;
-  // Whether a record that ended so long ago is still worth taking in, where its runner is not known.
+  // Whether to accept a record of an unknown runner: not if it ended too long ago.
   static bool WorthLearning(const messages::RunnerRecord& record);
-  // When a runner ended that another dispatcher tells of.
+  // When the runner of a received record ended, in local time.
   static Time EndedAt(Time now, const messages::RunnerRecord& record);
-  // The record to be sent, with its age.
+  // The record to send, with the time since its end.
   static messages::RunnerRecord ToSend(Time now, const TrackedRunner& runner);
 
  private:
