--- a/src/duties/agreed_order.cpp
+++ b/src/duties/agreed_order.cpp
@@ -7,7 +7,7 @@
 namespace lichenlug::duties {
 namespace {
 
-// FNV-1a over both, with the finalizer of SplitMix64.
+// FNV-1a over both names, with the finalizer of SplitMix64.
 std::uint64_t RankOf(const std::string& register_name, const std::string& name) {
   std::uint64_t hash = 0xcbf29ce484222325u;
   const auto add = [&hash](char letter) {
--- a/src/duties/candidates.cpp
+++ b/src/duties/candidates.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::uint64_t kMinBetweenLives = 100 * kMillisecond;
 
-// A life begins with the time of its start as its incarnation, in microseconds; each objection of the member
-// to a suspicion raises it by one.
+// A process uses its start time in microseconds as its incarnation, and increments it each time it refutes a
+// suspicion. Incarnations that are close together therefore belong to the same process.
 bool IsSameLife(std::uint64_t left, std::uint64_t right) {
   return std::max(left, right) - std::min(left, right) < kMinBetweenLives;
 }
--- a/src/duties/candidates.h
+++ b/src/duties/candidates.h
@@ -1,4 +1,4 @@
-// The members that may hold a duty, as seen from one dispatcher, and what they tell of its owner.
+// The candidates for a duty, as seen by one dispatcher, and the status of the duty's owner.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +18,12 @@
 
   void SetMembers(const std::vector<Member>& live);
 
-  // Live, and not about to leave the duty as it drains.
+  // Whether the owner is live and not draining.
   bool IsServing(const Holder& owner) const;
-  // Live again in a later life: the one that held the duty acts no more.
+  // Whether the owner's process has ended, as a later incarnation of the member was seen live.
   bool HasEnded(const Holder& owner) const;
-  // How many live candidates come before this dispatcher, none if it is no candidate. The owner's machine is
-  // left out in any life, as a new life has to wait.
+  // The number of live candidates ahead of this dispatcher; none if it is not a candidate. The owner's member
+  // is not counted, whatever its incarnation, as after a restart it must wait before it may take over.
   std::optional<int> Position(const Holder& owner) const;
 
  private:
@@ -32,7 +32,7 @@
   std::vector<Member> live_;
   std::vector<Member> order_;
   std::map<std::string, std::uint64_t> incarnations_;  // the latest seen live, by name
-  std::map<std::string, std::uint64_t> ended_lives_;   // the latest known to be over, by name
+  std::map<std::string, std::uint64_t> ended_lives_;   // the latest known to have ended, by name
 };
 
 }  // namespace lichenlug::duties
--- a/src/duties/demand_reports.cpp
+++ b/src/duties/demand_reports.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Time kFadesAfter = 4 * kSecond;  // a dispatcher that has told nothing for this long counts no more
+constexpr Time kFadesAfter = 4 * kSecond;  // since the last report of a dispatcher
 constexpr std::size_t kMaxDispatchers = 8192;
 
 bool IsOlder(const messages::DemandReport& a, const messages::DemandReport& b) {
--- a/src/duties/demand_reports.h
+++ b/src/duties/demand_reports.h
@@ -1,5 +1,5 @@
-// What the dispatchers have told of the demand they see, each by its newest report. Not a duty's state: it is
-// lost with the process, and told anew within a second.
+// The demand observed by each dispatcher, from its latest report. Not persistent: it is lost with the
+// process, and reported again within a second.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 class DemandReports {
  public:
-  // Returns whether some model's requests can not be served at its teller. An older report than the one held
-  // is left out; so is a further dispatcher beyond the bound.
+  // Returns whether the reporting dispatcher can't serve the requests for some model. Ignores reports older
+  // than the stored one, and reports of new dispatchers once the maximum is reached.
   bool Merge(Time now, const messages::DemandReport& report);
 
-  // Of the dispatchers heard of late; the others are forgotten.
+  // Returns the recent reports and removes expired ones.
   std::vector<messages::DemandReport> Recent(Time now);
 
  private:
--- a/src/duties/load_history.cpp
+++ b/src/duties/load_history.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kMaxServices = 256;
-constexpr Time kForgetAfter = 60 * kSecond;  // longer than any window of the store's ceiling
+constexpr Time kForgetAfter = 60 * kSecond;  // longer than any rate limit window of the weight store
 
 }  // namespace
 
--- a/src/duties/load_history.h
+++ b/src/duties/load_history.h
@@ -1,5 +1,5 @@
-// How many loads from the weight store an owner may have begun of late, as a register of duties tells it, and
-// what a dispatcher that takes over has to assume.
+// How many loads from the weight store an owner may have started recently, as recorded in a register of
+// duties, and what a dispatcher that takes over has to assume.
 #pragma once
 
 #include <string>
@@ -10,14 +10,16 @@
 
 namespace lichenlug::duties {
 
-// As far as anybody else can know `elapsed` after a renewal was seen: its loads are that much older; what it
-// allowed, and what was not settled, may begin until now.
+// Advances a history to `elapsed` after its renewal was seen, as far as another dispatcher can know: its
+// loads are that much older, and the loads that it allowed or that were not settled may have started as late
+// as now.
 void AgeLoads(Time elapsed, messages::LoadHistory* history);
 
-// Replaces the histories of the services that are told; those of others stay, and look younger than they are.
+// Replaces the histories of the given services. Those of other services stay unchanged, so their loads appear
+// more recent than they are.
 void ReplaceLoads(const std::vector<messages::LoadHistory>& told, messages::OwnershipState* state);
 
-// Null where the state tells nothing of the service.
+// Null if the state has no history of the service.
 const messages::LoadHistory* FindLoads(const messages::OwnershipState& state, const std::string& service);
 
 }  // namespace lichenlug::duties
--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -13,7 +13,7 @@
 using messages::OwnershipState;
 using messages::WindowCount;
 
-constexpr Time kMargin = 400 * kMillisecond;  // for clocks that do not run alike
+constexpr Time kMargin = 400 * kMillisecond;  // allows for clock drift
 constexpr Time kReadInterval = 500 * kMillisecond;
 constexpr Time kRetryAfter = 150 * kMillisecond;
 constexpr Time kLongestOperation = kSecond;
@@ -58,7 +58,7 @@
 
   void Tick(Time now, OwnershipOutput* output) {
     Begin(now);
-    if (running_ && now > running_->deadline + kLongestOperation) {  // it will not be answered any more
+    if (running_ && now > running_->deadline + kLongestOperation) {  // no answer will arrive any more
       running_.reset();
       Failed(now);
     }
@@ -130,7 +130,8 @@
   }
 
  private:
-  // A fresh process does not know whether its life before held the duty a moment ago.
+  // A new process can't know whether its previous incarnation held the duty until a moment ago, so it waits
+  // for a whole lease.
   void Begin(Time now) {
     if (std::exchange(has_begun_, true)) return;
     may_take_at_ = now + settings_.lease + kMargin;
@@ -156,8 +157,8 @@
     return plan;
   }
 
-  // The first candidate takes over. The second one does later, should the first be live but unable; and an
-  // owner that is live but does not renew is replaced later too.
+  // The first candidate takes over. The second does so after a longer wait, in case the first is live but
+  // unable to act; an owner that is live but does not renew is also replaced after the longer wait.
   std::optional<Plan> PlanTakeOver() const {
     const std::optional<int> position = candidates_.Position(Owner());
     const bool owner_is_live = candidates_.IsServing(Owner());
@@ -221,12 +222,13 @@
     DropChosenTallies();
   }
 
-  // The attempt that led to this renewal had begun by then, and no other leads to it.
+  // When the renewal was first seen here. If the local replica was asked to accept it, the attempt that led
+  // to it had started by then, and no other attempt leads to the same renewal.
   Time SeenAt(Time now, const OwnershipState& state) const {
     return heard_ && heard_->renewal == RenewalOf(state) ? heard_->at : now;
   }
 
-  // One that held the duty takes it again only a whole lease after it could last act.
+  // A former holder may take the duty again only a whole lease after it could last act.
   void Lost() {
     if (lease_started_at_) {
       const Time acted_until = resigned_ ? std::min(LeaseEnd(), resigned_at_) : LeaseEnd();
@@ -258,13 +260,13 @@
   bool resigned_ = false;
   Time resigned_at_ = 0;
 
-  OwnershipState state_;                  // as last seen chosen
-  std::optional<Time> observed_since_;    // when the present renewal was first seen
-  std::optional<Heard> heard_;            // the last renewal that the replica here was asked to accept
-  std::optional<Time> lease_started_at_;  // start of the last renewal of this dispatcher that was chosen
+  OwnershipState state_;                  // the last state known to be chosen
+  std::optional<Time> observed_since_;    // when the current renewal was first seen
+  std::optional<Heard> heard_;            // the last renewal that the local replica was asked to accept
+  std::optional<Time> lease_started_at_;  // start of this dispatcher's last renewal that was chosen
   bool has_begun_ = false;
   Time may_take_at_ = 0;
-  std::vector<WindowCount> tallies_;  // to be chosen, in order
+  std::vector<WindowCount> tallies_;  // not yet chosen, by window
 
   std::optional<Operation> running_;
   std::uint64_t last_tag_ = 0;
--- a/src/duties/ownership_changes.cpp
+++ b/src/duties/ownership_changes.cpp
@@ -13,7 +13,7 @@
 using consensus::NewPayload;
 using messages::OwnershipState;
 
-constexpr int kMaxTallies = 16;  // the newest; older ones are long past their time
+constexpr int kMaxTallies = 16;  // the newest are kept; older ones are past their deadline
 
 Holder OwnerOf(const OwnershipState& state) { return {state.owner(), state.owner_incarnation()}; }
 
@@ -61,7 +61,7 @@
     std::optional<OwnershipState> state = ReadState(payload);
     if (!state) return KeepPayload{kUnreadable};
     if (OwnerOf(*state) != owner || state->epoch() != epoch) return KeepPayload{kNotOwner};
-    // No two attempts lead to the same renewal: one that comes after a later one changes nothing.
+    // No two attempts lead to the same renewal: one that is applied after a later one has no effect.
     if (state->renewals() >= attempt) return KeepPayload{kWasRenewed};
     state->set_renewals(attempt);
     for (const auto& tally : tallies) AddTally(tally, &*state);
--- a/src/duties/ownership_changes.h
+++ b/src/duties/ownership_changes.h
@@ -1,5 +1,5 @@
-// The changes that dispatchers make to the state of a duty in its register, as pure functions of the payload
-// found.
+// The changes that dispatchers make to the state of a duty in its register, as pure functions of its current
+// payload.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace lichenlug::duties {
 
-// One life of one dispatcher.
+// One process of a dispatcher.
 struct Holder {
   std::string name;
   std::uint64_t incarnation = 0;
@@ -21,7 +21,7 @@
   bool operator==(const Holder&) const = default;
 };
 
-// What identifies one renewal of one lease: while it stays the same, nobody has renewed or taken over.
+// Identifies one renewal of one lease: as long as it is unchanged, there was no renewal or takeover.
 struct Renewal {
   Holder owner;
   std::uint64_t epoch = 0;
@@ -30,11 +30,11 @@
   bool operator==(const Renewal&) const = default;
 };
 
-enum KeepReason {  // of KeepPayload
+enum KeepReason {  // for KeepPayload
   kOnlyRead = 1,
-  kNotOwner = 2,    // another owns it, or another epoch runs
-  kWasRenewed = 3,  // it is not as observed any more
-  kUnreadable = 4,  // the payload is no state of a duty
+  kNotOwner = 2,    // the owner or the epoch is another one
+  kWasRenewed = 3,  // the renewal is not the one that was observed, or is a later one
+  kUnreadable = 4,  // the payload can't be parsed
 };
 
 std::optional<messages::OwnershipState> ReadState(
@@ -42,18 +42,18 @@
 Renewal RenewalOf(const messages::OwnershipState& state);
 
 consensus::ChangeFunction ReadOnly();
-// A take-over and a renewal are given the number that their dispatcher has for this attempt, higher than any
-// it saw or used before: so no two attempts lead to the same renewal.
+// Takeovers and renewals take an attempt number that is higher than any that their dispatcher has seen or
+// used, so that no two attempts lead to the same renewal.
 
-// Takes over what is still as observed `elapsed` ago, in the next epoch.
+// Takes over in the next epoch, if the state still has the renewal that was observed `elapsed` ago.
 consensus::ChangeFunction TakeOver(const Renewal& observed, const Holder& taker, std::uint64_t attempt,
                                    Time elapsed);
-// Renews the lease of an epoch, adds tallies of windows later than those that are chosen, and replaces the
-// histories of the services that are told.
+// Renews the lease of an epoch, adds tallies of windows later than the chosen ones, and replaces the load
+// histories of the given services.
 consensus::ChangeFunction Renew(const Holder& owner, std::uint64_t epoch, std::uint64_t attempt,
                                 std::vector<messages::WindowCount> tallies,
                                 std::vector<messages::LoadHistory> loads);
-// Leaves the duty without owner; the epoch stays.
+// Leaves the duty without an owner; the epoch is unchanged.
 consensus::ChangeFunction GiveUp(const Holder& owner, std::uint64_t epoch,
                                  std::vector<messages::LoadHistory> loads);
 
--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -11,10 +11,10 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr Time kReportsInFlight = 2500 * kMillisecond;  // time for the last reports of a window to arrive
+constexpr Time kReportsInFlight = 2500 * kMillisecond;  // allowed for the last reports of a window to arrive
 constexpr Time kChooseAgainAfter = kSecond;
 constexpr std::int64_t kMaxChosenAtOnce = 8;
-constexpr int kOverLate = 4;  // after so many times the allowed lateness a window is given up
+constexpr int kOverLate = 4;  // multiple of the allowed lateness after which a window is dropped
 constexpr Time kCallInterval = 250 * kMillisecond;
 constexpr Time kShortestBackoff = 250 * kMillisecond, kLongestBackoff = 2 * kSecond;
 constexpr Time kCallTime = kSecond;
@@ -62,7 +62,7 @@
     std::int64_t window = 0;
     Time deadline = 0;
   };
-  struct Retry {  // of a window that is chosen and not acknowledged
+  struct Retry {  // of a window that is chosen but not acknowledged
     int failures = 0;
     Time next_at = 0;
   };
@@ -110,13 +110,13 @@
   }
 
   void Post(Time now, Time wall_now, const messages::OwnershipState& state, Output* output) {
-    if (call_ && now > call_->deadline + kCallInterval) {  // it will not be answered any more
+    if (call_ && now > call_->deadline + kCallInterval) {  // no answer will arrive any more
       PutOff(now, call_->window);
       call_.reset();
     }
     if (!state.tallies().empty()) Forget(state.tallies(0).window());
     if (call_ || now < next_call_at_) return;
-    const messages::WindowCount* next = nullptr;  // the oldest that is in time, else the oldest
+    const messages::WindowCount* next = nullptr;  // the oldest that is not late, else the oldest
     for (const auto& tally : state.tallies()) {
       if (done_.contains(tally.window()) || IsOverLate(tally.window(), wall_now)) continue;
       if (now < retries_[tally.window()].next_at) continue;
@@ -145,9 +145,9 @@
   UsageCounts counts_;
 
   std::uint64_t epoch_ = 0;
-  bool is_refused_ = false;                   // in this epoch, by the platform
-  std::optional<std::int64_t> first_window_;  // that this dispatcher has acted in
-  std::map<std::int64_t, Time> proposed_;     // when each was last given to be chosen
+  bool is_refused_ = false;                   // whether the platform has refused this epoch
+  std::optional<std::int64_t> first_window_;  // the window in which this dispatcher first acted
+  std::map<std::int64_t, Time> proposed_;     // when each window was last proposed to the register
   std::set<std::int64_t> done_;               // acknowledged by the platform, or too late to be repeated
   std::map<std::int64_t, Retry> retries_;
 
--- a/src/duties/usage.h
+++ b/src/duties/usage.h
@@ -1,6 +1,6 @@
-// Usage reports: what every dispatcher counted by window and tenant, merged idempotently; the tally of a
-// window is chosen once in the register of the duty, then told to the platform exactly so until it is
-// acknowledged. A state machine.
+// Usage reporting: the counts of every dispatcher by window and tenant are merged idempotently; the tally of
+// a window is chosen once in the register of the duty, then sent to the platform unchanged until it is
+// acknowledged. A state machine without I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace lichenlug::duties {
 
-// One call to the platform or a runner, made by the control plane; the answer comes back with the same tag.
+// One call to the platform or a runner, made by the control plane; its result must have the same tag.
 struct HttpCall {
   std::uint64_t tag = 0;
   std::string address;  // "ip:port"; empty: the platform
@@ -23,8 +23,8 @@
   std::string body;         // JSON
   std::uint64_t fence = 0;  // sent in the headers to the platform
   Time timeout = kSecond;
-  std::string
-      expect_runner;  // id of the runner that is meant: any other one at this address refuses the call
+  // Id of the intended runner: any other runner at this address refuses the call.
+  std::string expect_runner;
 };
 struct HttpResult {
   int status = 0;  // 0: no answer
@@ -39,18 +39,18 @@
   };
   struct Output {
     std::vector<HttpCall> calls;
-    std::vector<messages::WindowCount> choose;  // tallies to be chosen in the register
+    std::vector<messages::WindowCount> choose;  // tallies to propose to the register
   };
 
   explicit UsageDuty(Settings settings);
   ~UsageDuty();
 
   void Merge(Time wall_now, const messages::UsageReport& report);  // on every dispatcher with a store
-  // On the holder only: `state` is the register's, `wall_now` true Unix time.
+  // On the holder only: `state` is that of the register, `wall_now` is Unix time.
   void Act(Time now, Time wall_now, std::uint64_t epoch, const messages::OwnershipState& state,
            Output* output);
   void Completed(Time now, std::uint64_t tag, const HttpResult& result, Output* output);
-  // Tells all counts of recent windows, so that a new holder has them.
+  // All counts of recent windows, to be sent to other dispatchers so that a new holder has them.
   std::vector<messages::UsageReport> Reports() const;
 
  private:
--- a/src/duties/usage_codec.cpp
+++ b/src/duties/usage_codec.cpp
@@ -10,7 +10,7 @@
   nlohmann::json counts = nlohmann::json::object();
   for (const auto& entry : tally.counts()) counts[entry.tenant()] = entry.count();
   const nlohmann::json body = {{"window_no", tally.window()}, {"tallies", std::move(counts)}};
-  // A tenant's name that is no UTF-8 must not stop the report.
+  // A tenant name that is not valid UTF-8 must not prevent the report.
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/duties/usage_codec.h
+++ b/src/duties/usage_codec.h
@@ -1,4 +1,4 @@
-// The body of a usage report to the platform. Its names on the wire stand in usage_codec.cpp alone.
+// The body of a usage report to the platform. The wire names are defined only in usage_codec.cpp.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 extern const char* const kUsagePath;
 
-// The same tally always gives the same bytes.
+// Deterministic: equal tallies give equal bytes.
 std::string WriteUsage(const messages::WindowCount& tally);
 
 }  // namespace lichenlug::duties
--- a/src/duties/usage_counts.cpp
+++ b/src/duties/usage_counts.cpp
@@ -5,10 +5,10 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr std::int64_t kFewestWindows = 12, kMaxWindows = 64;  // that are kept
-constexpr std::int64_t kWindowsAhead = 1;                      // clocks of dispatchers differ a little
+constexpr std::int64_t kFewestWindows = 12, kMaxWindows = 64;  // kept windows
+constexpr std::int64_t kWindowsAhead = 1;                      // allows for clock skew between dispatchers
 constexpr std::size_t kMaxLives = 8192;
-constexpr std::size_t kMaxTenants = 4096;  // of one life in one window
+constexpr std::size_t kMaxTenants = 4096;  // per process and window
 
 }  // namespace
 
--- a/src/duties/usage_counts.h
+++ b/src/duties/usage_counts.h
@@ -1,5 +1,5 @@
-// What dispatchers counted, by window and tenant. Reports are cumulative within a life of a dispatcher, so
-// the greatest count of a life is the truth, and lives add up; merging a report again changes nothing.
+// The counts of all dispatchers, by window and tenant. Reports are cumulative within one dispatcher process,
+// so the maximum per process is its count, and the counts of processes are summed. Merging is idempotent.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
  public:
   explicit UsageCounts(std::int64_t kept_windows);
 
-  // `newest`: the window that runs now. Windows long past, and those that have yet to come, are left out.
+  // `newest`: the current window. Windows long past or too far in the future are ignored.
   void Merge(const messages::UsageReport& report, std::int64_t newest);
 
-  messages::WindowCount Tally(std::int64_t window) const;  // by name of tenant, none with 0
-  std::optional<std::int64_t> OldestWindow() const;        // with any count
+  messages::WindowCount Tally(std::int64_t window) const;  // ordered by tenant, without zero counts
+  std::optional<std::int64_t> OldestWindow() const;        // that has a nonzero count
   std::vector<messages::UsageReport> Reports() const;
 
  private:
   using Counts = std::map<std::string, std::uint64_t>;  // by tenant
   using Windows = std::map<std::int64_t, Counts>;
-  using Life = std::pair<std::string, std::uint64_t>;  // of a dispatcher: name and incarnation
+  using Life = std::pair<std::string, std::uint64_t>;  // a dispatcher process: name and incarnation
 
   void DropBefore(std::int64_t oldest);
 
--- a/src/duties/usage_handover.h
+++ b/src/duties/usage_handover.h
@@ -1,6 +1,6 @@
-// Counts of dispatchers' ended lives, brought to stores that begin anew. A living dispatcher repeats all of
-// its counts to every store; those of a life that has ended are held by others alone (the stores, and two
-// without a store), and would be gone once each of these has been restarted. Pure.
+// Hands the usage counts of ended dispatcher processes to stores that have restarted. A live dispatcher sends
+// all of its counts to every store repeatedly; those of an ended process exist only on others (the stores,
+// and two members without a store), and would be lost once each of these had restarted. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,20 @@
 
 class UsageHandover {
  public:
-  // The addresses of members with a store that are new, or in a new life; not `self_name`'s.
+  // The addresses of members with a store that are new or have restarted, except `self_name`.
   std::vector<std::string> NewStores(const std::vector<Member>& live, const std::string& self_name);
 
  private:
   std::set<std::pair<std::string, std::uint64_t>> known_;  // name and incarnation
 };
 
-// Whom a dispatcher tells its counts: every member with a store; one that has a store itself also tells two
-// without, so that its counts outlast a loss of power of all stores at once.
+// The members to which a dispatcher sends its counts: every member with a store. A dispatcher with a store
+// also sends them to two members without one, so that its counts survive a simultaneous power loss of all
+// stores.
 std::vector<std::string> UsageReceivers(const std::vector<Member>& live, const std::string& self_name,
                                         bool has_store);
 
-// Those of lives that no live member has.
+// The reports of processes that are no longer live.
 std::vector<messages::UsageReport> OfEndedLives(std::vector<messages::UsageReport> reports,
                                                 const std::vector<Member>& live);
 
