--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -74,12 +74,12 @@
     return wall_now > EndOf(window) + kOverLate * settings_.late;
   }
 
-  // Time for reports, but in the middle of the time allowed.
+  // Allows time for reports to arrive, but stays between two and three fifths of the allowed lateness.
   Time ChooseAfter() const {
     return std::clamp(kReportsInFlight, settings_.late * 2 / 5, settings_.late * 3 / 5);
   }
 
-  // A new holder repeats what may not have reached the platform, as far as it is in time.
+  // A new holder sends the chosen tallies again that may not have reached the platform, unless they are late.
   void Begin(Time wall_now, std::uint64_t epoch, const messages::OwnershipState& state) {
     epoch_ = epoch;
     is_refused_ = false;
--- a/tests/system/registry/expiry_simulation_test.cpp
+++ b/tests/system/registry/expiry_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Which runners count as lost, and when: homes that die, freezes, cut networks, and days of all of these.
+// When runners are declared lost: with failed homes, paused processes, network partitions, and all combined.
 #include <catch2/catch.hpp>
 
 #include "registry_network.h"
@@ -9,17 +9,17 @@
 using messages::RUNNER_DRAINING;
 using messages::RUNNER_READY;
 
-constexpr Time kLossBound = 5 * kBeat;  // of a runner that crashed, known to all
+constexpr Time kLossBound = 5 * kBeat;  // until every dispatcher knows that a runner crashed
 
 std::size_t HomeOf(RegistryNetwork* network, const std::string& runner_id) {
   auto& runner = network->runners[runner_id];
-  network->Beat(&runner);  // is told the home
+  network->Beat(&runner);  // the answer names the home
   return runner.calls;
 }
 
 }  // namespace
 
-TEST_CASE("a silent runner counts as lost after three periods, not earlier, everywhere") {
+TEST_CASE("a silent runner is declared lost everywhere after three heartbeat intervals and not earlier") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(10, seed);
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a runner that calls another dispatcher than its home is not lost, and is lost when it ends") {
+TEST_CASE("a runner that reports to a dispatcher other than its home is not lost until it stops") {
   RegistryNetwork network(10, 5);
   network.AddRunner("i-1");
   network.RunFor(5 * kSecond);
@@ -58,7 +58,7 @@
   REQUIRE(network.AllKnow("i-1", std::nullopt));
 }
 
-TEST_CASE("runners outlive their home, and one that ends with it is lost") {
+TEST_CASE("runners survive the failure of their home, and one that fails with it is declared lost") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(6, seed);
@@ -67,7 +67,7 @@
     const std::size_t home = HomeOf(&network, "i-0");
     network.Kill(home);
     network.runners["i-0"].beats = false;
-    network.RunFor(network.Random(3 * kSecond));  // until its death is known
+    network.RunFor(network.Random(3 * kSecond));  // until its failure is detected
     network.TellMembers();
     for (int i = 0; i < 100; ++i) {
       network.RunFor(100 * kMillisecond);
@@ -77,7 +77,7 @@
   }
 }
 
-TEST_CASE("a home that was frozen, or is new, does not count runners as lost for it") {
+TEST_CASE("a home that was paused or is new does not declare runners lost because of that") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(3, seed);
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("what one side of a cut network counted as lost is refuted when the cut heals") {
+TEST_CASE("a loss declared on one side of a network partition is refuted when the partition heals") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(8, seed);
@@ -106,7 +106,7 @@
     network.RunFor(10 * kSecond);
     network.sides = {0, 0, 0, 0, 0, 1, 1, 1};
     network.TellMembers();
-    for (auto& [runner_id, runner] : network.runners) runner.calls %= 5;  // reach one side alone
+    for (auto& [runner_id, runner] : network.runners) runner.calls %= 5;  // reach only one side
     for (int i = 0; i < 150; ++i) {
       network.RunFor(100 * kMillisecond);
       for (auto& [runner_id, runner] : network.runners) runner.calls %= 5;
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_CASE("ended runners are forgotten everywhere in the end, and none comes back") {
+TEST_CASE("ended runners are eventually removed everywhere, and none reappears") {
   RegistryNetwork network(5, 9);
   network.AddRunner("i-1");
   network.RunFor(5 * kSecond);
@@ -135,7 +135,7 @@
   for (second = 0; second < 400; ++second) {
     network.RunFor(kSecond);
     REQUIRE(network.AllKnow("i-1", std::nullopt));
-    if (second % 20 == 10) {  // fresh processes learn of it, and must not keep it going
+    if (second % 20 == 10) {  // new processes learn of it, and must not keep propagating it
       network.Kill(second / 20 % 5);
       network.TellMembers();
     }
@@ -148,7 +148,8 @@
 }
 
 TEST_CASE(
-    "days of crashes, freezes, cuts, releases and loss: no drain is forgotten, and all agree in the end") {
+    "under crashes, pauses, partitions, removals and message loss no drain is lost, and all tables "
+    "converge") {
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(7, seed);
--- a/tests/system/registry/heartbeat_codec_test.cpp
+++ b/tests/system/registry/heartbeat_codec_test.cpp
@@ -1,4 +1,4 @@
-// Reading a runner's heartbeat.
+// Parsing of runner heartbeats.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a heartbeat is read whole") {
+TEST_CASE("all fields of a heartbeat are read") {
   const auto read = ReadHeartbeat("i-1", GoodBody().dump());
   REQUIRE(std::holds_alternative<messages::RunnerRecord>(read));
   const auto& record = std::get<messages::RunnerRecord>(read);
@@ -44,7 +44,9 @@
   CHECK(record.models(1).adapters(0) == "a1");
 }
 
-TEST_CASE("what a draining runner adds is read, unknown members are ignored, some may be left out") {
+TEST_CASE(
+    "the fields of a draining runner are read, unknown members are ignored, and optional ones may be "
+    "absent") {
   Json body = GoodBody();
   body["condition"] = "draining";
   body["remaining_ms"] = 1500;
@@ -56,7 +58,7 @@
   CHECK(std::get<messages::RunnerRecord>(read).remaining_ms() == 1500);
 }
 
-TEST_CASE("a heartbeat that can't be read gives one line that names key and place") {
+TEST_CASE("an invalid heartbeat gives a one-line error that names the key and its place") {
   const std::vector<std::pair<std::string, Json>> wrong = {
       {"line", 5},
       {"line", ""},
@@ -111,7 +113,7 @@
   CHECK_FALSE(ErrorOf(GoodBody().dump(), std::string(300, 'i')).empty());
 }
 
-TEST_CASE("a heartbeat cut short or with a byte changed is read or refused, and never worse") {
+TEST_CASE("a truncated or corrupted heartbeat is either read or rejected") {
   const std::string whole = GoodBody().dump();
   for (std::size_t length = 0; length < whole.size(); ++length)
     CHECK_FALSE(ErrorOf(whole.substr(0, length)).empty());
--- a/tests/system/registry/homes_test.cpp
+++ b/tests/system/registry/homes_test.cpp
@@ -1,4 +1,4 @@
-// Which dispatcher is the home of the runners of a service in a zone.
+// The choice of the home dispatcher for the runners of a service in a zone.
 #include "registry/homes.h"
 
 #include <catch2/catch.hpp>
@@ -39,7 +39,7 @@
   return others;
 }
 
-TEST_CASE("all dispatchers agree on a home, and each knows whether it is the one") {
+TEST_CASE("all dispatchers agree on a home, and only the home considers itself to be it") {
   for (int number = 0; number < kServices; ++number) {
     std::string agreed;
     int selves = 0;
@@ -67,7 +67,7 @@
   CHECK(fronts > 0);
 }
 
-TEST_CASE("the home moves to another dispatcher of the zone when all that count for the quorum are gone") {
+TEST_CASE("the home moves to another dispatcher of the zone when no live one there counts for the quorum") {
   Homes homes = HomesAt(kMachines[0], Others("front-a-1"));
   const Home before = homes.HomeOf(0, "service", "a");
   homes.SetMembers(5, {kMachines[1], kMachines[4]});
@@ -77,7 +77,7 @@
   CHECK(after.since == 5);
 }
 
-TEST_CASE("one without an address for control is no home where another has one") {
+TEST_CASE("a dispatcher without a control address is not chosen as home if another one has such an address") {
   const Member self = Machine("mute", "a", true, /*serves_control=*/false);
   Homes homes = HomesAt(self, {Machine("front-b-1", "b", false)});
   CHECK(homes.HomeOf(0, "service", "a").name == "front-b-1");
--- a/tests/system/registry/merge_test.cpp
+++ b/tests/system/registry/merge_test.cpp
@@ -1,4 +1,4 @@
-// The merge of records is a join: any order and any repetition gives the same.
+// The merge of records is a join: the result does not depend on order or repetition.
 #include "registry/merge.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("records merge to the same in any order and any number") {
+TEST_CASE("merging records is independent of order and repetition") {
   std::mt19937_64 random(1);
   for (int round = 0; round < 20000; ++round) {
     std::vector<messages::RunnerRecord> records;
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_CASE("what would change a record is what does change it") {
+TEST_CASE("WouldChange predicts whether MergeRecord changes a record") {
   std::mt19937_64 random(2);
   for (int round = 0; round < 20000; ++round) {
     auto held = MakeRecord("i-1", random() % 4, static_cast<messages::RunnerState>(random() % 4));
@@ -50,7 +50,7 @@
   }
 }
 
-TEST_CASE("a runner that drains never takes requests again, and one that is gone never lives again") {
+TEST_CASE("a draining runner never becomes ready again, and a removed one is never alive again") {
   for (const auto sticky : {messages::RUNNER_DRAINING, messages::RUNNER_GONE}) {
     TrackedRunner runner;
     runner.record = MakeRecord("i-1", 5, sticky);
@@ -68,20 +68,20 @@
   CHECK(lost.record.state() == messages::RUNNER_DRAINING);
 }
 
-TEST_CASE("a loss is refuted by one who has heard a later heartbeat") {
+TEST_CASE("a loss is refuted if a later heartbeat was received here") {
   TrackedRunner runner;
   runner.record = MakeRecord("i-1", 5, messages::RUNNER_READY);
   runner.heard_count = 9;
-  SECTION("with the count that it heard") {
+  SECTION("with the call count of that heartbeat") {
     CHECK(MergeRecord(MakeRecord("i-1", 8, messages::RUNNER_LOST), true, &runner) == MergeResult::kRefuted);
     CHECK(runner.record.state() == messages::RUNNER_READY);
     CHECK(runner.record.call_count() == 9);
   }
-  SECTION("but not where another runner has the address") {
+  SECTION("but not if another runner has the address") {
     CHECK(MergeRecord(MakeRecord("i-1", 8, messages::RUNNER_LOST), false, &runner) == MergeResult::kChanged);
     CHECK(runner.record.state() == messages::RUNNER_LOST);
   }
-  SECTION("nor where the loss is later") {
+  SECTION("nor if the loss is later") {
     CHECK(MergeRecord(MakeRecord("i-1", 9, messages::RUNNER_LOST), true, &runner) == MergeResult::kChanged);
   }
 }
--- a/tests/system/registry/registry_network.h
+++ b/tests/system/registry/registry_network.h
@@ -1,5 +1,5 @@
-// Registries on a simulated network: messages are lost, doubled, delayed and reordered by a seed or by a
-// hook; runners beat as they do in service. Time is simulated.
+// Registries on a simulated network: messages are lost, duplicated, delayed and reordered at random from a
+// seed or by a hook; runners send heartbeats as in production. Time is simulated.
 #pragma once
 
 #include <functional>
@@ -31,7 +31,7 @@
   return record;
 }
 
-// One registry alone, of dispatcher-0 in zone-0, and others that it is told of.
+// A single registry, of dispatcher-0 in zone-0, whose peers are given by the test.
 inline Registry MakeRegistry(std::size_t max_runners = 100) {
   RegistrySettings settings;
   settings.self_name = "dispatcher-0";
@@ -60,7 +60,7 @@
  public:
   struct Runner {
     messages::RunnerRecord record;
-    std::size_t calls = 0;  // the dispatcher it calls
+    std::size_t calls = 0;  // the dispatcher that it reports to
     bool beats = true;
     Time next_beat = 0;
   };
@@ -71,7 +71,7 @@
     bool is_frozen = false;
     std::vector<std::pair<std::string, messages::RegistryMessage>> held_back;  // arrived while frozen
   };
-  // Decides on a message: how often it arrives, and after what delays; it may change it.
+  // Returns the delays after which copies of a message arrive (none: it is lost). May modify the message.
   using Fate = std::function<std::vector<Time>(SentMessage* message)>;
 
   RegistryNetwork(std::size_t count, std::uint64_t seed, std::size_t zones = 3)
@@ -121,7 +121,7 @@
 
   bool CanReach(std::size_t from, std::size_t to) const { return sides.empty() || sides[from] == sides[to]; }
 
-  // The members as a perfect detector knows them at once; a frozen one stays live.
+  // Updates all members as an immediate and perfect failure detector would; a frozen node stays live.
   void TellMembers() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (!nodes[i].is_running) continue;
@@ -148,7 +148,7 @@
     Take(i, &output);
   }
 
-  // A runner that beats from now on, first at any dispatcher, then where it is told to.
+  // Adds a runner that sends heartbeats from now on, first to a random dispatcher, then to its home.
   Runner& AddRunner(const std::string& runner_id, std::size_t zone = 0) {
     Runner& runner = runners[runner_id];
     runner.record = MakeRecord(runner_id, 0);
@@ -158,7 +158,7 @@
     ScheduleBeat(runner_id);
     return runner;
   }
-  // A call of a runner, repeated at other dispatchers until one takes it. The one that did.
+  // Sends a heartbeat of a runner, with retries at other dispatchers until one accepts it. Returns that one.
   std::optional<std::size_t> Beat(Runner* runner) {
     for (std::size_t attempt = 0; attempt < 2 * nodes.size(); ++attempt) {
       runner->record.set_call_count(runner->record.call_count() + 1);
@@ -192,7 +192,7 @@
       if (record.runner_id() == runner_id) return record.state();
     return std::nullopt;
   }
-  std::string TableAt(std::size_t i) const {  // all that has to be the same everywhere
+  std::string TableAt(std::size_t i) const {  // everything that must be equal on all nodes
     std::string table;
     for (auto record : Runners(i)) {
       record.clear_cold_ms();
@@ -218,7 +218,7 @@
   Time now = 1000 * kSecond;
   std::vector<Node> nodes;
   std::map<std::string, Runner> runners;
-  std::vector<int> sides;  // of a cut network, by node; empty: whole
+  std::vector<int> sides;  // of a network partition, by node; empty: no partition
   Fate fate;               // none: each message arrives once, after 1 to 4 ms
   std::size_t messages_sent = 0;
   std::function<void(const SentMessage&)> watch;
@@ -269,7 +269,7 @@
     Node& node = nodes[to];
     if (!node.is_running) return;
     if (node.is_frozen) return node.held_back.emplace_back(from_address, message), void();
-    messages::RegistryMessage read;  // as from the wire
+    messages::RegistryMessage read;  // goes through serialization, as on the wire
     if (!read.ParseFromString(message.SerializeAsString())) return;
     RegistryOutput output;
     node.registry->Receive(now, from_address, read, &output);
--- a/tests/system/registry/registry_test.cpp
+++ b/tests/system/registry/registry_test.cpp
@@ -1,4 +1,4 @@
-// What one registry, or two, answer and send.
+// Answers and messages of a single registry.
 #include "registry/registry.h"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a change goes to every dispatcher at once and again until each has acknowledged it") {
+TEST_CASE("a change is sent to every dispatcher immediately and repeated until each has acknowledged it") {
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
   RegistryOutput start;
@@ -51,7 +51,7 @@
   REQUIRE(UpdatesIn(later).size() == 1);
   CHECK(UpdatesIn(later)[0].records(0).runner_id() == "i-1");
 
-  SECTION("an acknowledgement of what was sent before a newer record does not cover that one") {
+  SECTION("an acknowledgement of an older version does not cover a newer record") {
     RegistryOutput second;
     registry.Heartbeat(now, MakeRecord("i-1", 2, RUNNER_DRAINING), &second);
     REQUIRE(UpdatesIn(second).size() == 2);
@@ -61,13 +61,13 @@
     REQUIRE(UpdatesIn(repeat).size() == 2);
     CHECK(UpdatesIn(repeat)[1].records(0).state() == RUNNER_DRAINING);
   }
-  SECTION("no number that was never sent acknowledges anything") {
+  SECTION("an acknowledgement with a number that was never sent is ignored") {
     Acknowledge(&registry, MakeMember(2).address, ~std::uint64_t{0}, now);
     RegistryOutput repeat;
     registry.Tick(now + 200 * kMillisecond, &repeat);
     CHECK(UpdatesIn(repeat).size() == 1);
   }
-  SECTION("one that is no longer live gets nothing more") {
+  SECTION("a peer that is no longer live is sent nothing") {
     RegistryOutput output;
     registry.SetMembers(now, {MakeMember(1, "zone-1")}, &output);
     registry.Tick(now + 200 * kMillisecond, &output);
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_CASE("changes wait for the acknowledgement of what is under way, and each is sent once") {
+TEST_CASE("changes wait for the outstanding acknowledgement, and each is sent once") {
   constexpr int kChanges = 40, kMaxAtOnce = 8;
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
@@ -84,7 +84,7 @@
   registry.SetMembers(now, {MakeMember(1)}, &output);
   std::vector<messages::RegistryUpdate> sent;
   for (int change = 0; change < kChanges; ++change) {
-    now += 2 * kMillisecond;  // all within the wait before the first repeat
+    now += 2 * kMillisecond;  // all before the first retransmission
     RegistryOutput one;
     registry.Heartbeat(now, MakeRecord("i-" + std::to_string(change), 1), &one);
     for (const auto& update : UpdatesIn(one)) sent.push_back(update);
@@ -104,7 +104,7 @@
   CHECK(std::ranges::all_of(told, [](const auto& entry) { return entry.second == 1; }));
 }
 
-TEST_CASE("an end waits for no acknowledgement") {
+TEST_CASE("an end does not wait for an outstanding acknowledgement") {
   Registry registry = MakeRegistry();
   const Time now = 100 * kSecond;
   RegistryOutput output;
@@ -115,13 +115,13 @@
   CHECK(UpdatesIn(waiting).empty());
   registry.Heartbeat(now, MakeRecord("i-3", 1, RUNNER_DRAINING), &drained);
   REQUIRE(UpdatesIn(drained).size() == 1);
-  CHECK(UpdatesIn(drained)[0].records_size() == 2);  // with what waited
+  CHECK(UpdatesIn(drained)[0].records_size() == 2);  // together with the waiting change
   registry.Delete(now, "i-1", &gone);
   REQUIRE(UpdatesIn(gone).size() == 1);
   CHECK(UpdatesIn(gone)[0].records(0).runner_id() == "i-1");
 }
 
-TEST_CASE("an acknowledgement covers the records of its own message alone") {
+TEST_CASE("an acknowledgement covers only the records of its own message") {
   Registry registry = MakeRegistry();
   const Time now = 100 * kSecond;
   const std::string peer = MakeMember(1).address;
@@ -132,7 +132,7 @@
   registry.Heartbeat(now, MakeRecord("i-2", 1, RUNNER_DRAINING), &second);
   REQUIRE(UpdatesIn(second).size() == 1);
   CHECK(UpdatesIn(second)[0].records_size() == 1);
-  Acknowledge(&registry, peer, UpdatesIn(second)[0].number(), now);  // the first one was lost on the way
+  Acknowledge(&registry, peer, UpdatesIn(second)[0].number(), now);  // the first message was lost
   RegistryOutput repeat;
   registry.Tick(now + 200 * kMillisecond, &repeat);
   REQUIRE(UpdatesIn(repeat).size() == 1);
@@ -140,7 +140,7 @@
   CHECK(UpdatesIn(repeat)[0].records(0).runner_id() == "i-1");
 }
 
-TEST_CASE("a peer that acknowledges nothing is sent a change ever more seldom, but does not fall silent") {
+TEST_CASE("retransmissions to a peer that acknowledges nothing back off but do not stop") {
   Registry registry = MakeRegistry();
   const Time began = 100 * kSecond;
   RegistryOutput output;
@@ -155,12 +155,12 @@
   REQUIRE(repeats.size() >= 5);
   CHECK(repeats.size() <= 10);
   CHECK(repeats.front() <= 200 * kMillisecond);
-  CHECK(repeats[3] <= 1300 * kMillisecond);  // a drain has four repeats before the shortest bound for drains
+  CHECK(repeats[3] <= 1300 * kMillisecond);  // four repeats fit into the shortest bound for drains
   for (std::size_t at = 2; at < repeats.size(); ++at)
     CHECK(repeats[at] - repeats[at - 1] >= repeats[at - 1] - repeats[at - 2]);
 }
 
-TEST_CASE("an end is known at those that have acknowledged it in this life, and at no others") {
+TEST_CASE("an end is known only at peers that have acknowledged it since their last restart") {
   Registry registry = MakeRegistry();
   const Time now = 100 * kSecond;
   RegistryOutput output;
@@ -171,31 +171,31 @@
   CHECK(registry.Heartbeat(now, MakeRecord("i-1", 2, RUNNER_DRAINING), &drained).is_end);
   const std::string first = MakeMember(1).address;
   CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
-  Acknowledge(&registry, first, ready_number, now);  // of the record before
+  Acknowledge(&registry, first, ready_number, now);  // of the previous record
   CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
   for (const auto& send : drained.sends)
     if (send.address == first) Acknowledge(&registry, first, send.message.update().number(), now);
   CHECK(registry.EndIsKnownAt("i-1", first));
   CHECK_FALSE(registry.EndIsKnownAt("i-1", MakeMember(2).address));
 
-  SECTION("one that is gone is to be acknowledged anew") {
+  SECTION("a removal must be acknowledged again") {
     registry.Delete(now, "i-1", &output);
     CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
   }
-  SECTION("one that has started anew has forgotten it") {
+  SECTION("a restarted peer has lost it") {
     Member restarted = MakeMember(1);
     restarted.incarnation = 2;
     registry.SetMembers(now, {restarted, MakeMember(2)}, &output);
     CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
   }
-  SECTION("only those are told that have not said so") {
+  SECTION("it is not sent again to peers that have acknowledged it") {
     RegistryOutput told;
     registry.TellEnd(now, "i-1", {first}, &told);
     CHECK(UpdatesIn(told).empty());
   }
 }
 
-TEST_CASE("a drain learned from another dispatcher is told to the core again before it is acknowledged") {
+TEST_CASE("a drain learned from another dispatcher is sent to the core again before it is acknowledged") {
   Registry registry = MakeRegistry();
   const Time now = 100 * kSecond;
   RegistryOutput output;
@@ -211,7 +211,8 @@
   CHECK(UpdatesIn(told)[0].records(0).state() == RUNNER_DRAINING);
 }
 
-TEST_CASE("heartbeats without news are not spread; a dispatcher that is not the home passes them on to it") {
+TEST_CASE(
+    "heartbeats without changes are not propagated; a dispatcher that is not the home notifies the home") {
   Time now = 100 * kSecond;
   for (const bool is_home : {true, false}) {
     Registry registry = MakeRegistry();
@@ -237,7 +238,7 @@
   }
 }
 
-TEST_CASE("late heartbeats change nothing") {
+TEST_CASE("stale heartbeats change nothing") {
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
   RegistryOutput output;
@@ -252,29 +253,29 @@
   CHECK_FALSE(after.changed);
   CHECK(registry.Runners().at(0).slots() == 8);
 
-  SECTION("one that says ready does not end a drain") {
+  SECTION("a ready heartbeat does not end a drain") {
     registry.Heartbeat(now, MakeRecord("i-1", 6, RUNNER_DRAINING), &output);
     for (const std::uint64_t count : {5, 6, 7, 8})
       registry.Heartbeat(now, MakeRecord("i-1", count, RUNNER_READY), &output);
     CHECK(registry.Runners().at(0).state() == RUNNER_DRAINING);
   }
-  SECTION("one after the runner has gone does not bring it back") {
+  SECTION("a heartbeat after the removal of the runner does not restore it") {
     registry.Delete(now, "i-1", &output);
     registry.Heartbeat(now, MakeRecord("i-1", 9), &output);
     CHECK(registry.Runners().empty());
   }
-  SECTION("nor one that comes after the end of a runner never heard of") {
+  SECTION("nor does a heartbeat after the removal of a runner that was unknown") {
     registry.Delete(now, "i-2", &output);
     registry.Heartbeat(now, MakeRecord("i-2", 9), &output);
     CHECK(registry.Runners().size() == 1);
   }
-  SECTION("but an acknowledged drain holds even when it is late") {
+  SECTION("but a drain takes effect even from a stale heartbeat") {
     registry.Heartbeat(now, MakeRecord("i-1", 3, RUNNER_DRAINING), &output);
     CHECK(registry.Runners().at(0).state() == RUNNER_DRAINING);
   }
 }
 
-TEST_CASE("a new runner at the address of another ends that one") {
+TEST_CASE("a new runner at the address of another one replaces it") {
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
   RegistryOutput output;
@@ -286,13 +287,13 @@
   REQUIRE(registry.Runners().size() == 1);
   CHECK(registry.Runners()[0].runner_id() == "i-2");
 
-  older.set_call_count(51);  // was long under way
+  older.set_call_count(51);  // delayed in the network
   registry.Heartbeat(now + kSecond, older, &output);
   REQUIRE(registry.Runners().size() == 1);
   CHECK(registry.Runners()[0].runner_id() == "i-2");
 }
 
-TEST_CASE("a full table takes no new runner, and goes on with those it has") {
+TEST_CASE("a full table accepts no new runner, but still updates existing ones") {
   Registry registry = MakeRegistry(2);
   Time now = 100 * kSecond;
   RegistryOutput output;
@@ -305,7 +306,7 @@
   CHECK(registry.Runners().size() == 2);
 }
 
-TEST_CASE("ends of runners that nobody knows are bounded") {
+TEST_CASE("the number of removed runners that were unknown is bounded") {
   Registry registry = MakeRegistry(2);
   Time now = 100 * kSecond;
   for (int i = 0; i < 10000; ++i) {
@@ -317,7 +318,7 @@
   CHECK(registry.Heartbeat(now, MakeRecord("j-1", 1), &output).taken);
 }
 
-TEST_CASE("what was spread of late goes to a dispatcher that becomes live") {
+TEST_CASE("recent changes are sent to a dispatcher that becomes live") {
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
   RegistryOutput output;
@@ -327,12 +328,12 @@
   RegistryOutput joined;
   registry.SetMembers(now, {MakeMember(1)}, &joined);
   REQUIRE(UpdatesIn(joined).size() == 1);
-  REQUIRE(UpdatesIn(joined)[0].records_size() == 1);  // the rest comes by digest
+  REQUIRE(UpdatesIn(joined)[0].records_size() == 1);  // anti-entropy repairs the rest
   CHECK(UpdatesIn(joined)[0].records(0).runner_id() == "i-2");
   CHECK(UpdatesIn(joined)[0].wants_ack());
 }
 
-TEST_CASE("after a freeze the watch of every runner begins anew") {
+TEST_CASE("after a pause of the process the timeout of every runner restarts") {
   Registry registry = MakeRegistry();
   Time now = 100 * kSecond;
   RegistryOutput output;
@@ -347,7 +348,7 @@
   CHECK(registry.Runners().empty());
 }
 
-TEST_CASE("only a settled dispatcher's table settles a fresh process, once all of it has come") {
+TEST_CASE("a new process is settled by the complete table of a settled dispatcher only") {
   Registry registry = MakeRegistry();
   const Time now = 100 * kSecond;
   RegistryOutput output;
@@ -375,12 +376,11 @@
   CHECK(registry.Settled(now));
 }
 
-TEST_CASE(
-    "a fresh process is settled once it knows the table of a settled one, or has listened long enough") {
+TEST_CASE("a new process is settled once it has the table of a settled one, or has run for long enough") {
   RegistryNetwork network(3, 7);
   network.AddRunner("i-1");
   network.RunFor(2 * kBeat - kMillisecond);
-  CHECK_FALSE(network.nodes[0].registry->Settled(network.now));  // all are fresh
+  CHECK_FALSE(network.nodes[0].registry->Settled(network.now));  // all are new processes
   network.RunFor(kBeat);
   CHECK(network.nodes[0].registry->Settled(network.now));
 
--- a/tests/system/registry/spread_load_test.cpp
+++ b/tests/system/registry/spread_load_test.cpp
@@ -1,5 +1,5 @@
-// What the spread of runners' changes puts on the link of a zone's home, with an answer that comes the later
-// the more the link has to carry. Virtual time.
+// The load that propagating runner changes puts on the link of a home, where acknowledgements are delayed by
+// the queue on that link. Time is simulated.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr int kPeers = 74, kRunners = 37;
-constexpr int kModelsHeld = 4, kAdaptersHeld = 8;  // what a runner's record names
+constexpr int kModelsHeld = 4, kAdaptersHeld = 8;  // in each runner's record
 constexpr double kBytesPerMicrosecond = 1.25;      // 10 Mbit/s
-constexpr std::size_t kOverhead = 120;             // of a message: its envelope and the packets' headers
+constexpr std::size_t kOverhead = 120;             // bytes per message: its envelope and packet headers
 constexpr Time kOneWay = kMillisecond;
 constexpr Time kStep = kMillisecond;
 
@@ -24,14 +24,14 @@
   for (int model = 0; model < kModelsHeld; ++model) {
     auto* held = record.add_models();
     held->set_name("model-" + std::to_string(runner) + "-" + std::to_string(model));
-    held->set_edition(static_cast<std::int64_t>(call_count));  // news with each call
+    held->set_edition(static_cast<std::int64_t>(call_count));  // changes with each call
     for (int adapter = 0; adapter < kAdaptersHeld; ++adapter)
       held->add_adapters("a" + std::to_string(adapter));
   }
   return record;
 }
 
-// The home and its link: messages leave one after another, each peer acknowledges what has reached it.
+// A home and its link: messages are sent one after another, and each peer acknowledges those it receives.
 class LoadedHome {
  public:
   LoadedHome() : registry_(MakeRegistry()) {
@@ -57,7 +57,7 @@
     }
   }
 
-  // How long what is sent now waits for the link.
+  // How long a message sent now waits in the queue of the link.
   Time Queue() const { return std::max<Time>(0, free_at_ - now_); }
   std::size_t bytes() const { return bytes_; }
 
@@ -94,16 +94,16 @@
   Time now_ = 100 * kSecond, free_at_ = 0;
   std::uint64_t call_count_ = 0;
   std::size_t bytes_ = 0;
-  std::deque<Acknowledgement> acknowledgements_;  // in the order of the link
+  std::deque<Acknowledgement> acknowledgements_;  // in sending order
 };
 
 }  // namespace
 
-TEST_CASE("a burst of changes does not keep the home's link full once it is over") {
-  constexpr Time kBetweenChanges = 50 * kMillisecond;  // 20 a second, as was seen on 37 runners
+TEST_CASE("a burst of changes does not keep the home's link saturated once it is over") {
+  constexpr Time kBetweenChanges = 50 * kMillisecond;  // 20 per second, as observed with 37 runners
   LoadedHome home;
   for (int round = 0; round < 2; ++round) {
-    for (int runner = 0; runner < kRunners; ++runner) {  // all runners tell news within 0.2 s
+    for (int runner = 0; runner < kRunners; ++runner) {  // all runners report changes within 0.2 s
       home.Change(runner);
       home.RunFor(5 * kMillisecond);
     }
--- a/tests/system/registry/spread_simulation_test.cpp
+++ b/tests/system/registry/spread_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Many registries on a network with faults: drains reach all in time, and what was lost is found.
+// Many registries on a faulty network: drains reach all in time, and lost changes are repaired.
 #include <catch2/catch.hpp>
 
 #include "registry_network.h"
@@ -11,7 +11,7 @@
 
 constexpr Time kDrainBound = 2 * kSecond;
 
-// Loses a tenth of the messages, doubles a tenth, delays a tenth by up to half a second.
+// Loses a tenth of the messages, duplicates a tenth, delays a tenth by up to half a second.
 RegistryNetwork::Fate RoughNetwork(RegistryNetwork* network) {
   return [network](SentMessage*) -> std::vector<Time> {
     const auto prompt = [network] { return kMillisecond + network->Random(5 * kMillisecond); };
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("an acknowledged drain reaches all in time on a network that loses a tenth") {
+TEST_CASE("an acknowledged drain reaches all in time on a network with a tenth of the messages lost") {
   const auto [count, seeds] = GENERATE(std::pair(10, 30), std::pair(100, 3));
   for (int seed = 1; seed <= seeds; ++seed) {
     CAPTURE(count, seed);
@@ -43,7 +43,7 @@
       auto& runner = network.runners[runner_id];
       runner.record.set_state(RUNNER_DRAINING);
       runner.record.set_remaining_ms(2000);
-      runner.beats = false;  // it tells of it once
+      runner.beats = false;  // reports the drain only once
       REQUIRE(network.Beat(&runner));
       network.RunFor(kDrainBound);
       REQUIRE(network.AllKnow(runner_id, RUNNER_DRAINING));
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_CASE("a drain is known to all although who acknowledged it dies while it spreads") {
+TEST_CASE("a drain reaches all even if the dispatcher that acknowledged it fails during propagation") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(10, seed);
@@ -65,7 +65,7 @@
     network.RunFor(5 * kSecond);
     runner.record.set_state(RUNNER_DRAINING);
     runner.beats = false;
-    bool arrived = false;  // at one other at least; all else loses half
+    bool arrived = false;  // at one peer; half of all other messages are lost
     network.fate = [&](SentMessage*) -> std::vector<Time> {
       if (std::exchange(arrived, true) && network.Random(2) == 0) return {};
       return {kMillisecond};
@@ -75,13 +75,13 @@
     network.fate = nullptr;
     network.Kill(*taker);
     network.TellMembers();
-    network.RunFor(1800 * kMillisecond);  // less than the bound, and before its silence counts
+    network.RunFor(1800 * kMillisecond);  // less than the bound, and before the runner counts as silent
     REQUIRE(network.AllKnow("i-1", RUNNER_DRAINING));
     REQUIRE(network.AllAgree());
   }
 }
 
-TEST_CASE("a change is known to a dispatcher that becomes live while it spreads") {
+TEST_CASE("a change reaches a dispatcher that becomes live during its propagation") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(10, seed);
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("runners that beat without news cost nothing but their calls to other dispatchers than the home") {
+TEST_CASE("heartbeats without changes cause no messages other than digests") {
   RegistryNetwork network(10, 3);
   for (std::size_t i = 0; i < 30; ++i) network.AddRunner("i-" + std::to_string(i), i % 3);
   network.RunFor(10 * kSecond);
@@ -121,12 +121,11 @@
   CHECK(entries == 0);
   network.messages_sent = 0;
   network.RunFor(10 * kSecond);
-  CHECK(network.messages_sent <= 10 * 10 * 4 / 3 + 10);  // a digest a second each, with jitter
+  CHECK(network.messages_sent <= 10 * 10 * 4 / 3 + 10);  // one digest per second each, with jitter
 }
 
-TEST_CASE("a run with any one message lost, doubled, late or changed ends the same") {
-  // One day: runners start, one drains and goes, one crashes, one changes what it holds, a dispatcher
-  // restarts.
+TEST_CASE("tables converge with any single message lost, duplicated, delayed or modified") {
+  // Runners start; one drains and is removed, one crashes, one changes its models; a dispatcher restarts.
   const auto play = [](std::size_t target, int fault) {
     auto network = std::make_unique<RegistryNetwork>(4, 11);
     auto* net = network.get();
@@ -149,11 +148,11 @@
           if (message->has_update()) message->mutable_update()->set_wants_ack(!message->update().wants_ack());
           if (message->has_digest()) message->mutable_digest()->set_reply(!message->digest().reply());
           return {2 * kMillisecond};
-        case 5:  // contents left out
+        case 5:  // contents removed
           if (message->has_update()) message->mutable_update()->clear_records();
           if (message->has_digest()) message->mutable_digest()->clear_entries();
           return {2 * kMillisecond};
-        default:  // an older count
+        default:  // an older call count
           if (message->has_update())
             for (auto& record : *message->mutable_update()->mutable_records()) record.set_call_count(0);
           if (message->has_digest())
