--- a/tests/system/duties/demand_reports_test.cpp
+++ b/tests/system/duties/demand_reports_test.cpp
@@ -1,4 +1,4 @@
-// Demand as the dispatchers tell it.
+// Merging and expiry of the demand reports of dispatchers.
 #include "duties/demand_reports.h"
 
 #include <catch2/catch.hpp>
@@ -18,10 +18,10 @@
   return report;
 }
 
-TEST_CASE("the newest report of each dispatcher counts, in whatever order they come") {
+TEST_CASE("the newest report of each dispatcher is kept, in whatever order reports arrive") {
   DemandReports reports;
   reports.Merge(kStart, Report("a", 2, 1, 5));
-  reports.Merge(kStart, Report("a", 1, 9, 7));  // of an earlier life
+  reports.Merge(kStart, Report("a", 1, 9, 7));  // of an earlier process
   reports.Merge(kStart, Report("b", 1, 4));
   reports.Merge(kStart, Report("b", 1, 3));
   const auto recent = reports.Recent(kStart);
@@ -30,7 +30,7 @@
   CHECK(recent[1].number() == 4);
 }
 
-TEST_CASE("a dispatcher that tells nothing is forgotten") {
+TEST_CASE("the report of a dispatcher that sends no more expires") {
   DemandReports reports;
   reports.Merge(kStart, Report("a", 1, 1));
   reports.Merge(kStart + 3 * kSecond, Report("b", 1, 1));
@@ -39,14 +39,14 @@
   CHECK(reports.Recent(kStart + 8 * kSecond).empty());
 }
 
-TEST_CASE("what can not be served is told at once, by a newer report alone") {
+TEST_CASE("unserved requests are signalled by a newer report only") {
   DemandReports reports;
   CHECK_FALSE(reports.Merge(kStart, Report("a", 1, 1, 0)));
   CHECK(reports.Merge(kStart, Report("a", 1, 3, 2)));
   CHECK_FALSE(reports.Merge(kStart, Report("a", 1, 2, 2)));
 }
 
-TEST_CASE("the number of dispatchers is bounded, those that are known go on") {
+TEST_CASE("the number of dispatchers is bounded, and known ones can still report") {
   DemandReports reports;
   for (int i = 0; i < 9000; ++i) reports.Merge(kStart, Report(std::to_string(i), 1, 1));
   CHECK(reports.Recent(kStart).size() == 8192);
--- a/tests/system/duties/load_history_test.cpp
+++ b/tests/system/duties/load_history_test.cpp
@@ -1,4 +1,4 @@
-// What a register of duties tells of loads from the weight store, and what a taker makes of it.
+// The history of loads from the weight store in a register of duties, and how a new owner interprets it.
 #include "duties/load_history.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
   return total;
 }
 
-TEST_CASE("with time loads look older, and what was allowed or not settled counts as begun now") {
+TEST_CASE("loads age with time, and allowed or unsettled loads count as started now") {
   messages::LoadHistory history = History("llm", 5, 3);
   history.set_unsettled(2);
   AgeLoads(4 * kSecond, &history);
@@ -37,7 +37,7 @@
   CHECK(history.unsettled() == 0);
 }
 
-TEST_CASE("a clock that went back makes no load younger, and what is long past is dropped") {
+TEST_CASE("a clock that went backwards makes no load younger, and old loads are dropped") {
   messages::LoadHistory history = History("llm", 5, 0);
   AgeLoads(-kSecond, &history);
   CHECK(history.begun(0).age_us() == kSecond);
@@ -45,7 +45,7 @@
   CHECK(history.begun_size() == 0);
 }
 
-TEST_CASE("a telling replaces the history of its service alone") {
+TEST_CASE("an update replaces only the history of its service") {
   messages::OwnershipState state;
   ReplaceLoads({History("llm", 5, 3), History("vision", 1, 2)}, &state);
   ReplaceLoads({History("llm", 7, 4)}, &state);
@@ -64,7 +64,7 @@
   CHECK(Total(*FindLoads(state, "s7")) == 9);
 }
 
-TEST_CASE("who takes over finds what the one before told, and its allowance as begun") {
+TEST_CASE("a new owner sees the loads of the previous one, and counts its allowance as started") {
   OwnershipWorld testbed(3, 4);
   testbed.loads = {History("llm", 5, 3)};
   testbed.RunFor(10 * kSecond);
@@ -72,7 +72,7 @@
   REQUIRE(FindLoads(testbed.nodes[first].ownership->state(), "llm") != nullptr);
   testbed.Kill(first);
   testbed.TellMembers();
-  testbed.loads.clear();  // the next owner has placed nothing yet
+  testbed.loads.clear();  // the new owner has placed nothing yet
   while (!testbed.Holder()) testbed.RunFor(10 * kMillisecond);
   const auto& taken = testbed.nodes[*testbed.Holder()].ownership;
   const messages::LoadHistory* history = FindLoads(taken->state(), "llm");
@@ -83,7 +83,7 @@
   REQUIRE(taken->lease_started_at());
 }
 
-TEST_CASE("one that resigns tells its loads once more, with no allowance") {
+TEST_CASE("an owner that resigns records its loads once more, without an allowance") {
   OwnershipWorld testbed(3, 5);
   testbed.loads = {History("llm", 5, 3)};
   testbed.RunFor(10 * kSecond);
--- a/tests/system/duties/ownership_checks.h
+++ b/tests/system/duties/ownership_checks.h
@@ -1,4 +1,4 @@
-// What every simulated run of a duty is checked for, and values for tests of it.
+// Checks that apply to every simulated run of a duty, and values for its tests.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -26,11 +26,11 @@
   return tally;
 }
 
-// What the outside sees of holders: each epoch is of one life, epochs rise, and nobody acts again inside a
-// lease of another's acts that followed its own.
+// Checks the actions of holders: each epoch belongs to one process, epochs never decrease, no two holders act
+// at the same time, and a former holder acts again only a whole lease after its previous turn.
 inline void CheckActs(const std::vector<OwnershipWorld::Act>& acts) {
   std::map<std::uint64_t, std::uint64_t> life_of_epoch;
-  std::map<std::size_t, Time> turn_ended;  // by node: its last act before another's
+  std::map<std::size_t, Time> turn_ended;  // by node: its last action before that of another
   for (std::size_t k = 0; k < acts.size(); ++k) {
     const auto& act = acts[k];
     const auto [known, added] = life_of_epoch.try_emplace(act.epoch, act.incarnation);
@@ -38,7 +38,7 @@
     if (k == 0) continue;
     REQUIRE(act.epoch >= acts[k - 1].epoch);
     if (act.node == acts[k - 1].node) continue;
-    REQUIRE(act.at > acts[k - 1].at);  // never two at one time
+    REQUIRE(act.at > acts[k - 1].at);  // never two at the same time
     turn_ended[acts[k - 1].node] = acts[k - 1].at;
     if (turn_ended.contains(act.node)) REQUIRE(act.at - turn_ended[act.node] >= OwnershipWorld::kLease);
   }
--- a/tests/system/duties/ownership_simulation_test.cpp
+++ b/tests/system/duties/ownership_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Candidates for a duty through days of faults, from seeds.
+// Randomized simulation of the candidates for a duty under faults.
 #include <catch2/catch.hpp>
 
 #include "ownership_checks.h"
@@ -6,7 +6,7 @@
 
 namespace lichenlug::duties {
 
-TEST_CASE("days of faults: one holder at a time, epochs of one holder, no turns inside a lease") {
+TEST_CASE("under faults there is one holder at a time and per epoch, and no new turn within a lease") {
   std::size_t acts = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
@@ -54,7 +54,7 @@
         case 5:
           testbed.nodes[i].is_cut_off = !testbed.nodes[i].is_cut_off;
           break;
-        case 6:  // its clock pauses for a moment, within the margin of two leases
+        case 6:  // its clock pauses for a moment, within the margins of two leases
           if (step % 100 == 0) testbed.nodes[i].clock_offset -= 150 * kMillisecond;
           break;
         case 8:
@@ -86,7 +86,7 @@
     REQUIRE(testbed.Holder());
     CheckActs(testbed.acts);
   }
-  CHECK(acts > 60 * 2000);  // of 12,000 steps each: the duty was held for a good part of these days
+  CHECK(acts > 60 * 2000);  // of 12,000 steps each: the duty was held for a good part of the time
 }
 
 }  // namespace lichenlug::duties
--- a/tests/system/duties/ownership_test.cpp
+++ b/tests/system/duties/ownership_test.cpp
@@ -1,4 +1,4 @@
-// Leases in a register: one holder at a time, epochs of one holder, no turns inside a lease.
+// Leases in a register: one holder at a time and per epoch, and no new turn within a lease.
 #include "duties/ownership.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("the agreed order prefers members with a store and does not depend on the order told") {
+TEST_CASE("the agreed order prefers members with a store and does not depend on the input order") {
   std::vector<Member> members;
   for (int i = 0; i < 6; ++i) {
     Member member;
@@ -47,7 +47,7 @@
   CHECK(firsts.size() == 6);
 }
 
-TEST_CASE("the first in the order takes a duty that nobody ever held, soon, and keeps it") {
+TEST_CASE("the first in the order soon takes a duty that was never held, and keeps it") {
   OwnershipWorld testbed(5, 1);
   testbed.RunFor(kSecond / 2);
   const std::size_t first = FirstInOrder(testbed, {0, 1, 2, 3, 4});
@@ -58,7 +58,7 @@
     testbed.RunFor(kSecond / 10);
     REQUIRE(testbed.Holder() == first);
   }
-  CHECK(testbed.operations <= 60 + 25);  // a renewal a second, and now and then a look by the next candidate
+  CHECK(testbed.operations <= 60 + 25);  // a renewal per second, and occasional reads by the next candidate
   CHECK(testbed.nodes[first].ownership->epoch() == 1);
 }
 
@@ -70,7 +70,7 @@
   CHECK(testbed.Holder() == std::size_t{0});
 }
 
-TEST_CASE("a holder that died is replaced after its lease, and does not take the duty back") {
+TEST_CASE("a holder that failed is replaced after its lease, and does not take the duty back") {
   OwnershipWorld testbed(3, 2);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
@@ -90,7 +90,7 @@
   CheckActs(testbed.acts);
 }
 
-TEST_CASE("a holder is replaced a lease after its last renewal, however late its death is known") {
+TEST_CASE("a holder is replaced a lease after its last renewal, however late its failure is detected") {
   constexpr Time kKnownAfter = 2300 * kMillisecond;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     OwnershipWorld testbed(3, seed);
@@ -106,13 +106,13 @@
   }
 }
 
-TEST_CASE("a renewal that few replicas accepted is not taken for the one that was chosen later") {
+TEST_CASE("a renewal that a minority accepted is not mistaken for one that was chosen later") {
   OwnershipWorld testbed(2, 3);
   testbed.RunFor(10 * kSecond);
   const std::size_t owner = testbed.Holder().value(), other = 1 - owner;
   std::optional<consensus::ChangeFunction> renewal;
   OwnershipOutput output;
-  while (output.operations.empty()) {  // its next renewal, which comes to nothing
+  while (output.operations.empty()) {  // its next renewal, which is not chosen
     testbed.now += 10 * kMillisecond;
     testbed.nodes[owner].ownership->Tick(testbed.LocalTime(owner), &output);
   }
@@ -129,7 +129,7 @@
   CHECK(RenewalOf(*ReadState(unchosen)) != RenewalOf(*ReadState(chosen)));
 }
 
-TEST_CASE("a holder that was frozen finds its lease over before it acts") {
+TEST_CASE("a holder that was paused finds its lease expired before it acts") {
   OwnershipWorld testbed(3, 3);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
@@ -147,7 +147,7 @@
   CheckActs(testbed.acts);
 }
 
-TEST_CASE("calls of a holder that is cut off have left before another acts") {
+TEST_CASE("calls of a holder that is partitioned off are sent before another holder acts") {
   std::size_t turns = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
@@ -179,7 +179,7 @@
   CHECK(turns > 80);
 }
 
-TEST_CASE("one that resigns is replaced at once, and its next life waits for a whole lease") {
+TEST_CASE("a holder that resigns is replaced at once, and after a restart waits for a whole lease") {
   OwnershipWorld testbed(2, 4);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
@@ -201,8 +201,8 @@
   CheckActs(testbed.acts);
 }
 
-// A first holder that drains stays a live member for seconds, and comes first by its hash.
-TEST_CASE("a duty left by one that drains is taken by the next one at once") {
+// A draining holder stays a live member for seconds, and would still be first by its hash.
+TEST_CASE("a duty released by a draining holder is taken by the next candidate at once") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     OwnershipWorld testbed(3, seed);
     testbed.RunFor(10 * kSecond);
@@ -217,7 +217,7 @@
   }
 }
 
-TEST_CASE("one that drains does not stand before the others when a holder dies") {
+TEST_CASE("a draining candidate does not delay the others when a holder fails") {
   OwnershipWorld testbed(3, 5);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
@@ -235,7 +235,7 @@
   }
 }
 
-TEST_CASE("a holder that is live again in a later life is replaced without the wait for its lease") {
+TEST_CASE("a holder that has restarted is replaced without waiting for its lease") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     OwnershipWorld testbed(3, seed);
     testbed.RunFor(10 * kSecond);
@@ -251,8 +251,8 @@
   }
 }
 
-// The holder is not the first in the order here, and the one before it looks seldom while the holder is live.
-TEST_CASE("a holder that objected to a suspicion is in the same life still") {
+// The holder is not the first in the order here, and the candidate before it polls rarely while it is live.
+TEST_CASE("a holder that refuted a suspicion is not taken for a restarted one") {
   OwnershipWorld testbed(3, 6);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
@@ -273,7 +273,7 @@
   CHECK(testbed.nodes[second].ownership->epoch() == 2);
 }
 
-TEST_CASE("a renewal is no change to tell") {
+TEST_CASE("a renewal is not reported as a change") {
   OwnershipWorld testbed(3, 7);
   testbed.RunFor(10 * kSecond);
   testbed.changes_told = 0;
@@ -281,7 +281,7 @@
   CHECK(testbed.changes_told == 0);
 }
 
-TEST_CASE("a duty that is not wanted is not taken, and one held lapses") {
+TEST_CASE("a duty that is not wanted is not taken, and a held one expires") {
   OwnershipWorld testbed(3, 5);
   for (auto& node : testbed.nodes) node.wanted = false;
   testbed.TellMembers();
@@ -298,11 +298,11 @@
   CHECK_FALSE(testbed.Holder());
 }
 
-TEST_CASE("a holder without a quorum stops in time, and one that is live but does not renew is replaced") {
+TEST_CASE("a holder without a quorum stops in time, and is replaced although it is live") {
   OwnershipWorld testbed(3, 6);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
-  testbed.nodes[first].is_cut_off = true;  // but live, as members see it
+  testbed.nodes[first].is_cut_off = true;  // but live according to the membership
   testbed.RunFor(3 * kSecond);
   CHECK_FALSE(testbed.Holds(first));
   testbed.RunFor(12 * kSecond);
@@ -311,7 +311,7 @@
   CheckActs(testbed.acts);
 }
 
-TEST_CASE("where the first candidate can't act the second does") {
+TEST_CASE("if the first candidate can't act, the second does") {
   OwnershipWorld testbed(3, 6);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
@@ -328,7 +328,7 @@
   CheckActs(testbed.acts);
 }
 
-TEST_CASE("a tally is chosen with a renewal at once, each window once, the newest sixteen") {
+TEST_CASE("a tally is chosen at once with a renewal, each window once, and the newest sixteen are kept") {
   OwnershipWorld testbed(3, 7);
   testbed.RunFor(5 * kSecond);
   const std::size_t holder = testbed.Holder().value();
@@ -346,7 +346,7 @@
   CHECK(state.tallies(0).window() == 114);
 }
 
-TEST_CASE("a payload that is no state stops nobody but the duty") {
+TEST_CASE("an unreadable payload blocks only the duty and is not overwritten") {
   OwnershipWorld testbed(2, 8);
   testbed.payload = "\xff\xff";
   testbed.RunFor(10 * kSecond);
@@ -355,12 +355,12 @@
   CHECK(testbed.payload == "\xff\xff");
 }
 
-TEST_CASE("a renewal that is answered only after a freeze counts from its start") {
+TEST_CASE("a renewal that completes only after a pause counts from its start") {
   OwnershipWorld testbed(3, 9);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.operations = 0;
-  while (testbed.operations == 0) testbed.RunFor(10 * kMillisecond);  // a renewal is under way
+  while (testbed.operations == 0) testbed.RunFor(10 * kMillisecond);  // a renewal is in progress
   testbed.Freeze(first);
   testbed.TellMembers();
   testbed.RunFor(10 * kSecond);
@@ -375,7 +375,7 @@
   OwnershipWorld testbed(2, 10);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
-  testbed.nodes[first].is_suspected = true;  // so the other looks often, and sees the last renewal soon
+  testbed.nodes[first].is_suspected = true;  // so the other polls often, and sees the last renewal soon
   testbed.TellMembers();
   testbed.RunFor(5 * kSecond);
   REQUIRE(testbed.Holder() == first);
@@ -392,7 +392,7 @@
   CheckActs(testbed.acts);
 }
 
-TEST_CASE("a take-over of unknown outcome that was chosen holds only from its first renewal on") {
+TEST_CASE("a takeover of unknown outcome that was chosen holds only from its first renewal on") {
   OwnershipSettings settings;
   settings.register_name = "duties/0";
   settings.self_name = "dispatcher-0";
@@ -420,7 +420,7 @@
     ownership.Completed(now, operation.tag, completion, &output);
     return output;
   };
-  messages::OwnershipState state;  // nobody ever owned it
+  messages::OwnershipState state;  // never owned
   complete(next_operation(), consensus::Outcome::kKept, state);
   const auto unknown = complete(next_operation(), consensus::Outcome::kUnknown, {});
   CHECK_FALSE(ownership.Holds(now));
--- a/tests/system/duties/ownership_world.h
+++ b/tests/system/duties/ownership_world.h
@@ -1,5 +1,5 @@
-// Candidates for one duty over a simulated register: linearizable, with delays, answers that never come,
-// changes that take effect late, clocks that run apart, freezes, kills and restarts. Time is simulated, by a
+// Simulates candidates for one duty over a linearizable register, with delays, lost answers, changes that
+// take effect late, clock drift, pauses, crashes and restarts. Time is simulated; randomness comes from a
 // seed.
 #pragma once
 
@@ -27,18 +27,18 @@
     bool is_running = false;
     bool is_frozen = false;
     bool is_cut_off = false;    // from the register
-    bool is_suspected = false;  // the others think that it is dead
+    bool is_suspected = false;  // not live according to the others
     bool wanted = true;
     bool is_ready = true;
     double clock_rate = 1;
     Time clock_offset = 0;
-    std::vector<std::pair<std::uint64_t, consensus::Completion>> held_back;  // came while it was frozen
+    std::vector<std::pair<std::uint64_t, consensus::Completion>> held_back;  // arrived while it was frozen
   };
-  struct Act {  // a holder's call to the outside
+  struct Act {  // an external call by a holder
     Time at = 0;
     std::size_t node = 0;
     std::uint64_t incarnation = 0, epoch = 0;
-    Time calls_end_by = 0;  // as all the others, by the world's time
+    Time calls_end_by = 0;  // like `at`, in simulation time
   };
 
   OwnershipWorld(std::size_t count, std::uint64_t seed) : random_(seed) {
@@ -59,7 +59,8 @@
     node = Node();
     node.clock_rate = rate;
     node.clock_offset = offset;
-    node.incarnation = static_cast<std::uint64_t>(now) + ++incarnations_;  // as of a clock at its start
+    node.incarnation =
+        static_cast<std::uint64_t>(now) + ++incarnations_;  // like a clock reading at its start
     node.is_running = true;
     OwnershipSettings settings;
     settings.register_name = "duties/0";
@@ -87,7 +88,7 @@
     Take(i, &output);
   }
 
-  // Each learns who runs, is not frozen and is not suspected by the others.
+  // Updates the members of each running node: those that run, are not frozen and are not suspected.
   void TellMembers() {
     for (std::size_t i = 0; i < nodes.size(); ++i)
       if (Runs(i)) nodes[i].ownership->SetMembers(LocalTime(i), LiveFor(i), nodes[i].wanted);
@@ -114,7 +115,7 @@
     return std::nullopt;
   }
 
-  // Goes on in steps of 10 ms; each holder acts at each.
+  // Advances time in steps of 10 ms; every holder acts in each step.
   void RunFor(Time span) {
     for (const Time until = now + span; now < until;) {
       now += 10 * kMillisecond;
@@ -139,14 +140,14 @@
   Time Random(Time most) { return static_cast<Time>(random_() % static_cast<std::uint64_t>(most)); }
 
   Time now = 1000 * kSecond;
-  std::size_t stores = 100;      // so many of the first have one
-  std::uint64_t objections = 0;  // raise the incarnations that members are told with
+  std::size_t stores = 100;      // the first `stores` nodes have a store
+  std::uint64_t objections = 0;  // refuted suspicions, which increase the incarnations of all members
   std::vector<Node> nodes;
   std::vector<Act> acts;
   std::string payload;                       // of the register
-  std::vector<messages::LoadHistory> loads;  // that any owner tells with its renewals
+  std::vector<messages::LoadHistory> loads;  // recorded by any owner with its renewals
   bool is_rough = false;
-  bool replicas_hear = true;  // what they are asked to accept, before the outcome is known
+  bool replicas_hear = true;  // of proposals, before their outcome is known
   std::size_t operations = 0, changes_told = 0;
   std::function<void()> on_change;  // after each change of the payload
 
@@ -196,7 +197,7 @@
   }
 
   consensus::Completion Apply(const consensus::ChangeFunction& change) {
-    change("");  // an attempt that came to nothing
+    change("");  // an attempt that was not chosen
     consensus::Completion completion;
     const consensus::Change result = change(payload);
     if (const auto* next = std::get_if<consensus::NewPayload>(&result)) {
@@ -212,13 +213,13 @@
     return completion;
   }
 
-  // Too few replicas accept it for it to be chosen.
+  // The change is accepted by too few replicas to be chosen.
   void AcceptedByFew(const consensus::ChangeFunction& change) {
     const consensus::Change result = change(payload);
     if (const auto* next = std::get_if<consensus::NewPayload>(&result)) TellReplicas(next->payload);
   }
 
-  // The replicas beside the candidates are asked to accept it: some later, some never.
+  // Asks the candidates' local replicas to accept a payload: some later, some never.
   void TellReplicas(const std::string& accepting) {
     if (!replicas_hear) return;
     const std::optional<messages::OwnershipState> state = ReadState(accepting);
--- a/tests/system/duties/usage_handover_test.cpp
+++ b/tests/system/duties/usage_handover_test.cpp
@@ -1,4 +1,4 @@
-// Counts of ended lives outlast the restart of every store, one after the other.
+// Usage counts of ended processes survive a rolling restart of all stores.
 #include "duties/usage_handover.h"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a store is told once in each of its lives, and not before it has a store") {
+TEST_CASE("a member is reported as a new store once per process, and not before it has a store") {
   UsageHandover handover;
   CHECK(handover.NewStores({Store("a", 1), Store("b", 1), Store("c", 1, "")}, "a") == Addresses{"b:7660"});
   CHECK(handover.NewStores({Store("a", 1), Store("b", 1), Store("c", 1)}, "a") == Addresses{"c:7660"});
@@ -34,7 +34,7 @@
   CHECK(handover.NewStores({Store("a", 1), Store("b", 2), Store("c", 1)}, "a") == Addresses{"b:7660"});
 }
 
-TEST_CASE("one with a store also tells two without, which outlast the stores' loss of power") {
+TEST_CASE("a dispatcher with a store also sends to two without, which survive a power loss of the stores") {
   std::vector<Member> live = {Store("a", 1),     Store("b", 1),     Store("c", 1, ""),
                               Store("d", 1, ""), Store("e", 1, ""), Store("f", 1, "")};
   for (Member& member : live) member.ready = member.name != "c";
@@ -42,7 +42,7 @@
   CHECK(UsageReceivers(live, "f", false) == Addresses{"a:7660", "b:7660"});
 }
 
-TEST_CASE("only counts of ended lives are told: the living repeat their own") {
+TEST_CASE("only reports of ended processes are selected, as live ones send their own") {
   const auto told = OfEndedLives({Report("a", 1), Report("b", 1), Report("b", 2), Report("gone", 1)},
                                  {Store("a", 1), Store("b", 2)});
   REQUIRE(told.size() == 2);
--- a/tests/system/duties/usage_reports.h
+++ b/tests/system/duties/usage_reports.h
@@ -12,7 +12,7 @@
 
 inline constexpr Time kWindow = 5 * kSecond;
 inline constexpr Time kLate = 10 * kSecond;
-inline constexpr std::int64_t kFirst = 350000000;  // a window of our days
+inline constexpr std::int64_t kFirst = 350000000;  // a realistic window number
 inline constexpr Time kStart = kFirst * kWindow;
 
 using CountByTenant = std::map<std::string, std::uint64_t>;
--- a/tests/system/duties/usage_simulation_test.cpp
+++ b/tests/system/duties/usage_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Usage reports through failovers, from seeds.
+// Randomized simulation of usage reporting with failovers.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace lichenlug::duties {
 
-TEST_CASE("through failovers each window is chosen once, and all that is told of it is the same") {
+TEST_CASE("across failovers each window is chosen once, and all its reports are equal") {
   std::size_t due = 0, missed = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
@@ -20,7 +20,7 @@
     std::vector<std::unique_ptr<UsageDuty>> duties(3);
     for (auto& duty : duties) duty = std::make_unique<UsageDuty>(UsageDuty::Settings{kWindow, kLate});
     messages::OwnershipState state;
-    std::vector<messages::WindowCount> pending;  // given to the register by the present holder
+    std::vector<messages::WindowCount> pending;  // proposed to the register by the current holder
     std::map<std::int64_t, std::string> told;
     std::map<std::int64_t, CountByTenant> truth;
     std::set<std::int64_t> acknowledged;
@@ -38,18 +38,18 @@
     for (int step = 0; step < 2400; ++step, now += 50 * kMillisecond, wall += 50 * kMillisecond) {
       const std::int64_t window = wall / kWindow;
       truth[window]["t"] += count = random() % 3;
-      if (step % 5 == 0) {  // one dispatcher counts, and tells all; some do not hear of it at once
+      if (step % 5 == 0) {  // one dispatcher counts and reports to all; some reports are lost
         for (auto& duty : duties)
           if (!chance(4)) duty->Merge(wall, MakeReport("d", 1, window, truth[window]));
         if (step % 100 != 0)
           for (auto& duty : duties) duty->Merge(wall, MakeReport("d", 1, window - 1, truth[window - 1]));
       }
-      if (chance(150)) {  // the holder is lost, and with it what was not chosen
+      if (chance(150)) {  // the holder fails, and tallies that were not chosen are lost
         holder = random() % 3;
         ++epoch;
         losses.push_back(wall);
         pending.clear();
-        if (chance(2)) {  // a fresh process
+        if (chance(2)) {  // a new process
           duties[holder] = std::make_unique<UsageDuty>(UsageDuty::Settings{kWindow, kLate});
           std::erase_if(answers, [&](const InFlight& answer) { return answer.duty == holder; });
         }
@@ -89,7 +89,7 @@
     for (std::int64_t window = kFirst; window <= last_due; ++window) {
       ++due;
       if (acknowledged.contains(window)) continue;
-      ++missed;  // only where its holder was lost after the window had ended
+      ++missed;  // only if its holder failed after the window had ended
       const Time ended = (window + 1) * kWindow;
       REQUIRE(std::any_of(losses.begin(), losses.end(), [ended](Time at) { return at > ended; }));
     }
@@ -99,7 +99,7 @@
     }
   }
   CAPTURE(due, missed);
-  CHECK(missed * 500 <= due);  // with a holder lost every 7.5 s and half of the calls in vain
+  CHECK(missed * 500 <= due);  // with a holder failure every 7.5 s and half of the calls failing
 }
 
 }  // namespace lichenlug::duties
--- a/tests/system/duties/usage_test.cpp
+++ b/tests/system/duties/usage_test.cpp
@@ -1,4 +1,4 @@
-// Usage reports: merged idempotently, chosen once, told exactly so until acknowledged.
+// Usage reports: merged idempotently, chosen once, and sent unchanged until acknowledged.
 #include "duties/usage.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace lichenlug::duties {
 namespace {
 
-// A duty, its register's state, and a platform that answers as told.
+// A duty, the state of its register, and a platform with a configurable answer.
 struct Testbed {
   UsageDuty duty{UsageDuty::Settings{kWindow, kLate}};
   messages::OwnershipState state;
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("reports merge to the same in any order and any number") {
+TEST_CASE("merging usage reports is independent of order and repetition") {
   std::mt19937_64 random(1);
   for (int round = 0; round < 300; ++round) {
     std::vector<messages::UsageReport> reports;
@@ -65,7 +65,7 @@
       std::shuffle(reports.begin(), reports.end(), random);
       for (const auto& report : reports) testbed.duty.Merge(kStart, report);
     }
-    UsageDuty other{UsageDuty::Settings{kWindow, kLate}};  // told by this one alone
+    UsageDuty other{UsageDuty::Settings{kWindow, kLate}};  // receives the reports of the first one only
     for (const auto& report : testbed.duty.Reports()) other.Merge(kStart, report);
     UsageDuty::Output output;
     other.Act(testbed.now, kStart + kWindow + kLate / 2, 1, {}, &output);
@@ -74,7 +74,7 @@
   }
 }
 
-TEST_CASE("a window is chosen between two and three fifths of the time allowed, and reported then") {
+TEST_CASE("a window is chosen and reported between two and three fifths of the allowed time") {
   Testbed testbed;
   testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t2", 7}, {"t1", 3}, {"none", 0}}));
   testbed.RunFor(kWindow + kLate * 2 / 5, 4);
@@ -91,7 +91,7 @@
   CHECK(body == nlohmann::json{{"window_no", kFirst}, {"tallies", {{"t1", 3}, {"t2", 7}}}});
 }
 
-TEST_CASE("every window is reported once, the empty ones too, and in order") {
+TEST_CASE("every window, including empty ones, is reported once and in order") {
   Testbed testbed;
   testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 1}}));
   testbed.duty.Merge(kStart + 4 * kWindow, MakeReport("d", 1, kFirst + 4, {{"t", 2}}));
@@ -102,11 +102,11 @@
   CHECK(nlohmann::json::parse(testbed.calls[1].body)["tallies"] == nlohmann::json::object());
 }
 
-TEST_CASE("what was chosen is told exactly so until it is acknowledged, with pauses") {
+TEST_CASE("a chosen tally is sent unchanged with backoff until it is acknowledged") {
   Testbed testbed;
   testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 5}}));
   testbed.platform_status = GENERATE(0, 429, 500, 503);
-  const bool answers = testbed.platform_status != 0;  // else the call is never heard of again
+  const bool answers = testbed.platform_status != 0;  // otherwise the call never completes
   testbed.RunFor(kWindow + kLate * 9 / 20, 1, answers);
   testbed.duty.Merge(testbed.wall, MakeReport("d", 1, kFirst, {{"t", 6}}));  // too late to be counted
   testbed.RunFor(8 * kSecond, 1, answers);
@@ -117,8 +117,8 @@
     CHECK(call.body == testbed.calls[0].body);
   }
   CHECK(repeats >= 3);
-  CHECK(repeats <= 8);                   // each pause is twice the one before, up to 2 s
-  CHECK(testbed.calls.size() <= 4 * 9);  // a few calls a second at the most
+  CHECK(repeats <= 8);                   // the backoff doubles up to 2 s
+  CHECK(testbed.calls.size() <= 4 * 9);  // at most a few calls per second
   CHECK(nlohmann::json::parse(testbed.calls[0].body)["tallies"]["t"] == 5);
 
   testbed.platform_status = 200;
@@ -128,7 +128,7 @@
   CHECK(testbed.calls.size() <= told + 2);  // the windows that fell due meanwhile
 }
 
-TEST_CASE("a window is given up after four times the time allowed") {
+TEST_CASE("a window is dropped after four times the allowed time") {
   Testbed testbed;
   testbed.platform_status = 503;
   testbed.RunFor(200 * kSecond, 1);
@@ -141,7 +141,7 @@
     CHECK(testbed.wall <= (window + 1) * kWindow + 4 * kLate + 5 * kSecond);
 }
 
-TEST_CASE("one that the platform refuses for a higher fence stops until it has a newer epoch") {
+TEST_CASE("a holder that the platform refuses because of a higher fence stops until it has a newer epoch") {
   Testbed testbed;
   testbed.RunFor(kWindow + kLate * 9 / 20, 1);
   REQUIRE(testbed.calls.size() == 1);
@@ -158,7 +158,7 @@
   CHECK(testbed.calls.back().fence == 3);
 }
 
-TEST_CASE("a new holder repeats the chosen windows that are in time, exactly, and goes on from there") {
+TEST_CASE("a new holder resends the chosen windows that are not late unchanged, and continues from there") {
   Testbed testbed;
   testbed.duty.Merge(kStart, MakeReport("d", 1, kFirst, {{"t", 5}}));
   testbed.RunFor(60 * kSecond, 1);
@@ -182,7 +182,7 @@
   CHECK(next.chosen[0].window() == newest + 1);
 }
 
-TEST_CASE("a holder after a long silence skips windows that are far too late") {
+TEST_CASE("after a long pause a holder skips windows that are far too late") {
   Testbed testbed;
   testbed.RunFor(30 * kSecond, 1);
   testbed.wall += 1000 * kSecond;
@@ -194,7 +194,7 @@
   CHECK(testbed.chosen.size() <= before + 8);
 }
 
-TEST_CASE("counts are bounded: old windows, windows to come, dispatchers") {
+TEST_CASE("counts are bounded: old windows, future windows, and dispatchers") {
   Testbed testbed;
   for (std::uint64_t life = 0; life < 9000; ++life)
     testbed.duty.Merge(kStart, MakeReport("d" + std::to_string(life), 1, kFirst, {{"t", 1}}));
