--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -101,7 +101,7 @@
   }
 
   bool Holds(Time now) const { return lease_started_at_ && !resigned_ && now < LeaseEnd(); }
-  std::optional<Time> CallsEndBy() const {
+  std::optional<Time> CallDeadline() const {
     if (!lease_started_at_) return std::nullopt;
     return *lease_started_at_ + settings_.lease;
   }
@@ -188,7 +188,7 @@
   Time OperationTime() const { return std::min(kLongestOperation, settings_.lease / kRenewalsInLease); }
 
   std::vector<messages::LoadHistory> Loads(Time now) const {
-    return settings_.tell_loads ? settings_.tell_loads(now) : std::vector<messages::LoadHistory>();
+    return settings_.recent_loads ? settings_.recent_loads(now) : std::vector<messages::LoadHistory>();
   }
 
   consensus::ChangeFunction ChangeOf(Time now, Kind kind) const {
@@ -294,7 +294,7 @@
 }
 std::optional<Time> Ownership::NextTimer() const { return impl_->NextTimer(); }
 bool Ownership::Holds(Time now) const { return impl_->Holds(now); }
-std::optional<Time> Ownership::CallsEndBy() const { return impl_->CallsEndBy(); }
+std::optional<Time> Ownership::CallDeadline() const { return impl_->CallDeadline(); }
 std::uint64_t Ownership::epoch() const { return impl_->epoch(); }
 std::optional<Time> Ownership::lease_started_at() const { return impl_->lease_started_at(); }
 const messages::OwnershipState& Ownership::state() const { return impl_->state(); }
--- a/src/duties/ownership.h
+++ b/src/duties/ownership.h
@@ -44,7 +44,7 @@
   std::uint64_t seed = 0;
   // Called by the owner when a renewal starts: the loads that its placement may have started recently. Empty
   // if the duty places nothing.
-  std::function<std::vector<messages::LoadHistory>(Time now)> tell_loads;
+  std::function<std::vector<messages::LoadHistory>(Time now)> recent_loads;
 };
 
 class Ownership {
@@ -66,7 +66,7 @@
   bool Holds(Time now) const;  // may act at this moment
   // Calls made while it holds the duty must have been sent by then, as another dispatcher may act a margin
   // later. None unless it owns the duty.
-  std::optional<Time> CallsEndBy() const;
+  std::optional<Time> CallDeadline() const;
   std::uint64_t epoch() const;
   // Start of this dispatcher's last renewal or takeover that was chosen, which is also the time of the load
   // histories in the state. None unless it owns the duty.
--- a/src/duties/usage_handover.cpp
+++ b/src/duties/usage_handover.cpp
@@ -35,8 +35,8 @@
   return receivers;
 }
 
-std::vector<messages::UsageReport> OfEndedLives(std::vector<messages::UsageReport> reports,
-                                                const std::vector<Member>& live) {
+std::vector<messages::UsageReport> ReportsOfEndedProcesses(std::vector<messages::UsageReport> reports,
+                                                           const std::vector<Member>& live) {
   std::erase_if(reports, [&](const messages::UsageReport& report) {
     return std::any_of(live.begin(), live.end(), [&](const Member& member) {
       return member.name == report.name() && member.incarnation == report.incarnation();
--- a/src/duties/usage_handover.h
+++ b/src/duties/usage_handover.h
@@ -30,7 +30,7 @@
                                         bool has_store);
 
 // The reports of processes that are no longer live.
-std::vector<messages::UsageReport> OfEndedLives(std::vector<messages::UsageReport> reports,
-                                                const std::vector<Member>& live);
+std::vector<messages::UsageReport> ReportsOfEndedProcesses(std::vector<messages::UsageReport> reports,
+                                                           const std::vector<Member>& live);
 
 }  // namespace lichenlug::duties
--- a/src/node/duty_service.cpp
+++ b/src/node/duty_service.cpp
@@ -42,7 +42,7 @@
   auto& ownership = ownerships_[register_name];
   if (!ownership) {
     auto own = OwnershipSettingsFor(register_name, settings_, identity_);
-    own.tell_loads = [this, register_name](Time now) {
+    own.recent_loads = [this, register_name](Time now) {
       return placements_.LoadHistoryForRenewal(now, register_name, OwnershipOf(register_name).epoch(),
                                                resigned_);
     };
@@ -72,7 +72,7 @@
 void DutyService::HandOverUsage() {
   const std::vector<std::string> stores = usage_handover_.NewStores(live_, settings_.name);
   if (stores.empty()) return;
-  for (messages::UsageReport& report : duties::OfEndedLives(usage_.Reports(), live_)) {
+  for (messages::UsageReport& report : duties::ReportsOfEndedProcesses(usage_.Reports(), live_)) {
     messages::Envelope envelope;
     *envelope.mutable_duties()->mutable_usage() = std::move(report);
     for (const std::string& address : stores) host_->Send(address, envelope);
@@ -201,7 +201,7 @@
 // The call is given up before another dispatcher may act in place of this one.
 void DutyService::CallAsOwner(const std::string& register_name, duties::HttpCall call,
                               NodeHost::CallDone done) {
-  if (const std::optional<Time> end = OwnershipOf(register_name).CallsEndBy()) {
+  if (const std::optional<Time> end = OwnershipOf(register_name).CallDeadline()) {
     const Time left = std::max(*end - host_->Now(), kShortestCall);
     call.timeout = std::min(call.timeout, left);
   }
--- a/src/node/runner_api.cpp
+++ b/src/node/runner_api.cpp
@@ -68,7 +68,7 @@
   }
   ends_.Add(now, runner_id, std::move(response), std::move(respond));
   registry::RegistryOutput output;
-  registry_->TellEnd(now, runner_id, core, &output);
+  registry_->SendEnd(now, runner_id, core, &output);
   carry_(std::move(output));
   CheckEnds(now);
 }
@@ -90,7 +90,8 @@
   return consensus::IsQuorum(group, [&](const std::string& replica_id) {
     return std::any_of(members.begin(), members.end(), [&](const auto& member) {
       return member.replica_id() == replica_id &&
-             (member.address() == own_address_ || registry_->EndIsKnownAt(runner_id, member.address()));
+             (member.address() == own_address_ ||
+              registry_->IsEndAcknowledgedBy(runner_id, member.address()));
     });
   });
 }
--- a/src/registry/homes.cpp
+++ b/src/registry/homes.cpp
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-Homes::Homes(Candidate self, bool prefers_stores) : self_(std::move(self)), prefers_stores_(prefers_stores) {
+Homes::Homes(Candidate self, bool prefers_quorum_members)
+    : self_(std::move(self)), prefers_stores_(prefers_quorum_members) {
   dispatchers_ = {self_};
 }
 
--- a/src/registry/homes.h
+++ b/src/registry/homes.h
@@ -30,7 +30,7 @@
     bool serves_control = true;
   };
 
-  Homes(Candidate self, bool prefers_stores);
+  Homes(Candidate self, bool prefers_quorum_members);
 
   void SetMembers(Time now, const std::vector<Member>& live);  // excluding this one
   const Home& HomeOf(Time now, const std::string& service, const std::string& zone);
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -38,7 +38,7 @@
 Registry::Impl::Impl(RegistrySettings settings)
     : settings_(std::move(settings)),
       table_(settings_.max_runners),
-      homes_(SelfIn(settings_), settings_.prefers_stores),
+      homes_(SelfIn(settings_), settings_.prefers_quorum_members),
       spread_(settings_.seed),
       anti_entropy_(settings_.heartbeat_interval, settings_.seed) {}
 
@@ -148,11 +148,11 @@
   spread_.Flush(now, &table_, output);
 }
 
-bool Registry::Impl::EndIsKnownAt(const std::string& runner_id, const std::string& address) const {
+bool Registry::Impl::IsEndAcknowledgedBy(const std::string& runner_id, const std::string& address) const {
   return receipts_.Has(runner_id, address);
 }
 
-void Registry::Impl::TellEnd(Time now, const std::string& runner_id,
+void Registry::Impl::SendEnd(Time now, const std::string& runner_id,
                              const std::vector<std::string>& addresses, RegistryOutput* output) {
   for (const std::string& address : addresses) {
     const bool is_told = receipts_.Has(runner_id, address) || spread_.IsInFlight(address, runner_id);
@@ -201,12 +201,12 @@
 void Registry::Delete(Time now, const std::string& runner_id, RegistryOutput* output) {
   impl_->Delete(now, runner_id, output);
 }
-bool Registry::EndIsKnownAt(const std::string& runner_id, const std::string& address) const {
-  return impl_->EndIsKnownAt(runner_id, address);
+bool Registry::IsEndAcknowledgedBy(const std::string& runner_id, const std::string& address) const {
+  return impl_->IsEndAcknowledgedBy(runner_id, address);
 }
-void Registry::TellEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
+void Registry::SendEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
                        RegistryOutput* output) {
-  impl_->TellEnd(now, runner_id, addresses, output);
+  impl_->SendEnd(now, runner_id, addresses, output);
 }
 void Registry::Receive(Time now, const std::string& from_address, const messages::RegistryMessage& message,
                        RegistryOutput* output) {
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -31,7 +31,7 @@
   std::string zone;
   bool serves_control = true;                     // whether this dispatcher can be the home of runners
   bool counts_for_quorum = false;                 // whether this dispatcher does
-  bool prefers_stores = true;                     // prefer dispatchers that count for the quorum as homes
+  bool prefers_quorum_members = true;             // prefer dispatchers that count for the quorum as homes
   Time heartbeat_interval = 1200 * kMillisecond;  // report_ms
   std::size_t max_runners = 20000;
   std::uint64_t seed = 0;
@@ -56,9 +56,9 @@
   Answer Heartbeat(Time now, const messages::RunnerRecord& record, RegistryOutput* output);
   void Delete(Time now, const std::string& runner_id, RegistryOutput* output);
   // For a runner that drains or was removed: whether the dispatcher at `address` has acknowledged that.
-  bool EndIsKnownAt(const std::string& runner_id, const std::string& address) const;
+  bool IsEndAcknowledgedBy(const std::string& runner_id, const std::string& address) const;
   // Sends the end to those of the addresses that have not acknowledged it.
-  void TellEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
+  void SendEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
                RegistryOutput* output);
   void Receive(Time now, const std::string& from_address, const messages::RegistryMessage& message,
                RegistryOutput* output);
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -21,8 +21,8 @@
 
   Answer Heartbeat(Time now, const messages::RunnerRecord& heartbeat, RegistryOutput* output);
   void Delete(Time now, const std::string& runner_id, RegistryOutput* output);
-  bool EndIsKnownAt(const std::string& runner_id, const std::string& address) const;
-  void TellEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
+  bool IsEndAcknowledgedBy(const std::string& runner_id, const std::string& address) const;
+  void SendEnd(Time now, const std::string& runner_id, const std::vector<std::string>& addresses,
                RegistryOutput* output);
   void Receive(Time now, const std::string& from_address, const messages::RegistryMessage& message,
                RegistryOutput* output);
--- a/tests/system/duties/ownership_world.h
+++ b/tests/system/duties/ownership_world.h
@@ -68,7 +68,7 @@
     settings.self_incarnation = node.incarnation;
     settings.lease = kLease;
     settings.seed = random_();
-    settings.tell_loads = [this](Time) { return loads; };
+    settings.recent_loads = [this](Time) { return loads; };
     node.ownership = std::make_unique<Ownership>(settings);
   }
   void Kill(std::size_t i) { nodes[i].is_running = false; }
@@ -154,7 +154,7 @@
  private:
   Act ActOf(std::size_t i) const {
     const Node& node = nodes[i];
-    const auto since_start = static_cast<double>(node.ownership->CallsEndBy().value() - node.clock_offset);
+    const auto since_start = static_cast<double>(node.ownership->CallDeadline().value() - node.clock_offset);
     const auto calls_end_by = static_cast<Time>(since_start / node.clock_rate);
     return {now, i, node.incarnation, node.ownership->epoch(), calls_end_by};
   }
--- a/tests/system/duties/usage_handover_test.cpp
+++ b/tests/system/duties/usage_handover_test.cpp
@@ -43,8 +43,8 @@
 }
 
 TEST_CASE("only reports of ended processes are selected, as live ones send their own") {
-  const auto told = OfEndedLives({Report("a", 1), Report("b", 1), Report("b", 2), Report("gone", 1)},
-                                 {Store("a", 1), Store("b", 2)});
+  const auto told = ReportsOfEndedProcesses(
+      {Report("a", 1), Report("b", 1), Report("b", 2), Report("gone", 1)}, {Store("a", 1), Store("b", 2)});
   REQUIRE(told.size() == 2);
   CHECK(told[0].incarnation() == 1);
   CHECK(told[0].name() == "b");
--- a/tests/system/registry/homes_test.cpp
+++ b/tests/system/registry/homes_test.cpp
@@ -20,8 +20,8 @@
   return member;
 }
 
-Homes HomesAt(const Member& self, const std::vector<Member>& others, bool prefers_stores = true) {
-  Homes homes({self, !self.control_address.empty()}, prefers_stores);
+Homes HomesAt(const Member& self, const std::vector<Member>& others, bool prefers_quorum_members = true) {
+  Homes homes({self, !self.control_address.empty()}, prefers_quorum_members);
   homes.SetMembers(0, others);
   return homes;
 }
@@ -57,7 +57,7 @@
 
 TEST_CASE("a dispatcher that counts for the quorum is the home where its zone has one") {
   Homes homes = HomesAt(kMachines[0], Others("front-a-1"));
-  Homes any = HomesAt(kMachines[0], Others("front-a-1"), /*prefers_stores=*/false);
+  Homes any = HomesAt(kMachines[0], Others("front-a-1"), /*prefers_quorum_members=*/false);
   int fronts = 0;
   for (int number = 0; number < kServices; ++number) {
     CHECK(homes.HomeOf(0, Service(number), "a").name.starts_with("core-a-"));
--- a/tests/system/registry/registry_test.cpp
+++ b/tests/system/registry/registry_test.cpp
@@ -170,27 +170,27 @@
   RegistryOutput drained;
   CHECK(registry.Heartbeat(now, MakeRecord("i-1", 2, RUNNER_DRAINING), &drained).is_end);
   const std::string first = MakeMember(1).address;
-  CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
+  CHECK_FALSE(registry.IsEndAcknowledgedBy("i-1", first));
   Acknowledge(&registry, first, ready_number, now);  // of the previous record
-  CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
+  CHECK_FALSE(registry.IsEndAcknowledgedBy("i-1", first));
   for (const auto& send : drained.sends)
     if (send.address == first) Acknowledge(&registry, first, send.message.update().number(), now);
-  CHECK(registry.EndIsKnownAt("i-1", first));
-  CHECK_FALSE(registry.EndIsKnownAt("i-1", MakeMember(2).address));
+  CHECK(registry.IsEndAcknowledgedBy("i-1", first));
+  CHECK_FALSE(registry.IsEndAcknowledgedBy("i-1", MakeMember(2).address));
 
   SECTION("a removal must be acknowledged again") {
     registry.Delete(now, "i-1", &output);
-    CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
+    CHECK_FALSE(registry.IsEndAcknowledgedBy("i-1", first));
   }
   SECTION("a restarted peer has lost it") {
     Member restarted = MakeMember(1);
     restarted.incarnation = 2;
     registry.SetMembers(now, {restarted, MakeMember(2)}, &output);
-    CHECK_FALSE(registry.EndIsKnownAt("i-1", first));
+    CHECK_FALSE(registry.IsEndAcknowledgedBy("i-1", first));
   }
   SECTION("it is not sent again to peers that have acknowledged it") {
     RegistryOutput told;
-    registry.TellEnd(now, "i-1", {first}, &told);
+    registry.SendEnd(now, "i-1", {first}, &told);
     CHECK(UpdatesIn(told).empty());
   }
 }
@@ -206,7 +206,7 @@
   RegistryOutput heard;
   CHECK(registry.Heartbeat(now, MakeRecord("i-1", 3, RUNNER_DRAINING), &heard).is_end);
   RegistryOutput told;
-  registry.TellEnd(now, "i-1", {MakeMember(1).address}, &told);
+  registry.SendEnd(now, "i-1", {MakeMember(1).address}, &told);
   REQUIRE(UpdatesIn(told).size() == 1);
   CHECK(UpdatesIn(told)[0].records(0).state() == RUNNER_DRAINING);
 }
