--- a/src/registry/anti_entropy.cpp
+++ b/src/registry/anti_entropy.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr Time kDigestInterval = kSecond;
-constexpr Time kHurriedDigestInterval = 250 * kMillisecond;  // in a new process, and after a peer failed
-constexpr Time kHurry = 2 * kSecond;
-constexpr std::size_t kGreeters = 8;      // expected number of peers that send a newly live one a digest
-constexpr int kMaxRecordsInRepair = 256;  // per message
+constexpr Time kFastDigestInterval = 250 * kMillisecond;  // in a new process, and after a peer failed
+constexpr Time kFastDigestDuration = 2 * kSecond;
+constexpr std::size_t kExpectedGreetings = 8;  // expected number of peers that send a newly live one a digest
+constexpr int kMaxRecordsInRepair = 256;       // per message
 
 // Splits records into updates that require no acknowledgement.
 class RepairWriter {
@@ -22,7 +22,7 @@
     if (update_ == nullptr || update_->records_size() >= kMaxRecordsInRepair) Begin();
     *update_->add_records() = std::move(record);
   }
-  void Want(const std::string& runner_id) {
+  void Request(const std::string& runner_id) {
     if (update_ == nullptr) Begin();
     update_->add_wanted(runner_id);
   }
@@ -42,7 +42,7 @@
 
 void AntiEntropy::SetPeers(Time now, const std::vector<Member>& live, const std::vector<std::string>& added) {
   const bool some_left = live.size() < peers_.size() + added.size();
-  if (some_left) hurry_until_ = now + kHurry;
+  if (some_left) fast_until_ = now + kFastDigestDuration;
   if (some_left || (!added.empty() && !settled_)) next_at_ = 0;
   peers_.clear();
   core_peers_.clear();
@@ -50,18 +50,18 @@
     peers_.push_back(member.address);
     if (member.counts_for_quorum) core_peers_.push_back(member.address);
   }
-  std::erase_if(greet_, [this](const std::string& address) {
+  std::erase_if(unsynced_peers_, [this](const std::string& address) {
     return std::find(peers_.begin(), peers_.end(), address) == peers_.end();
   });
   for (const std::string& address : added)
-    if (random_() % (peers_.size() + 1) < kGreeters) greet_.push_back(address);
+    if (random_() % (peers_.size() + 1) < kExpectedGreetings) unsynced_peers_.push_back(address);
 }
 
 void AntiEntropy::Tick(Time now, const RunnerTable& table, RegistryOutput* output) {
   if (started_at_ < 0) started_at_ = now;
-  for (const std::string& address : std::exchange(greet_, {})) SendHash(now, address, table, output);
+  for (const std::string& address : std::exchange(unsynced_peers_, {})) SendHash(now, address, table, output);
   if (now < next_at_) return;
-  const Time every = Settled(now) && now >= hurry_until_ ? kDigestInterval : kHurriedDigestInterval;
+  const Time every = Settled(now) && now >= fast_until_ ? kDigestInterval : kFastDigestInterval;
   next_at_ = now + every * 3 / 4 + static_cast<Time>(random_() % static_cast<std::uint64_t>(every / 2));
   if (peers_.empty()) return;
   const std::string& peer = peers_[random_() % peers_.size()];
@@ -103,39 +103,40 @@
 void AntiEntropy::Repair(Time now, const std::string& from_address, const messages::RegistryDigest& digest,
                          RunnerTable* table, RegistryOutput* output) {
   RepairWriter writer(from_address, output);
-  std::set<std::string> told;
+  std::set<std::string> listed;
   if (digest.settled()) awaited_.clear();
   for (const auto& entry : digest.entries()) {
-    told.insert(entry.runner_id());
+    listed.insert(entry.runner_id());
     const Version theirs{entry.call_count(), entry.state()};
-    const TrackedRunner* own = table->Find(entry.runner_id());
-    if (own == nullptr || WouldChange(VersionOf(own->record), theirs)) {
-      writer.Want(entry.runner_id());
+    const TrackedRunner* local = table->Find(entry.runner_id());
+    if (local == nullptr || WouldChange(VersionOf(local->record), theirs)) {
+      writer.Request(entry.runner_id());
       if (digest.settled()) awaited_[entry.runner_id()] = theirs;
-    } else if (WouldChange(theirs, VersionOf(own->record))) {
-      writer.Add(RunnerTable::ToSend(now, *own));
+    } else if (WouldChange(theirs, VersionOf(local->record))) {
+      writer.Add(RunnerTable::RecordToSend(now, *local));
     }
   }
   for (const auto& [runner_id, runner] : table->runners()) {
-    messages::RunnerRecord record = RunnerTable::ToSend(now, runner);
-    if (!told.contains(runner_id) && RunnerTable::WorthLearning(record)) writer.Add(std::move(record));
+    messages::RunnerRecord record = RunnerTable::RecordToSend(now, runner);
+    if (!listed.contains(runner_id) && RunnerTable::ShouldAccept(record)) writer.Add(std::move(record));
   }
   if (digest.settled() && awaited_.empty()) settled_ = true;
 }
 
-void AntiEntropy::AnswerWanted(Time now, const std::string& from_address,
-                               const messages::RegistryUpdate& update, RunnerTable* table,
-                               RegistryOutput* output) const {
+void AntiEntropy::SendRequested(Time now, const std::string& from_address,
+                                const messages::RegistryUpdate& update, RunnerTable* table,
+                                RegistryOutput* output) const {
   RepairWriter writer(from_address, output);
   for (const std::string& runner_id : update.wanted())
-    if (const TrackedRunner* runner = table->Find(runner_id)) writer.Add(RunnerTable::ToSend(now, *runner));
+    if (const TrackedRunner* runner = table->Find(runner_id))
+      writer.Add(RunnerTable::RecordToSend(now, *runner));
 }
 
-void AntiEntropy::TookUpdate(RunnerTable* table) {
+void AntiEntropy::OnUpdateMerged(RunnerTable* table) {
   if (awaited_.empty()) return;
   std::erase_if(awaited_, [table](const auto& entry) {
-    const TrackedRunner* own = table->Find(entry.first);
-    return own != nullptr && !WouldChange(VersionOf(own->record), entry.second);
+    const TrackedRunner* local = table->Find(entry.first);
+    return local != nullptr && !WouldChange(VersionOf(local->record), entry.second);
   });
   if (awaited_.empty()) settled_ = true;
 }
--- a/src/registry/anti_entropy.h
+++ b/src/registry/anti_entropy.h
@@ -31,9 +31,9 @@
 
   void Receive(Time now, const std::string& from_address, const messages::RegistryDigest& digest,
                RunnerTable* table, RegistryOutput* output);
-  void AnswerWanted(Time now, const std::string& from_address, const messages::RegistryUpdate& update,
-                    RunnerTable* table, RegistryOutput* output) const;
-  void TookUpdate(RunnerTable* table);  // to be called after records were merged
+  void SendRequested(Time now, const std::string& from_address, const messages::RegistryUpdate& update,
+                     RunnerTable* table, RegistryOutput* output) const;
+  void OnUpdateMerged(RunnerTable* table);  // to be called after records were merged
 
   // Whether this dispatcher has received the complete table of a settled peer, or has received heartbeats for
   // long enough.
@@ -47,11 +47,11 @@
   Time heartbeat_interval_;
   std::mt19937_64 random_;
   std::vector<std::string> peers_;
-  std::vector<std::string> core_peers_;  // the peers that count for the quorum
-  std::vector<std::string> greet_;       // newly live peers, which are sent a digest immediately
+  std::vector<std::string> core_peers_;      // the peers that count for the quorum
+  std::vector<std::string> unsynced_peers_;  // newly live peers, which are sent a digest immediately
   Time started_at_ = -1;
   Time next_at_ = 0;
-  Time hurry_until_ = 0;  // set when a peer fails, as it may have been propagating a change
+  Time fast_until_ = 0;  // set when a peer fails, as it may have been propagating a change
   bool settled_ = false;
   std::map<std::string, Version> awaited_;  // requested from a settled peer, not yet received
 };
--- a/src/registry/end_receipts.cpp
+++ b/src/registry/end_receipts.cpp
@@ -11,12 +11,12 @@
   return found != receipts_.end() && found->second.contains(address);
 }
 
-void EndReceipts::DropPeer(const std::string& address) {
+void EndReceipts::RemovePeer(const std::string& address) {
   for (auto& [runner_id, addresses] : receipts_) addresses.erase(address);
 }
 
-void EndReceipts::Keep(const std::function<bool(const std::string& runner_id)>& is_kept) {
-  std::erase_if(receipts_, [&](const auto& entry) { return !is_kept(entry.first); });
+void EndReceipts::RemoveUnless(const std::function<bool(const std::string& runner_id)>& keep) {
+  std::erase_if(receipts_, [&](const auto& entry) { return !keep(entry.first); });
 }
 
 }  // namespace lichenlug::registry
--- a/src/registry/end_receipts.h
+++ b/src/registry/end_receipts.h
@@ -16,11 +16,11 @@
   void Add(const std::string& runner_id, const std::string& address);
   bool Has(const std::string& runner_id, const std::string& address) const;
   // For a runner that is alive again, or no longer tracked.
-  void Drop(const std::string& runner_id) { receipts_.erase(runner_id); }
-  // Removes the receipts of all runners for which `is_kept` is false.
-  void Keep(const std::function<bool(const std::string& runner_id)>& is_kept);
+  void Remove(const std::string& runner_id) { receipts_.erase(runner_id); }
+  // Removes the receipts of all runners for which `keep` is false.
+  void RemoveUnless(const std::function<bool(const std::string& runner_id)>& keep);
   // For a peer that has restarted, and so has lost its table.
-  void DropPeer(const std::string& address);
+  void RemovePeer(const std::string& address);
 
  private:
   std::map<std::string, std::set<std::string>> receipts_;  // addresses, by runner
--- a/src/registry/heartbeat_codec.cpp
+++ b/src/registry/heartbeat_codec.cpp
@@ -11,7 +11,7 @@
 using Json = nlohmann::json;
 using messages::RunnerRecord;
 
-constexpr std::size_t kLongestName = 256;
+constexpr std::size_t kMaxNameLength = 256;
 constexpr std::size_t kMaxModels = 1024;
 constexpr std::size_t kMaxAdapters = 4096;  // per model
 constexpr std::int64_t kMaxSlots = 1'000'000;
@@ -29,23 +29,23 @@
     return nullptr;
   }
 
-  std::string Text(const char* key, bool required) {
+  std::string String(const char* key, bool required) {
     const Json* value = Find(key, required);
     if (value == nullptr) return {};
     if (!value->is_string()) return Fail(key, "must be a string"), std::string();
     const auto& text = value->get_ref<const std::string&>();
     if (required && text.empty()) Fail(key, "must not be empty");
-    if (text.size() > kLongestName) Fail(key, "must have 256 bytes at most");
+    if (text.size() > kMaxNameLength) Fail(key, "must have 256 bytes at most");
     return text;
   }
 
-  std::int64_t Whole(const char* key, bool required, std::int64_t most) {
+  std::int64_t Integer(const char* key, bool required, std::int64_t limit) {
     const Json* value = Find(key, required);
     if (value == nullptr) return 0;
-    const bool whole =
+    const bool is_valid =
         value->is_number_unsigned() || (value->is_number_integer() && value->get<std::int64_t>() >= 0);
-    if (!whole || value->get<std::uint64_t>() > static_cast<std::uint64_t>(most))
-      return Fail(key, "must be a whole number from 0 to " + std::to_string(most)), 0;
+    if (!is_valid || value->get<std::uint64_t>() > static_cast<std::uint64_t>(limit))
+      return Fail(key, "must be a whole number from 0 to " + std::to_string(limit)), 0;
     return value->get<std::int64_t>();
   }
 
@@ -57,12 +57,12 @@
     return value->get<double>();
   }
 
-  const Json* List(const char* key, std::size_t most) {
+  const Json* List(const char* key, std::size_t limit) {
     const Json* value = Find(key, false);
     if (value == nullptr) return nullptr;
     if (!value->is_array()) return Fail(key, "must be a list"), nullptr;
-    if (value->size() > most)
-      return Fail(key, "must have " + std::to_string(most) + " items at most"), nullptr;
+    if (value->size() > limit)
+      return Fail(key, "must have " + std::to_string(limit) + " items at most"), nullptr;
     return value;
   }
 
@@ -83,12 +83,12 @@
   }
   ObjectReader reader(item, place, error);
   auto* model = record->add_models();
-  model->set_name(reader.Text("name", true));
-  model->set_edition(reader.Whole("edition", false, std::numeric_limits<std::int64_t>::max()));
+  model->set_name(reader.String("name", true));
+  model->set_edition(reader.Integer("edition", false, std::numeric_limits<std::int64_t>::max()));
   const Json* adapters = reader.List("adapters", kMaxAdapters);
   if (adapters == nullptr) return;
   for (const Json& adapter : *adapters) {
-    if (!adapter.is_string() || adapter.get_ref<const std::string&>().size() > kLongestName)
+    if (!adapter.is_string() || adapter.get_ref<const std::string&>().size() > kMaxNameLength)
       return reader.Fail("adapters", "must hold names of 256 bytes at most");
     model->add_adapters(adapter.get<std::string>());
   }
@@ -106,7 +106,7 @@
 }
 
 void ReadState(ObjectReader* body, RunnerRecord* record) {
-  const std::string condition = body->Text("condition", true);
+  const std::string condition = body->String("condition", true);
   if (condition == "ready") {
     record->set_state(messages::RUNNER_READY);
   } else if (condition == "draining") {
@@ -126,7 +126,7 @@
 }
 
 bool IsRunnerId(std::string_view id) {
-  return !id.empty() && id.size() <= kLongestName &&
+  return !id.empty() && id.size() <= kMaxNameLength &&
          std::all_of(id.begin(), id.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
@@ -142,18 +142,18 @@
   ObjectReader reader(body, "the body", &error);
   RunnerRecord record;
   record.set_runner_id(std::string(runner_id));
-  record.set_service(reader.Text("line", true));
-  record.set_address(reader.Text("address", true));
+  record.set_service(reader.String("line", true));
+  record.set_address(reader.String("address", true));
   if (!IsAddress(record.address())) reader.Fail("address", "must be IP:PORT of the runner");
-  record.set_zone(reader.Text("zone", true));
-  record.set_software_edition(reader.Text("edition", false));
-  record.set_slots(static_cast<std::int32_t>(reader.Whole("berths", true, kMaxSlots)));
+  record.set_zone(reader.String("zone", true));
+  record.set_software_edition(reader.String("edition", false));
+  record.set_slots(static_cast<std::int32_t>(reader.Integer("berths", true, kMaxSlots)));
   ReadState(&reader, &record);
   record.set_cold_ms(reader.Milliseconds("cold_ms"));
   record.set_remaining_ms(reader.Milliseconds("remaining_ms"));
-  record.set_stage(reader.Text("stage", false));
-  record.set_call_count(
-      static_cast<std::uint64_t>(reader.Whole("call_count", true, std::numeric_limits<std::int64_t>::max())));
+  record.set_stage(reader.String("stage", false));
+  record.set_call_count(static_cast<std::uint64_t>(
+      reader.Integer("call_count", true, std::numeric_limits<std::int64_t>::max())));
   ReadModels(&reader, &record, &error);
   if (!error.empty()) return error;
   return record;
--- a/src/registry/homes.cpp
+++ b/src/registry/homes.cpp
@@ -11,17 +11,17 @@
 constexpr std::size_t kMaxHomes = 65536;  // bounds the cache as services come and go; cleared when full
 
 // Removes the candidates that do not match, unless none matches.
-template <typename Fits>
-void KeepWhereAny(std::vector<const Homes::Candidate*>* candidates, Fits fits) {
-  const auto fitting = [&](const Homes::Candidate* candidate) { return fits(*candidate); };
-  if (std::none_of(candidates->begin(), candidates->end(), fitting)) return;
-  std::erase_if(*candidates, [&](const Homes::Candidate* candidate) { return !fits(*candidate); });
+template <typename Predicate>
+void FilterUnlessNoneMatch(std::vector<const Homes::Candidate*>* candidates, Predicate matches) {
+  const auto is_match = [&](const Homes::Candidate* candidate) { return matches(*candidate); };
+  if (std::none_of(candidates->begin(), candidates->end(), is_match)) return;
+  std::erase_if(*candidates, [&](const Homes::Candidate* candidate) { return !matches(*candidate); });
 }
 
 }  // namespace
 
 Homes::Homes(Candidate self, bool prefers_quorum_members)
-    : self_(std::move(self)), prefers_stores_(prefers_quorum_members) {
+    : self_(std::move(self)), prefers_quorum_members_(prefers_quorum_members) {
   dispatchers_ = {self_};
 }
 
@@ -38,26 +38,27 @@
 
 const Home& Homes::HomeOf(Time now, const std::string& service, const std::string& zone) {
   if (homes_.size() >= kMaxHomes) homes_.clear();
-  const auto [place, added] = homes_.try_emplace({service, zone});
+  const auto [entry, added] = homes_.try_emplace({service, zone});
   if (added) {
-    place->second = Choose(service, zone);
-    place->second.since = now;
+    entry->second = Choose(service, zone);
+    entry->second.since = now;
   }
-  return place->second;
+  return entry->second;
 }
 
 Home Homes::Choose(const std::string& service, const std::string& zone) const {
-  std::vector<const Candidate*> left;
-  for (const Candidate& candidate : dispatchers_) left.push_back(&candidate);
-  KeepWhereAny(&left, [](const Candidate& candidate) { return candidate.serves_control; });
-  KeepWhereAny(&left, [&](const Candidate& candidate) { return candidate.member.zone == zone; });
-  if (prefers_stores_)
-    KeepWhereAny(&left, [](const Candidate& candidate) { return candidate.member.counts_for_quorum; });
+  std::vector<const Candidate*> eligible;
+  for (const Candidate& candidate : dispatchers_) eligible.push_back(&candidate);
+  FilterUnlessNoneMatch(&eligible, [](const Candidate& candidate) { return candidate.serves_control; });
+  FilterUnlessNoneMatch(&eligible, [&](const Candidate& candidate) { return candidate.member.zone == zone; });
+  if (prefers_quorum_members_)
+    FilterUnlessNoneMatch(&eligible,
+                          [](const Candidate& candidate) { return candidate.member.counts_for_quorum; });
   const auto rank = [&](const Candidate* candidate) {
     const std::string& name = candidate->member.name;
     return std::pair(HashOf({service, zone, name}), name);
   };
-  const Candidate* best = *std::max_element(left.begin(), left.end(),
+  const Candidate* best = *std::max_element(eligible.begin(), eligible.end(),
                                             [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
   const Member& member = best->member;
   return {member.name == self_.member.name, member.name, member.address, member.control_address, 0};
--- a/src/registry/homes.h
+++ b/src/registry/homes.h
@@ -39,7 +39,7 @@
   Home Choose(const std::string& service, const std::string& zone) const;
 
   const Candidate self_;
-  const bool prefers_stores_;
+  const bool prefers_quorum_members_;
   std::vector<Candidate> dispatchers_;  // including this one
   std::map<std::pair<std::string, std::string>, Home> homes_;
 };
--- a/src/registry/merge.cpp
+++ b/src/registry/merge.cpp
@@ -32,7 +32,7 @@
   return MergeResult::kChanged;
 }
 
-RunnerRecord WithoutCounts(RunnerRecord record) {
+RunnerRecord ContentOf(RunnerRecord record) {
   record.clear_call_count();
   record.clear_cold_ms();
   record.clear_remaining_ms();
@@ -58,8 +58,8 @@
   record->set_call_count(0);
 }
 
-bool SameNews(const RunnerRecord& left, const RunnerRecord& right) {
-  return WithoutCounts(left).SerializeAsString() == WithoutCounts(right).SerializeAsString();
+bool HasSameContent(const RunnerRecord& left, const RunnerRecord& right) {
+  return ContentOf(left).SerializeAsString() == ContentOf(right).SerializeAsString();
 }
 
 bool WouldChange(const Version& held, const Version& offered) {
@@ -77,14 +77,14 @@
     return KeepDraining(has_drained, &held) ? MergeResult::kChanged : MergeResult::kNothing;
 
   const bool refuted = may_refute && IsLost(offered.state()) && IsAlive(held.state()) &&
-                       runner->heard_count > offered.call_count();
+                       runner->last_call_count > offered.call_count();
   held = offered;
   if (refuted) {
     held.set_state(messages::RUNNER_READY);
-    held.set_call_count(runner->heard_count);
+    held.set_call_count(runner->last_call_count);
   }
   KeepDraining(has_drained, &held);
-  runner->heard_count = std::max(runner->heard_count, held.call_count());
+  runner->last_call_count = std::max(runner->last_call_count, held.call_count());
   return refuted ? MergeResult::kRefuted : MergeResult::kChanged;
 }
 
--- a/src/registry/merge.h
+++ b/src/registry/merge.h
@@ -12,10 +12,10 @@
 // A runner as one dispatcher knows it.
 struct TrackedRunner {
   messages::RunnerRecord record;
-  std::uint64_t heard_count = 0;  // the highest call count seen, including heartbeats without changes
-  Time last_heard = 0;            // when the call count last increased
-  Time ended_at = 0;              // when it was declared lost or removed
-  Time spread_at = 0;             // when this dispatcher last propagated it; 0: never
+  std::uint64_t last_call_count = 0;  // the highest call count seen, including heartbeats without changes
+  Time last_heard = 0;                // when the call count last increased
+  Time ended_at = 0;                  // when it was declared lost or removed
+  Time spread_at = 0;                 // when this dispatcher last propagated it; 0: never
 };
 
 // The part of a record that decides a merge.
@@ -38,7 +38,7 @@
 
 // Whether the records are equal in everything that is propagated, that is all but the call count and
 // durations.
-bool SameNews(const messages::RunnerRecord& left, const messages::RunnerRecord& right);
+bool HasSameContent(const messages::RunnerRecord& left, const messages::RunnerRecord& right);
 
 // Whether merging a record of version `offered` into one of version `held` would change it.
 bool WouldChange(const Version& held, const Version& offered);
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -8,23 +8,24 @@
 namespace lichenlug::registry {
 namespace {
 
-constexpr int kSilentHeartbeats = 3;        // heartbeat intervals without a heartbeat until a runner is lost
-constexpr int kGraceHeartbeats = 1;         // added for a new home, as runners have yet to switch to it
-constexpr Time kFreeze = kSecond;           // a longer gap between ticks is a pause of this process
-constexpr Time kLongestTick = kSecond / 4;  // between two checks for silent runners
-constexpr Time kNewsToNewPeers = 4 * kSecond;  // changes this recent are also sent to a newly live peer
+constexpr int kMissedHeartbeatsUntilLost =
+    3;                               // heartbeat intervals without a heartbeat until a runner is lost
+constexpr int kGraceHeartbeats = 1;  // added for a new home, as runners have yet to switch to it
+constexpr Time kMinPause = kSecond;  // a longer gap between ticks is a pause of this process
+constexpr Time kMaxExpiryCheckInterval = kSecond / 4;  // between two checks for silent runners
+constexpr Time kRecentChangeAge = 4 * kSecond;  // changes this recent are also sent to a newly live peer
 
 // Notifies the home that a runner which reports to this dispatcher is alive.
-void PassOn(const Home& home, const TrackedRunner& runner, RegistryOutput* output) {
+void NotifyHome(const Home& home, const TrackedRunner& runner, RegistryOutput* output) {
   if (!IsAlive(runner.record.state())) return;
   auto& send = output->sends.emplace_back();
   send.address = home.address;
   auto* alive = send.message.mutable_update()->add_alive();
   alive->set_runner_id(runner.record.runner_id());
-  alive->set_call_count(runner.heard_count);
+  alive->set_call_count(runner.last_call_count);
 }
 
-Homes::Candidate SelfIn(const RegistrySettings& settings) {
+Homes::Candidate SelfCandidate(const RegistrySettings& settings) {
   Homes::Candidate self;
   self.member.name = settings.self_name;
   self.member.zone = settings.zone;
@@ -38,7 +39,7 @@
 Registry::Impl::Impl(RegistrySettings settings)
     : settings_(std::move(settings)),
       table_(settings_.max_runners),
-      homes_(SelfIn(settings_), settings_.prefers_quorum_members),
+      homes_(SelfCandidate(settings_), settings_.prefers_quorum_members),
       spread_(settings_.seed),
       anti_entropy_(settings_.heartbeat_interval, settings_.seed) {}
 
@@ -51,71 +52,71 @@
   if (runner == nullptr) {
     runner = table_.Add(now, heartbeat);
     if (runner == nullptr) return {};
-    TakeAddress(now, *runner, output);
-    Changed(now, runner, output);
-  } else if (!TakeHeartbeat(now, heartbeat, runner, output) && !home.is_self) {
-    PassOn(home, *runner, output);
+    ClaimAddress(now, *runner, output);
+    RecordChange(now, runner, output);
+  } else if (!ApplyHeartbeat(now, heartbeat, runner, output) && !home.is_self) {
+    NotifyHome(home, *runner, output);
   }
   spread_.Flush(now, &table_, output);
   return answer;
 }
 
-bool Registry::Impl::TakeHeartbeat(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
-                                   RegistryOutput* output) {
-  if (heartbeat.call_count() <= runner->heard_count || !MayLive(now, *runner, heartbeat.address()))
-    return TakeLateDrain(now, heartbeat, runner, output);
-  runner->heard_count = heartbeat.call_count();
+bool Registry::Impl::ApplyHeartbeat(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
+                                    RegistryOutput* output) {
+  if (heartbeat.call_count() <= runner->last_call_count || !MayBeAlive(now, *runner, heartbeat.address()))
+    return ApplyStaleDrain(now, heartbeat, runner, output);
+  runner->last_call_count = heartbeat.call_count();
   runner->last_heard = now;
   const messages::RunnerRecord before = runner->record;
   if (MergeRecord(heartbeat, true, runner) == MergeResult::kNothing) return false;
-  if (SameNews(before, runner->record)) {
+  if (HasSameContent(before, runner->record)) {
     runner->record.set_call_count(before.call_count());
     return false;
   }
   if (!IsAlive(before.state()) || before.address() != runner->record.address())
-    TakeAddress(now, *runner, output);
-  Changed(now, runner, output);
+    ClaimAddress(now, *runner, output);
+  RecordChange(now, runner, output);
   return true;
 }
 
-bool Registry::Impl::TakeLateDrain(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
-                                   RegistryOutput* output) {
+bool Registry::Impl::ApplyStaleDrain(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
+                                     RegistryOutput* output) {
   if (heartbeat.state() != messages::RUNNER_DRAINING || runner->record.state() != messages::RUNNER_READY)
     return false;
   runner->record.set_state(messages::RUNNER_DRAINING);
-  Changed(now, runner, output);
+  RecordChange(now, runner, output);
   return true;
 }
 
-bool Registry::Impl::MayLive(Time now, const TrackedRunner& runner, const std::string& address) {
+bool Registry::Impl::MayBeAlive(Time now, const TrackedRunner& runner, const std::string& address) {
   if (IsAlive(runner.record.state())) return true;
-  const TrackedRunner* holder = table_.HolderOfAddress(address, runner.record.runner_id());
+  const TrackedRunner* holder = table_.FindAliveByAddress(address, runner.record.runner_id());
   return holder == nullptr || now - holder->last_heard > settings_.heartbeat_interval * 5 / 4;
 }
 
-void Registry::Impl::TakeAddress(Time now, const TrackedRunner& runner, RegistryOutput* output) {
+void Registry::Impl::ClaimAddress(Time now, const TrackedRunner& runner, RegistryOutput* output) {
   const std::string& runner_id = runner.record.runner_id();
-  while (TrackedRunner* older = table_.HolderOfAddress(runner.record.address(), runner_id))
-    Lose(now, older, output);
+  while (TrackedRunner* older = table_.FindAliveByAddress(runner.record.address(), runner_id))
+    DeclareLost(now, older, output);
 }
 
-void Registry::Impl::Lose(Time now, TrackedRunner* runner, RegistryOutput* output) {
+void Registry::Impl::DeclareLost(Time now, TrackedRunner* runner, RegistryOutput* output) {
   runner->record.set_was_draining(runner->record.state() == messages::RUNNER_DRAINING);
   runner->record.set_state(messages::RUNNER_LOST);
-  runner->record.set_call_count(runner->heard_count);
-  Changed(now, runner, output);
+  runner->record.set_call_count(runner->last_call_count);
+  RecordChange(now, runner, output);
 }
 
-void Registry::Impl::Changed(Time now, TrackedRunner* runner, RegistryOutput* output) {
+void Registry::Impl::RecordChange(Time now, TrackedRunner* runner, RegistryOutput* output) {
   if (!IsAlive(runner->record.state())) runner->ended_at = now;
-  receipts_.Drop(runner->record.runner_id());  // they are for the previous record
+  receipts_.Remove(runner->record.runner_id());  // they are for the previous record
   runner->spread_at = now;
   spread_.Add(runner->record.runner_id());
   output->changed = true;
 }
 
 Time Registry::Impl::HomeTimeout() const {
-  return (kSilentHeartbeats + kGraceHeartbeats) * settings_.heartbeat_interval;
+  return (kMissedHeartbeatsUntilLost + kGraceHeartbeats) * settings_.heartbeat_interval;
 }
 
 const Home& Registry::Impl::HomeOf(Time now, const messages::RunnerRecord& record) {
@@ -123,12 +124,12 @@
 }
 
 void Registry::Impl::Expire(Time now, RegistryOutput* output) {
-  const Time timeout = kSilentHeartbeats * settings_.heartbeat_interval;
+  const Time timeout = kMissedHeartbeatsUntilLost * settings_.heartbeat_interval;
   for (auto& [runner_id, runner] : table_.runners()) {
     if (!IsAlive(runner.record.state()) || now - runner.last_heard < timeout) continue;
     const Home& home = HomeOf(now, runner.record);
-    if (!home.is_self || now - std::max(home.since, thawed_at_) < HomeTimeout()) continue;
-    Lose(now, &runner, output);
+    if (!home.is_self || now - std::max(home.since, resumed_at_) < HomeTimeout()) continue;
+    DeclareLost(now, &runner, output);
   }
 }
 
@@ -144,7 +145,7 @@
     return;
   }
   MarkGone(&runner->record);
-  Changed(now, runner, output);
+  RecordChange(now, runner, output);
   spread_.Flush(now, &table_, output);
 }
 
@@ -155,8 +156,8 @@
 void Registry::Impl::SendEnd(Time now, const std::string& runner_id,
                              const std::vector<std::string>& addresses, RegistryOutput* output) {
   for (const std::string& address : addresses) {
-    const bool is_told = receipts_.Has(runner_id, address) || spread_.IsInFlight(address, runner_id);
-    if (!is_told) spread_.AddFor(address, runner_id);
+    const bool is_notified = receipts_.Has(runner_id, address) || spread_.IsInFlight(address, runner_id);
+    if (!is_notified) spread_.AddFor(address, runner_id);
   }
   spread_.Flush(now, &table_, output);
 }
@@ -164,9 +165,9 @@
 void Registry::Impl::SetMembers(Time now, const std::vector<Member>& live, RegistryOutput* output) {
   homes_.SetMembers(now, live);
   const std::vector<std::string> added = spread_.SetPeers(live);
-  for (const std::string& address : added) receipts_.DropPeer(address);
+  for (const std::string& address : added) receipts_.RemovePeer(address);
   for (const auto& [runner_id, runner] : table_.runners()) {
-    if (runner.spread_at == 0 || now - runner.spread_at > kNewsToNewPeers) continue;
+    if (runner.spread_at == 0 || now - runner.spread_at > kRecentChangeAge) continue;
     for (const std::string& address : added) spread_.AddFor(address, runner_id);
   }
   anti_entropy_.SetPeers(now, live, added);
@@ -174,13 +175,14 @@
 }
 
 void Registry::Impl::Tick(Time now, RegistryOutput* output) {
-  if (last_tick_ && now - *last_tick_ > kFreeze) thawed_at_ = now;
+  if (last_tick_ && now - *last_tick_ > kMinPause) resumed_at_ = now;
   last_tick_ = now;
-  if (now >= next_watch_) {
-    next_watch_ = now + std::min(settings_.heartbeat_interval / 4, kLongestTick);
+  if (now >= next_expiry_check_) {
+    next_expiry_check_ = now + std::min(settings_.heartbeat_interval / 4, kMaxExpiryCheckInterval);
     Expire(now, output);
-    table_.DropEnded(now);
-    receipts_.Keep([this](const std::string& runner_id) { return table_.Find(runner_id) != nullptr; });
+    table_.RemoveExpired(now);
+    receipts_.RemoveUnless(
+        [this](const std::string& runner_id) { return table_.Find(runner_id) != nullptr; });
   }
   spread_.Flush(now, &table_, output);
   spread_.Tick(now, &table_, output);
@@ -188,7 +190,7 @@
 }
 
 std::optional<Time> Registry::Impl::NextTimer() const {
-  const Time next = std::min(next_watch_, anti_entropy_.NextTimer());
+  const Time next = std::min(next_expiry_check_, anti_entropy_.NextTimer());
   return std::min(next, spread_.NextTimer().value_or(next));
 }
 
--- a/src/registry/registry_impl.h
+++ b/src/registry/registry_impl.h
@@ -36,19 +36,19 @@
   // Heartbeats and expiry (registry.cpp).
 
   // Handles a heartbeat of a known runner. Returns whether it changed the record.
-  bool TakeHeartbeat(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
-                     RegistryOutput* output);
+  bool ApplyHeartbeat(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
+                      RegistryOutput* output);
   // A stale heartbeat changes nothing, except that a drain in it takes effect, because it is acknowledged to
   // the runner.
-  bool TakeLateDrain(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
-                     RegistryOutput* output);
+  bool ApplyStaleDrain(Time now, const messages::RunnerRecord& heartbeat, TrackedRunner* runner,
+                       RegistryOutput* output);
   // Whether the runner may be alive: a lost runner stays lost while another one reports from its address.
-  bool MayLive(Time now, const TrackedRunner& runner, const std::string& address);
+  bool MayBeAlive(Time now, const TrackedRunner& runner, const std::string& address);
   // Marks any other runner with the address of this one as lost, as it must have ended.
-  void TakeAddress(Time now, const TrackedRunner& runner, RegistryOutput* output);
-  void Lose(Time now, TrackedRunner* runner, RegistryOutput* output);
+  void ClaimAddress(Time now, const TrackedRunner& runner, RegistryOutput* output);
+  void DeclareLost(Time now, TrackedRunner* runner, RegistryOutput* output);
   // Records a local change and queues it for propagation.
-  void Changed(Time now, TrackedRunner* runner, RegistryOutput* output);
+  void RecordChange(Time now, TrackedRunner* runner, RegistryOutput* output);
   // Declares silent runners lost; only the home of a runner does that.
   void Expire(Time now, RegistryOutput* output);
   Time HomeTimeout() const;  // how long a new home waits before it declares runners lost
@@ -61,12 +61,12 @@
   // A dispatcher that was partitioned may have declared runners lost that still report to others. A loss
   // learned through anti-entropy is therefore forwarded to the runner's home, which confirms or refutes it to
   // all. It is ignored while the home is new, as runners have yet to report to it.
-  enum class Loss { kTake, kIgnore, kAskHome };
-  Loss JudgeLoss(Time now, const std::string& from_address, const messages::RunnerRecord& record);
+  enum class LossAction { kAccept, kIgnore, kForwardToHome };
+  LossAction ClassifyLoss(Time now, const std::string& from_address, const messages::RunnerRecord& record);
   void ReceiveRecord(Time now, const std::string& from_address, const messages::RunnerRecord& record,
                      bool is_spread, RegistryOutput* output);
   // The peer has acknowledged these records; records a receipt for each that is an end.
-  void NoteHeld(const std::string& address, const std::vector<std::string>& runner_ids);
+  void RecordAcknowledged(const std::string& address, const std::vector<std::string>& runner_ids);
   // Handles the notice of a heartbeat without changes that another dispatcher received.
   void ReceiveAlive(Time now, const messages::RegistryUpdate::Alive& alive, RegistryOutput* output);
 
@@ -77,8 +77,8 @@
   EndReceipts receipts_;
   AntiEntropy anti_entropy_;
   std::optional<Time> last_tick_;
-  Time thawed_at_ = 0;  // end of the last pause of this process
-  Time next_watch_ = 0;
+  Time resumed_at_ = 0;  // end of the last pause of this process
+  Time next_expiry_check_ = 0;
 };
 
 }  // namespace lichenlug::registry
--- a/src/registry/registry_receive.cpp
+++ b/src/registry/registry_receive.cpp
@@ -12,7 +12,7 @@
       ReceiveUpdate(now, from_address, message.update(), output);
       break;
     case messages::RegistryMessage::kAck:
-      NoteHeld(from_address, spread_.Acknowledged(now, from_address, message.ack().number()));
+      RecordAcknowledged(from_address, spread_.Acknowledged(now, from_address, message.ack().number()));
       break;
     case messages::RegistryMessage::kDigest:
       anti_entropy_.Receive(now, from_address, message.digest(), &table_, output);
@@ -23,7 +23,8 @@
   spread_.Flush(now, &table_, output);
 }
 
-void Registry::Impl::NoteHeld(const std::string& address, const std::vector<std::string>& runner_ids) {
+void Registry::Impl::RecordAcknowledged(const std::string& address,
+                                        const std::vector<std::string>& runner_ids) {
   for (const std::string& runner_id : runner_ids) {
     const TrackedRunner* runner = table_.Find(runner_id);
     const bool is_end = runner != nullptr && (runner->record.state() == messages::RUNNER_DRAINING ||
@@ -36,16 +37,17 @@
                                    const messages::RegistryUpdate& update, RegistryOutput* output) {
   for (const auto& record : update.records()) {
     if (record.runner_id().empty()) continue;
-    const Loss loss = update.wants_ack() ? Loss::kTake : JudgeLoss(now, from_address, record);
-    if (loss == Loss::kTake) ReceiveRecord(now, from_address, record, update.wants_ack(), output);
-    if (loss != Loss::kAskHome) continue;
+    const LossAction loss =
+        update.wants_ack() ? LossAction::kAccept : ClassifyLoss(now, from_address, record);
+    if (loss == LossAction::kAccept) ReceiveRecord(now, from_address, record, update.wants_ack(), output);
+    if (loss != LossAction::kForwardToHome) continue;
     auto& send = output->sends.emplace_back();
     send.address = HomeOf(now, record).address;
     *send.message.mutable_update()->add_records() = record;
   }
   for (const auto& alive : update.alive()) ReceiveAlive(now, alive, output);
-  if (update.wanted_size() > 0) anti_entropy_.AnswerWanted(now, from_address, update, &table_, output);
-  anti_entropy_.TookUpdate(&table_);
+  if (update.wanted_size() > 0) anti_entropy_.SendRequested(now, from_address, update, &table_, output);
+  anti_entropy_.OnUpdateMerged(&table_);
   if (update.wants_ack()) {
     auto& send = output->sends.emplace_back();
     send.address = from_address;
@@ -53,15 +55,16 @@
   }
 }
 
-Registry::Impl::Loss Registry::Impl::JudgeLoss(Time now, const std::string& from_address,
-                                               const messages::RunnerRecord& record) {
-  if (record.state() != messages::RUNNER_LOST) return Loss::kTake;
+Registry::Impl::LossAction Registry::Impl::ClassifyLoss(Time now, const std::string& from_address,
+                                                        const messages::RunnerRecord& record) {
+  if (record.state() != messages::RUNNER_LOST) return LossAction::kAccept;
   const TrackedRunner* known = table_.Find(record.runner_id());
-  if (known == nullptr || !WouldChange(VersionOf(known->record), VersionOf(record))) return Loss::kTake;
-  if (known->heard_count > record.call_count()) return Loss::kTake;  // the merge refutes it
+  if (known == nullptr || !WouldChange(VersionOf(known->record), VersionOf(record)))
+    return LossAction::kAccept;
+  if (known->last_call_count > record.call_count()) return LossAction::kAccept;  // the merge refutes it
   const Home& home = HomeOf(now, record);
-  if (now - home.since < HomeTimeout()) return Loss::kIgnore;
-  return home.is_self || home.address == from_address ? Loss::kTake : Loss::kAskHome;
+  if (now - home.since < HomeTimeout()) return LossAction::kIgnore;
+  return home.is_self || home.address == from_address ? LossAction::kAccept : LossAction::kForwardToHome;
 }
 
 void Registry::Impl::ReceiveRecord(Time now, const std::string& from_address,
@@ -70,26 +73,26 @@
   const bool is_home = HomeOf(now, record).is_self;  // also starts the timeout of the home
   TrackedRunner* runner = table_.Find(record.runner_id());
   if (runner == nullptr) {
-    if (!RunnerTable::WorthLearning(record) || table_.Add(now, record) == nullptr) return;
+    if (!RunnerTable::ShouldAccept(record) || table_.Add(now, record) == nullptr) return;
     output->changed = output->changed || IsAlive(record.state());
     return;
   }
   const bool was_alive = IsAlive(runner->record.state());
-  const std::uint64_t heard_before = runner->heard_count;
-  const bool may_refute = table_.HolderOfAddress(runner->record.address(), record.runner_id()) == nullptr;
+  const std::uint64_t count_before = runner->last_call_count;
+  const bool may_refute = table_.FindAliveByAddress(runner->record.address(), record.runner_id()) == nullptr;
   const MergeResult result = MergeRecord(record, may_refute, runner);
   const bool is_alive = IsAlive(runner->record.state());
   if (was_alive && !is_alive) runner->ended_at = RunnerTable::EndedAt(now, record);
-  if (runner->heard_count > heard_before) runner->last_heard = now;
+  if (runner->last_call_count > count_before) runner->last_heard = now;
   runner->record.clear_ended_ms_ago();
 
   if (result == MergeResult::kRefuted) {
-    Changed(now, runner, output);
+    RecordChange(now, runner, output);
   } else if (result == MergeResult::kChanged) {
     output->changed = true;
-    spread_.SendAnew(record.runner_id());
+    spread_.RequeueIfPending(record.runner_id());
     // This dispatcher is the home and confirms the forwarded loss to all.
-    if (is_home && !is_spread && record.state() == messages::RUNNER_LOST) Changed(now, runner, output);
+    if (is_home && !is_spread && record.state() == messages::RUNNER_LOST) RecordChange(now, runner, output);
   } else if (!is_alive && (IsAlive(record.state()) || !is_spread)) {
     // The sender does not know that the runner has ended.
     spread_.AddFor(from_address, record.runner_id());
@@ -99,17 +102,17 @@
 void Registry::Impl::ReceiveAlive(Time now, const messages::RegistryUpdate::Alive& alive,
                                   RegistryOutput* output) {
   TrackedRunner* runner = table_.Find(alive.runner_id());
-  if (runner == nullptr || alive.call_count() <= runner->heard_count) return;
+  if (runner == nullptr || alive.call_count() <= runner->last_call_count) return;
   if (runner->record.state() == messages::RUNNER_GONE) return;
-  if (!MayLive(now, *runner, runner->record.address())) return;
-  runner->heard_count = alive.call_count();
+  if (!MayBeAlive(now, *runner, runner->record.address())) return;
+  runner->last_call_count = alive.call_count();
   runner->last_heard = now;
   if (runner->record.state() != messages::RUNNER_LOST) return;
   runner->record.set_state(runner->record.was_draining() ? messages::RUNNER_DRAINING
                                                          : messages::RUNNER_READY);
   runner->record.clear_was_draining();
   runner->record.set_call_count(alive.call_count());
-  Changed(now, runner, output);
+  RecordChange(now, runner, output);
 }
 
 }  // namespace lichenlug::registry
--- a/src/registry/spread.cpp
+++ b/src/registry/spread.cpp
@@ -67,7 +67,7 @@
   return held;
 }
 
-void Spread::SendAnew(const std::string& runner_id) {
+void Spread::RequeueIfPending(const std::string& runner_id) {
   for (const auto& [address, peer] : peers_) {
     if (peer.pending.contains(runner_id)) AddFor(address, runner_id);
   }
@@ -115,7 +115,7 @@
   });
 }
 
-void Spread::NoteSent(Time now, std::uint64_t number, Pending* pending) {
+void Spread::RecordSent(Time now, std::uint64_t number, Pending* pending) {
   if (pending->sent_in.empty())
     pending->sent_at = now;
   else
@@ -123,12 +123,12 @@
   if (pending->sent_in.size() >= kMaxNumbersKept) pending->sent_in.erase(pending->sent_in.begin());
   pending->sent_in.push_back(number);
   const Time wait = delay_.Wait() << std::max(0, pending->repeats - 1);
-  pending->repeat_at = now + std::min(wait, kLongestRepeatAfter);
+  pending->repeat_at = now + std::min(wait, kMaxRepeatAfter);
 }
 
 // Live runners come first, so that a runner that took over an address is known before the end of the previous
 // runner there.
-std::vector<std::string> Spread::TakeDue(Time now, const Peer& peer, RunnerTable* table) const {
+std::vector<std::string> Spread::CollectDue(Time now, const Peer& peer, RunnerTable* table) const {
   std::vector<std::string> changes, ends;
   for (const auto& [runner_id, pending] : peer.pending) {
     if (!IsDue(now, pending)) continue;
@@ -143,7 +143,7 @@
 void Spread::Send(Time now, const std::string& address, Peer* peer, RunnerTable* table,
                   RegistryOutput* output) {
   std::erase_if(peer->pending, [table](const auto& entry) { return table->Find(entry.first) == nullptr; });
-  const std::vector<std::string> due = TakeDue(now, *peer, table);
+  const std::vector<std::string> due = CollectDue(now, *peer, table);
   if (!due.empty()) {
     RegistrySend send;
     send.address = address;
@@ -151,8 +151,8 @@
     update->set_number(++last_number_);
     update->set_wants_ack(true);
     for (const std::string& runner_id : due) {
-      *update->add_records() = RunnerTable::ToSend(now, *table->Find(runner_id));
-      NoteSent(now, update->number(), &peer->pending.at(runner_id));
+      *update->add_records() = RunnerTable::RecordToSend(now, *table->Find(runner_id));
+      RecordSent(now, update->number(), &peer->pending.at(runner_id));
     }
     output->sends.push_back(std::move(send));
   }
--- a/src/registry/spread.h
+++ b/src/registry/spread.h
@@ -29,7 +29,7 @@
   // Returns the runners whose current records the peer has acknowledged with this.
   std::vector<std::string> Acknowledged(Time now, const std::string& address, std::uint64_t number);
   // The record has changed: peers that have not acknowledged the previous version are sent this one.
-  void SendAnew(const std::string& runner_id);
+  void RequeueIfPending(const std::string& runner_id);
   bool IsInFlight(const std::string& address, const std::string& runner_id) const;
 
   // Sends what was added since the last call. A peer with an outstanding acknowledgement gets no further
@@ -58,16 +58,16 @@
   static bool IsDue(Time now, const Pending& pending);
   static bool AwaitsAcknowledgement(const Peer& peer);
   static bool HasUnsentEnd(const Peer& peer, RunnerTable* table);
-  void NoteSent(Time now, std::uint64_t number, Pending* pending);
+  void RecordSent(Time now, std::uint64_t number, Pending* pending);
   // The runners whose records go into the next message to a peer: unsent ones, and those due for
   // retransmission.
-  std::vector<std::string> TakeDue(Time now, const Peer& peer, RunnerTable* table) const;
+  std::vector<std::string> CollectDue(Time now, const Peer& peer, RunnerTable* table) const;
   void Send(Time now, const std::string& address, Peer* peer, RunnerTable* table, RegistryOutput* output);
 
-  static constexpr Time kMinRepeatAfter = 150 * kMillisecond, kLongestRepeatAfter = 600 * kMillisecond;
+  static constexpr Time kMinRepeatAfter = 150 * kMillisecond, kMaxRepeatAfter = 600 * kMillisecond;
 
   // Round-trip estimate over all peers, as their messages share this dispatcher's link.
-  DelayEstimate delay_{kMinRepeatAfter, kLongestRepeatAfter};
+  DelayEstimate delay_{kMinRepeatAfter, kMaxRepeatAfter};
   std::uint64_t last_number_;          // shared by all peers, so that no number is reused
   std::map<std::string, Peer> peers_;  // by address
 };
--- a/src/registry/table.cpp
+++ b/src/registry/table.cpp
@@ -8,13 +8,13 @@
 namespace lichenlug::registry {
 namespace {
 
-constexpr Time kKeepEnded = 120 * kSecond;
-constexpr Time kCompareEnded =
-    60 * kSecond;  // well below kKeepEnded, so that removed entries are not relearned
-constexpr std::size_t kMaxEnded = 4096;
+constexpr Time kTombstoneLifetime = 120 * kSecond;
+constexpr Time kDigestEndedAge =
+    60 * kSecond;  // well below kTombstoneLifetime, so that removed entries are not relearned
+constexpr std::size_t kMaxTombstones = 4096;
 
 bool InDigest(Time now, const TrackedRunner& runner) {
-  return IsAlive(runner.record.state()) || now - runner.ended_at < kCompareEnded;
+  return IsAlive(runner.record.state()) || now - runner.ended_at < kDigestEndedAge;
 }
 
 }  // namespace
@@ -25,7 +25,7 @@
 }
 
 TrackedRunner* RunnerTable::Add(Time now, const messages::RunnerRecord& record) {
-  if (runners_.size() >= max_runners_ + kMaxEnded) return nullptr;
+  if (runners_.size() >= max_runners_ + kMaxTombstones) return nullptr;
   if (IsAlive(record.state()) && runners_.size() >= max_runners_) {
     const auto alive = std::count_if(runners_.begin(), runners_.end(),
                                      [](const auto& entry) { return IsAlive(entry.second.record.state()); });
@@ -34,16 +34,17 @@
   TrackedRunner& runner = runners_[record.runner_id()];
   runner.record = record;
   if (record.state() == messages::RUNNER_GONE) MarkGone(&runner.record);
-  runner.heard_count = record.call_count();
+  runner.last_call_count = record.call_count();
   runner.last_heard = now;
   if (!IsAlive(record.state())) runner.ended_at = EndedAt(now, record);
   runner.record.clear_ended_ms_ago();
   return &runner;
 }
 
-TrackedRunner* RunnerTable::HolderOfAddress(const std::string& address, const std::string& other_than) {
+TrackedRunner* RunnerTable::FindAliveByAddress(const std::string& address,
+                                               const std::string& excluded_runner) {
   for (auto& [runner_id, runner] : runners_) {
-    if (IsAlive(runner.record.state()) && runner.record.address() == address && runner_id != other_than)
+    if (IsAlive(runner.record.state()) && runner.record.address() == address && runner_id != excluded_runner)
       return &runner;
   }
   return nullptr;
@@ -56,14 +57,14 @@
   return alive;
 }
 
-void RunnerTable::DropEnded(Time now) {
+void RunnerTable::RemoveExpired(Time now) {
   std::vector<std::pair<Time, std::string>> ended;
   for (const auto& [runner_id, runner] : runners_)
     if (!IsAlive(runner.record.state())) ended.emplace_back(runner.ended_at, runner_id);
   std::sort(ended.begin(), ended.end());
   for (std::size_t i = 0; i < ended.size(); ++i) {
-    const bool too_many = ended.size() - i > kMaxEnded;
-    if (too_many || now - ended[i].first >= kKeepEnded) runners_.erase(ended[i].second);
+    const bool too_many = ended.size() - i > kMaxTombstones;
+    if (too_many || now - ended[i].first >= kTombstoneLifetime) runners_.erase(ended[i].second);
   }
 }
 
@@ -87,15 +88,15 @@
   }
 }
 
-bool RunnerTable::WorthLearning(const messages::RunnerRecord& record) {
-  return IsAlive(record.state()) || record.ended_ms_ago() < kCompareEnded / kMillisecond;
+bool RunnerTable::ShouldAccept(const messages::RunnerRecord& record) {
+  return IsAlive(record.state()) || record.ended_ms_ago() < kDigestEndedAge / kMillisecond;
 }
 
 Time RunnerTable::EndedAt(Time now, const messages::RunnerRecord& record) {
-  return now - std::clamp<Time>(record.ended_ms_ago(), 0, kKeepEnded / kMillisecond) * kMillisecond;
+  return now - std::clamp<Time>(record.ended_ms_ago(), 0, kTombstoneLifetime / kMillisecond) * kMillisecond;
 }
 
-messages::RunnerRecord RunnerTable::ToSend(Time now, const TrackedRunner& runner) {
+messages::RunnerRecord RunnerTable::RecordToSend(Time now, const TrackedRunner& runner) {
   messages::RunnerRecord record = runner.record;
   if (!IsAlive(record.state()))
     record.set_ended_ms_ago(std::max<Time>(0, now - runner.ended_at) / kMillisecond);
--- a/src/registry/table.h
+++ b/src/registry/table.h
@@ -22,23 +22,23 @@
   // Adds an entry; null if the table is full.
   TrackedRunner* Add(Time now, const messages::RunnerRecord& record);
   // Another runner that is alive and has this address, or null.
-  TrackedRunner* HolderOfAddress(const std::string& address, const std::string& other_than);
+  TrackedRunner* FindAliveByAddress(const std::string& address, const std::string& excluded_runner);
   std::vector<messages::RunnerRecord> Alive() const;  // by id
   std::map<std::string, TrackedRunner>& runners() { return runners_; }
 
   // Removes runners that ended long ago, and the oldest ones beyond the limit.
-  void DropEnded(Time now);
+  void RemoveExpired(Time now);
 
   // The hash that digests compare. Runners that ended some time ago are left out, as dispatchers remove them
   // at different times.
   std::uint64_t Hash(Time now) const;
   void Describe(Time now, messages::RegistryDigest* digest) const;
   // Whether to accept a record of an unknown runner: not if it ended too long ago.
-  static bool WorthLearning(const messages::RunnerRecord& record);
+  static bool ShouldAccept(const messages::RunnerRecord& record);
   // When the runner of a received record ended, in local time.
   static Time EndedAt(Time now, const messages::RunnerRecord& record);
   // The record to send, with the time since its end.
-  static messages::RunnerRecord ToSend(Time now, const TrackedRunner& runner);
+  static messages::RunnerRecord RecordToSend(Time now, const TrackedRunner& runner);
 
  private:
   std::size_t max_runners_;
--- a/tests/system/registry/expiry_simulation_test.cpp
+++ b/tests/system/registry/expiry_simulation_test.cpp
@@ -9,12 +9,12 @@
 using messages::RUNNER_DRAINING;
 using messages::RUNNER_READY;
 
-constexpr Time kLossBound = 5 * kBeat;  // until every dispatcher knows that a runner crashed
+constexpr Time kLossBound = 5 * kHeartbeatInterval;  // until every dispatcher knows that a runner crashed
 
 std::size_t HomeOf(RegistryNetwork* network, const std::string& runner_id) {
   auto& runner = network->runners[runner_id];
-  network->Beat(&runner);  // the answer names the home
-  return runner.calls;
+  network->SendHeartbeat(&runner);  // the answer names the home
+  return runner.reports_to;
 }
 
 }  // namespace
@@ -27,15 +27,15 @@
     network.AddRunner("i-2");
     network.RunFor(10 * kSecond);
     auto& runner = network.runners["i-1"];
-    network.Beat(&runner);
-    runner.beats = false;
-    network.RunFor(3 * kBeat - kMillisecond);
+    network.SendHeartbeat(&runner);
+    runner.sends_heartbeats = false;
+    network.RunFor(3 * kHeartbeatInterval - kMillisecond);
     REQUIRE(network.AllKnow("i-1", RUNNER_READY));
-    network.RunFor(kBeat);
+    network.RunFor(kHeartbeatInterval);
     REQUIRE(network.AllKnow("i-1", std::nullopt));
     REQUIRE(network.AllKnow("i-2", RUNNER_READY));
 
-    network.Beat(&runner);  // it was only slow
+    network.SendHeartbeat(&runner);  // it was only slow
     network.RunFor(500 * kMillisecond);
     REQUIRE(network.AllKnow("i-1", RUNNER_READY));
   }
@@ -46,12 +46,12 @@
   network.AddRunner("i-1");
   network.RunFor(5 * kSecond);
   auto& runner = network.runners["i-1"];
-  runner.beats = false;
+  runner.sends_heartbeats = false;
   const std::size_t other = (HomeOf(&network, "i-1") + 1) % 10;
   for (int i = 0; i < 20; ++i) {
-    network.RunFor(kBeat);
-    runner.calls = other;
-    network.Beat(&runner);
+    network.RunFor(kHeartbeatInterval);
+    runner.reports_to = other;
+    network.SendHeartbeat(&runner);
     REQUIRE(network.AllKnow("i-1", RUNNER_READY));
   }
   network.RunFor(kLossBound);
@@ -66,9 +66,9 @@
     network.RunFor(10 * kSecond);
     const std::size_t home = HomeOf(&network, "i-0");
     network.Kill(home);
-    network.runners["i-0"].beats = false;
+    network.runners["i-0"].sends_heartbeats = false;
     network.RunFor(network.Random(3 * kSecond));  // until its failure is detected
-    network.TellMembers();
+    network.UpdateMembers();
     for (int i = 0; i < 100; ++i) {
       network.RunFor(100 * kMillisecond);
       for (int k = 1; k < 4; ++k) REQUIRE(network.AllKnow("i-" + std::to_string(k), RUNNER_READY));
@@ -105,15 +105,15 @@
     for (std::size_t i = 0; i < 6; ++i) network.AddRunner("i-" + std::to_string(i), i % 3);
     network.RunFor(10 * kSecond);
     network.sides = {0, 0, 0, 0, 0, 1, 1, 1};
-    network.TellMembers();
-    for (auto& [runner_id, runner] : network.runners) runner.calls %= 5;  // reach only one side
+    network.UpdateMembers();
+    for (auto& [runner_id, runner] : network.runners) runner.reports_to %= 5;  // reach only one side
     for (int i = 0; i < 150; ++i) {
       network.RunFor(100 * kMillisecond);
-      for (auto& [runner_id, runner] : network.runners) runner.calls %= 5;
+      for (auto& [runner_id, runner] : network.runners) runner.reports_to %= 5;
     }
     REQUIRE(network.Runners(6).empty());
     network.sides.clear();
-    network.TellMembers();
+    network.UpdateMembers();
     for (int i = 0; i < 50; ++i) {
       network.RunFor(100 * kMillisecond);
       for (std::size_t node = 0; node < 5; ++node) REQUIRE(network.Runners(node).size() == 6);
@@ -126,10 +126,10 @@
   RegistryNetwork network(5, 9);
   network.AddRunner("i-1");
   network.RunFor(5 * kSecond);
-  network.runners["i-1"].beats = false;
+  network.runners["i-1"].sends_heartbeats = false;
   network.Delete(2, "i-1");
   std::size_t last_mention = 0, second = 0;
-  network.watch = [&](const SentMessage& sent) {
+  network.on_send = [&](const SentMessage& sent) {
     if (sent.message.ShortDebugString().find("i-1") != std::string::npos) last_mention = second;
   };
   for (second = 0; second < 400; ++second) {
@@ -137,11 +137,11 @@
     REQUIRE(network.AllKnow("i-1", std::nullopt));
     if (second % 20 == 10) {  // new processes learn of it, and must not keep propagating it
       network.Kill(second / 20 % 5);
-      network.TellMembers();
+      network.UpdateMembers();
     }
     if (second % 20 == 12) {
       network.Start(second / 20 % 5);
-      network.TellMembers();
+      network.UpdateMembers();
     }
   }
   CHECK(last_mention < 130);
@@ -153,7 +153,7 @@
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
     CAPTURE(seed);
     RegistryNetwork network(7, seed);
-    network.fate = [&](SentMessage*) -> std::vector<Time> {
+    network.delivery = [&](SentMessage*) -> std::vector<Time> {
       if (network.Random(20) == 0) return {};
       if (network.Random(20) == 0) return {2 * kMillisecond, network.Random(kSecond)};
       return {kMillisecond + network.Random(network.Random(30) == 0 ? kSecond : 5 * kMillisecond)};
@@ -187,10 +187,10 @@
           runner.record.set_state(RUNNER_DRAINING);
           break;
         case 5:
-          runner.beats = false;
+          runner.sends_heartbeats = false;
           break;
         case 6:
-          runner.beats = false;
+          runner.sends_heartbeats = false;
           if (network.nodes[node].is_running && !network.nodes[node].is_frozen) {
             network.Delete(node, runner_id);
             gone.insert(runner_id);
@@ -209,7 +209,7 @@
         default:
           break;
       }
-      if (step % 7 == 0) network.TellMembers();
+      if (step % 7 == 0) network.UpdateMembers();
       for (std::size_t i = 0; i < 7; ++i) {
         if (!network.nodes[i].is_running) continue;
         for (const auto& record : network.Runners(i)) {
@@ -223,15 +223,15 @@
       if (!network.nodes[i].is_running) network.Start(i);
       if (network.nodes[i].is_frozen) network.Thaw(i);
     }
-    network.TellMembers();
-    network.fate = nullptr;
+    network.UpdateMembers();
+    network.delivery = nullptr;
     network.RunFor(15 * kSecond);
     for (std::size_t i = 0; i < 7; ++i) UNSCOPED_INFO(network.TableAt(i));
     REQUIRE(network.AllAgree());
     for (const auto& [runner_id, runner] : network.runners) {
       CAPTURE(runner_id);
-      const bool lives = runner.beats && !gone.contains(runner_id);
-      REQUIRE(network.AllKnow(runner_id, lives ? std::optional(runner.record.state()) : std::nullopt));
+      const bool is_alive = runner.sends_heartbeats && !gone.contains(runner_id);
+      REQUIRE(network.AllKnow(runner_id, is_alive ? std::optional(runner.record.state()) : std::nullopt));
     }
   }
 }
--- a/tests/system/registry/merge_test.cpp
+++ b/tests/system/registry/merge_test.cpp
@@ -13,7 +13,7 @@
 std::pair<std::uint64_t, messages::RunnerState> Merged(const std::vector<messages::RunnerRecord>& records) {
   TrackedRunner runner;
   runner.record = MakeRecord("i-1", 0);
-  runner.heard_count = runner.record.call_count();
+  runner.last_call_count = runner.record.call_count();
   for (const auto& record : records) MergeRecord(record, true, &runner);
   return {runner.record.call_count(), runner.record.state()};
 }
@@ -42,7 +42,7 @@
     const auto offered = MakeRecord("i-1", random() % 4, static_cast<messages::RunnerState>(random() % 4));
     TrackedRunner runner;
     runner.record = held;
-    runner.heard_count = held.call_count();
+    runner.last_call_count = held.call_count();
     const bool changed = MergeRecord(offered, true, &runner) != MergeResult::kNothing;
     CAPTURE(held.ShortDebugString(), offered.ShortDebugString());
     REQUIRE(changed == WouldChange(VersionOf(held), VersionOf(offered)));
@@ -54,7 +54,7 @@
   for (const auto sticky : {messages::RUNNER_DRAINING, messages::RUNNER_GONE}) {
     TrackedRunner runner;
     runner.record = MakeRecord("i-1", 5, sticky);
-    runner.heard_count = 5;
+    runner.last_call_count = 5;
     for (std::uint64_t count = 1; count < 10; ++count) {
       MergeRecord(MakeRecord("i-1", count, messages::RUNNER_READY), true, &runner);
       CHECK(runner.record.state() == sticky);
@@ -71,7 +71,7 @@
 TEST_CASE("a loss is refuted if a later heartbeat was received here") {
   TrackedRunner runner;
   runner.record = MakeRecord("i-1", 5, messages::RUNNER_READY);
-  runner.heard_count = 9;
+  runner.last_call_count = 9;
   SECTION("with the call count of that heartbeat") {
     CHECK(MergeRecord(MakeRecord("i-1", 8, messages::RUNNER_LOST), true, &runner) == MergeResult::kRefuted);
     CHECK(runner.record.state() == messages::RUNNER_READY);
--- a/tests/system/registry/registry_network.h
+++ b/tests/system/registry/registry_network.h
@@ -16,7 +16,7 @@
 
 namespace lichenlug::registry {
 
-inline constexpr Time kBeat = 1200 * kMillisecond;
+inline constexpr Time kHeartbeatInterval = 1200 * kMillisecond;
 
 inline messages::RunnerRecord MakeRecord(const std::string& runner_id, std::uint64_t call_count,
                                          messages::RunnerState state = messages::RUNNER_READY) {
@@ -36,7 +36,7 @@
   RegistrySettings settings;
   settings.self_name = "dispatcher-0";
   settings.zone = "zone-0";
-  settings.heartbeat_interval = kBeat;
+  settings.heartbeat_interval = kHeartbeatInterval;
   settings.max_runners = max_runners;
   return Registry(settings);
 }
@@ -60,9 +60,9 @@
  public:
   struct Runner {
     messages::RunnerRecord record;
-    std::size_t calls = 0;  // the dispatcher that it reports to
-    bool beats = true;
-    Time next_beat = 0;
+    std::size_t reports_to = 0;  // the dispatcher that it reports to
+    bool sends_heartbeats = true;
+    Time next_heartbeat = 0;
   };
   struct Node {
     std::unique_ptr<Registry> registry;
@@ -72,13 +72,13 @@
     std::vector<std::pair<std::string, messages::RegistryMessage>> held_back;  // arrived while frozen
   };
   // Returns the delays after which copies of a message arrive (none: it is lost). May modify the message.
-  using Fate = std::function<std::vector<Time>(SentMessage* message)>;
+  using DeliveryFunction = std::function<std::vector<Time>(SentMessage* message)>;
 
   RegistryNetwork(std::size_t count, std::uint64_t seed, std::size_t zones = 3)
       : zones_(zones), random_(seed) {
     nodes.resize(count);
     for (std::size_t i = 0; i < count; ++i) Start(i);
-    TellMembers();
+    UpdateMembers();
   }
 
   std::string Address(std::size_t i) const { return "10.0.0." + std::to_string(i) + ":7000"; }
@@ -103,7 +103,7 @@
     RegistrySettings settings;
     settings.self_name = Name(i);
     settings.zone = Zone(i);
-    settings.heartbeat_interval = kBeat;
+    settings.heartbeat_interval = kHeartbeatInterval;
     settings.seed = random_();
     node.registry = std::make_unique<Registry>(settings);
     node.is_running = true;
@@ -122,7 +122,7 @@
   bool CanReach(std::size_t from, std::size_t to) const { return sides.empty() || sides[from] == sides[to]; }
 
   // Updates all members as an immediate and perfect failure detector would; a frozen node stays live.
-  void TellMembers() {
+  void UpdateMembers() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (!nodes[i].is_running) continue;
       std::vector<Member> live;
@@ -130,7 +130,7 @@
         if (k != i && nodes[k].is_running && CanReach(i, k)) live.push_back(MemberOf(k));
       RegistryOutput output;
       nodes[i].registry->SetMembers(now, live, &output);
-      Take(i, &output);
+      HandleOutput(i, &output);
     }
   }
 
@@ -138,14 +138,14 @@
     if (!nodes[i].is_running || nodes[i].is_frozen) return false;
     RegistryOutput output;
     const auto answer = nodes[i].registry->Heartbeat(now, record, &output);
-    Take(i, &output);
+    HandleOutput(i, &output);
     if (report_to != nullptr) *report_to = answer.report_to;
     return answer.taken;
   }
   void Delete(std::size_t i, const std::string& runner_id) {
     RegistryOutput output;
     nodes[i].registry->Delete(now, runner_id, &output);
-    Take(i, &output);
+    HandleOutput(i, &output);
   }
 
   // Adds a runner that sends heartbeats from now on, first to a random dispatcher, then to its home.
@@ -153,23 +153,23 @@
     Runner& runner = runners[runner_id];
     runner.record = MakeRecord(runner_id, 0);
     runner.record.set_zone("zone-" + std::to_string(zone));
-    runner.calls = random_() % nodes.size();
-    runner.next_beat = now;
-    ScheduleBeat(runner_id);
+    runner.reports_to = random_() % nodes.size();
+    runner.next_heartbeat = now;
+    ScheduleHeartbeat(runner_id);
     return runner;
   }
   // Sends a heartbeat of a runner, with retries at other dispatchers until one accepts it. Returns that one.
-  std::optional<std::size_t> Beat(Runner* runner) {
+  std::optional<std::size_t> SendHeartbeat(Runner* runner) {
     for (std::size_t attempt = 0; attempt < 2 * nodes.size(); ++attempt) {
       runner->record.set_call_count(runner->record.call_count() + 1);
-      const std::size_t called = runner->calls;
+      const std::size_t called = runner->reports_to;
       std::string report_to;
       if (Heartbeat(called, runner->record, &report_to)) {
         for (std::size_t i = 0; i < nodes.size(); ++i)
-          if (Control(i) == report_to) runner->calls = i;
+          if (Control(i) == report_to) runner->reports_to = i;
         return called;
       }
-      runner->calls = random_() % nodes.size();
+      runner->reports_to = random_() % nodes.size();
     }
     return std::nullopt;
   }
@@ -213,15 +213,15 @@
     return tables.size() == 1;
   }
 
-  Time Random(Time most) { return static_cast<Time>(random_() % static_cast<std::uint64_t>(most)); }
+  Time Random(Time bound) { return static_cast<Time>(random_() % static_cast<std::uint64_t>(bound)); }
 
   Time now = 1000 * kSecond;
   std::vector<Node> nodes;
   std::map<std::string, Runner> runners;
-  std::vector<int> sides;  // of a network partition, by node; empty: no partition
-  Fate fate;               // none: each message arrives once, after 1 to 4 ms
+  std::vector<int> sides;     // of a network partition, by node; empty: no partition
+  DeliveryFunction delivery;  // none: each message arrives once, after 1 to 4 ms
   std::size_t messages_sent = 0;
-  std::function<void(const SentMessage&)> watch;
+  std::function<void(const SentMessage&)> on_send;
 
  private:
   void At(Time when, std::function<void()> event) { events_[{when, ++event_number_}] = std::move(event); }
@@ -233,21 +233,22 @@
       if (!node.is_running || node.is_frozen || node.incarnation != incarnation) return;
       RegistryOutput output;
       node.registry->Tick(now, &output);
-      Take(i, &output);
+      HandleOutput(i, &output);
       ScheduleTick(i, std::max(now + kMillisecond, node.registry->NextTimer().value_or(now + kSecond)));
     });
   }
-  void ScheduleBeat(const std::string& runner_id) {
-    At(runners[runner_id].next_beat, [this, runner_id] {
+  void ScheduleHeartbeat(const std::string& runner_id) {
+    At(runners[runner_id].next_heartbeat, [this, runner_id] {
       const auto found = runners.find(runner_id);
-      if (found == runners.end() || !found->second.beats) return;
-      Beat(&found->second);
-      found->second.next_beat = now + kBeat - 50 * kMillisecond + Random(100 * kMillisecond);
-      ScheduleBeat(runner_id);
+      if (found == runners.end() || !found->second.sends_heartbeats) return;
+      SendHeartbeat(&found->second);
+      found->second.next_heartbeat =
+          now + kHeartbeatInterval - 50 * kMillisecond + Random(100 * kMillisecond);
+      ScheduleHeartbeat(runner_id);
     });
   }
 
-  void Take(std::size_t from, RegistryOutput* output) {
+  void HandleOutput(std::size_t from, RegistryOutput* output) {
     for (RegistrySend& send : output->sends) {
       for (std::size_t to = 0; to < nodes.size(); ++to) {
         if (Address(to) != send.address) continue;
@@ -258,9 +259,9 @@
   }
   void Transmit(SentMessage sent) {
     ++messages_sent;
-    if (watch) watch(sent);
+    if (on_send) on_send(sent);
     const std::vector<Time> delays =
-        fate ? fate(&sent) : std::vector<Time>{kMillisecond + Random(3 * kMillisecond)};
+        delivery ? delivery(&sent) : std::vector<Time>{kMillisecond + Random(3 * kMillisecond)};
     if (!CanReach(sent.from, sent.to)) return;
     for (const Time delay : delays)
       At(now + delay, [this, sent] { Deliver(sent.to, Address(sent.from), sent.message); });
@@ -273,7 +274,7 @@
     if (!read.ParseFromString(message.SerializeAsString())) return;
     RegistryOutput output;
     node.registry->Receive(now, from_address, read, &output);
-    Take(to, &output);
+    HandleOutput(to, &output);
   }
 
   std::size_t zones_;
--- a/tests/system/registry/registry_test.cpp
+++ b/tests/system/registry/registry_test.cpp
@@ -90,18 +90,18 @@
     for (const auto& update : UpdatesIn(one)) sent.push_back(update);
   }
   CHECK(sent.size() == 1);
-  std::map<std::string, int> told;  // by runner
+  std::map<std::string, int> send_counts;  // by runner
   for (std::size_t at = 0; at < sent.size(); ++at) {
     CHECK(sent[at].records_size() <= kMaxAtOnce);
-    for (const auto& record : sent[at].records()) ++told[record.runner_id()];
+    for (const auto& record : sent[at].records()) ++send_counts[record.runner_id()];
     messages::RegistryMessage ack;
     ack.mutable_ack()->set_number(sent[at].number());
     RegistryOutput next;
     registry.Receive(now, peer, ack, &next);
     for (const auto& update : UpdatesIn(next)) sent.push_back(update);
   }
-  CHECK(told.size() == kChanges);
-  CHECK(std::ranges::all_of(told, [](const auto& entry) { return entry.second == 1; }));
+  CHECK(send_counts.size() == kChanges);
+  CHECK(std::ranges::all_of(send_counts, [](const auto& entry) { return entry.second == 1; }));
 }
 
 TEST_CASE("an end does not wait for an outstanding acknowledgement") {
@@ -189,9 +189,9 @@
     CHECK_FALSE(registry.IsEndAcknowledgedBy("i-1", first));
   }
   SECTION("it is not sent again to peers that have acknowledged it") {
-    RegistryOutput told;
-    registry.SendEnd(now, "i-1", {first}, &told);
-    CHECK(UpdatesIn(told).empty());
+    RegistryOutput resent;
+    registry.SendEnd(now, "i-1", {first}, &resent);
+    CHECK(UpdatesIn(resent).empty());
   }
 }
 
@@ -205,10 +205,10 @@
   registry.Receive(now, MakeMember(2).address, news, &output);
   RegistryOutput heard;
   CHECK(registry.Heartbeat(now, MakeRecord("i-1", 3, RUNNER_DRAINING), &heard).is_end);
-  RegistryOutput told;
-  registry.SendEnd(now, "i-1", {MakeMember(1).address}, &told);
-  REQUIRE(UpdatesIn(told).size() == 1);
-  CHECK(UpdatesIn(told)[0].records(0).state() == RUNNER_DRAINING);
+  RegistryOutput resent;
+  registry.SendEnd(now, "i-1", {MakeMember(1).address}, &resent);
+  REQUIRE(UpdatesIn(resent).size() == 1);
+  CHECK(UpdatesIn(resent)[0].records(0).state() == RUNNER_DRAINING);
 }
 
 TEST_CASE(
@@ -340,7 +340,7 @@
   registry.Tick(now, &output);
   registry.Heartbeat(now, MakeRecord("i-1", 1), &output);
   now += 60 * kSecond;
-  for (const Time until = now + 4 * kBeat; now < until; now += kSecond / 10) {
+  for (const Time until = now + 4 * kHeartbeatInterval; now < until; now += kSecond / 10) {
     registry.Tick(now, &output);
     REQUIRE(registry.Runners().size() == 1);
   }
@@ -379,18 +379,18 @@
 TEST_CASE("a new process is settled once it has the table of a settled one, or has run for long enough") {
   RegistryNetwork network(3, 7);
   network.AddRunner("i-1");
-  network.RunFor(2 * kBeat - kMillisecond);
+  network.RunFor(2 * kHeartbeatInterval - kMillisecond);
   CHECK_FALSE(network.nodes[0].registry->Settled(network.now));  // all are new processes
-  network.RunFor(kBeat);
+  network.RunFor(kHeartbeatInterval);
   CHECK(network.nodes[0].registry->Settled(network.now));
 
   network.Kill(2);
-  network.TellMembers();
+  network.UpdateMembers();
   network.RunFor(kSecond);
   network.Start(2);
   network.RunFor(kMillisecond);
   CHECK_FALSE(network.nodes[2].registry->Settled(network.now));
-  network.TellMembers();
+  network.UpdateMembers();
   network.RunFor(400 * kMillisecond);
   CHECK(network.nodes[2].registry->Settled(network.now));
   CHECK(network.StateAt(2, "i-1") == RUNNER_READY);
--- a/tests/system/registry/spread_load_test.cpp
+++ b/tests/system/registry/spread_load_test.cpp
@@ -13,19 +13,19 @@
 namespace {
 
 constexpr int kPeers = 74, kRunners = 37;
-constexpr int kModelsHeld = 4, kAdaptersHeld = 8;  // in each runner's record
-constexpr double kBytesPerMicrosecond = 1.25;      // 10 Mbit/s
-constexpr std::size_t kOverhead = 120;             // bytes per message: its envelope and packet headers
-constexpr Time kOneWay = kMillisecond;
+constexpr int kModelsPerRunner = 4, kAdaptersPerModel = 8;  // in each runner's record
+constexpr double kBytesPerMicrosecond = 1.25;               // 10 Mbit/s
+constexpr std::size_t kOverhead = 120;  // bytes per message: its envelope and packet headers
+constexpr Time kOneWayDelay = kMillisecond;
 constexpr Time kStep = kMillisecond;
 
 messages::RunnerRecord RecordOf(int runner, std::uint64_t call_count) {
   messages::RunnerRecord record = MakeRecord("i-" + std::to_string(runner), call_count);
-  for (int model = 0; model < kModelsHeld; ++model) {
+  for (int model = 0; model < kModelsPerRunner; ++model) {
     auto* held = record.add_models();
     held->set_name("model-" + std::to_string(runner) + "-" + std::to_string(model));
     held->set_edition(static_cast<std::int64_t>(call_count));  // changes with each call
-    for (int adapter = 0; adapter < kAdaptersHeld; ++adapter)
+    for (int adapter = 0; adapter < kAdaptersPerModel; ++adapter)
       held->add_adapters("a" + std::to_string(adapter));
   }
   return record;
@@ -39,13 +39,13 @@
     for (int peer = 1; peer <= kPeers; ++peer) peers.push_back(MakeMember(peer));
     RegistryOutput output;
     registry_.SetMembers(now_, peers, &output);
-    Take(output);
+    HandleOutput(output);
   }
 
   void Change(int runner) {
     RegistryOutput output;
     registry_.Heartbeat(now_, RecordOf(runner, ++call_count_), &output);
-    Take(output);
+    HandleOutput(output);
   }
 
   void RunFor(Time span) {
@@ -53,7 +53,7 @@
       DeliverAcknowledgements();
       RegistryOutput output;
       registry_.Tick(now_, &output);
-      Take(output);
+      HandleOutput(output);
     }
   }
 
@@ -68,14 +68,15 @@
     std::uint64_t number = 0;
   };
 
-  void Take(const RegistryOutput& output) {
+  void HandleOutput(const RegistryOutput& output) {
     for (const auto& send : output.sends) {
       const std::size_t size = send.message.ByteSizeLong() + kOverhead;
       bytes_ += size;
       free_at_ =
           std::max(free_at_, now_) + static_cast<Time>(static_cast<double>(size) / kBytesPerMicrosecond);
       if (send.message.update().wants_ack())
-        acknowledgements_.push_back({free_at_ + 2 * kOneWay, send.address, send.message.update().number()});
+        acknowledgements_.push_back(
+            {free_at_ + 2 * kOneWayDelay, send.address, send.message.update().number()});
     }
   }
 
@@ -86,7 +87,7 @@
       RegistryOutput output;
       registry_.Receive(now_, acknowledgements_.front().from, message, &output);
       acknowledgements_.pop_front();
-      Take(output);
+      HandleOutput(output);
     }
   }
 
--- a/tests/system/registry/spread_simulation_test.cpp
+++ b/tests/system/registry/spread_simulation_test.cpp
@@ -12,18 +12,18 @@
 constexpr Time kDrainBound = 2 * kSecond;
 
 // Loses a tenth of the messages, duplicates a tenth, delays a tenth by up to half a second.
-RegistryNetwork::Fate RoughNetwork(RegistryNetwork* network) {
+RegistryNetwork::DeliveryFunction FaultyNetwork(RegistryNetwork* network) {
   return [network](SentMessage*) -> std::vector<Time> {
-    const auto prompt = [network] { return kMillisecond + network->Random(5 * kMillisecond); };
+    const auto short_delay = [network] { return kMillisecond + network->Random(5 * kMillisecond); };
     switch (network->Random(10)) {
       case 0:
         return {};
       case 1:
-        return {prompt(), prompt() + network->Random(300 * kMillisecond)};
+        return {short_delay(), short_delay() + network->Random(300 * kMillisecond)};
       case 2:
         return {network->Random(500 * kMillisecond)};
       default:
-        return {prompt()};
+        return {short_delay()};
     }
   };
 }
@@ -35,7 +35,7 @@
   for (int seed = 1; seed <= seeds; ++seed) {
     CAPTURE(count, seed);
     RegistryNetwork network(static_cast<std::size_t>(count), static_cast<std::uint64_t>(seed));
-    network.fate = RoughNetwork(&network);
+    network.delivery = FaultyNetwork(&network);
     for (std::size_t i = 0; i < 12; ++i) network.AddRunner("i-" + std::to_string(i), i % 3);
     network.RunFor(5 * kSecond);
     for (int i = 0; i < 12; i += 2) {
@@ -43,8 +43,8 @@
       auto& runner = network.runners[runner_id];
       runner.record.set_state(RUNNER_DRAINING);
       runner.record.set_remaining_ms(2000);
-      runner.beats = false;  // reports the drain only once
-      REQUIRE(network.Beat(&runner));
+      runner.sends_heartbeats = false;  // reports the drain only once
+      REQUIRE(network.SendHeartbeat(&runner));
       network.RunFor(kDrainBound);
       REQUIRE(network.AllKnow(runner_id, RUNNER_DRAINING));
     }
@@ -64,17 +64,17 @@
     auto& runner = network.AddRunner("i-1");
     network.RunFor(5 * kSecond);
     runner.record.set_state(RUNNER_DRAINING);
-    runner.beats = false;
+    runner.sends_heartbeats = false;
     bool arrived = false;  // at one peer; half of all other messages are lost
-    network.fate = [&](SentMessage*) -> std::vector<Time> {
+    network.delivery = [&](SentMessage*) -> std::vector<Time> {
       if (std::exchange(arrived, true) && network.Random(2) == 0) return {};
       return {kMillisecond};
     };
-    const auto taker = network.Beat(&runner);
-    REQUIRE(taker);
-    network.fate = nullptr;
-    network.Kill(*taker);
-    network.TellMembers();
+    const auto acknowledger = network.SendHeartbeat(&runner);
+    REQUIRE(acknowledger);
+    network.delivery = nullptr;
+    network.Kill(*acknowledger);
+    network.UpdateMembers();
     network.RunFor(1800 * kMillisecond);  // less than the bound, and before the runner counts as silent
     REQUIRE(network.AllKnow("i-1", RUNNER_DRAINING));
     REQUIRE(network.AllAgree());
@@ -88,19 +88,19 @@
     for (int i = 0; i < 5; ++i) network.AddRunner("i-" + std::to_string(i));
     network.RunFor(5 * kSecond);
     network.Kill(9);
-    network.TellMembers();
+    network.UpdateMembers();
     network.RunFor(kSecond);
     network.Start(9);
     network.RunFor(network.Random(300 * kMillisecond));
     auto& runner = network.runners["i-1"];
     runner.record.set_state(RUNNER_DRAINING);
-    runner.beats = false;
+    runner.sends_heartbeats = false;
     for (std::size_t i = 0; i < 9; ++i) {
-      runner.calls = i;
-      if (network.Beat(&runner)) break;
+      runner.reports_to = i;
+      if (network.SendHeartbeat(&runner)) break;
     }
     network.RunFor(network.Random(300 * kMillisecond));
-    network.TellMembers();
+    network.UpdateMembers();
     network.RunFor(kSecond);
     REQUIRE(network.AllKnow("i-1", RUNNER_DRAINING));
     REQUIRE(network.AllAgree());
@@ -112,7 +112,7 @@
   for (std::size_t i = 0; i < 30; ++i) network.AddRunner("i-" + std::to_string(i), i % 3);
   network.RunFor(10 * kSecond);
   std::size_t updates = 0, entries = 0;
-  network.watch = [&](const SentMessage& sent) {
+  network.on_send = [&](const SentMessage& sent) {
     updates += sent.message.has_update();
     entries += sent.message.has_digest() ? static_cast<std::size_t>(sent.message.digest().entries_size()) : 0;
   };
@@ -129,7 +129,7 @@
   const auto play = [](std::size_t target, int fault) {
     auto network = std::make_unique<RegistryNetwork>(4, 11);
     auto* net = network.get();
-    net->fate = [net, target, fault](SentMessage* sent) -> std::vector<Time> {
+    net->delivery = [net, target, fault](SentMessage* sent) -> std::vector<Time> {
       if (net->messages_sent != target) return {2 * kMillisecond};
       auto* message = &sent->message;
       switch (fault) {
@@ -164,22 +164,22 @@
     net->RunFor(2500 * kMillisecond);
     net->runners["i-0"].record.set_state(RUNNER_DRAINING);
     net->runners["i-1"].record.add_models()->set_name("m1");
-    net->runners["i-2"].beats = false;
+    net->runners["i-2"].sends_heartbeats = false;
     net->RunFor(2 * kSecond);
-    net->runners["i-0"].beats = false;
+    net->runners["i-0"].sends_heartbeats = false;
     net->Delete(1, "i-0");
     net->Kill(3);
-    net->TellMembers();
+    net->UpdateMembers();
     net->RunFor(kSecond);
     net->Start(3);
-    net->TellMembers();
+    net->UpdateMembers();
     net->RunFor(14 * kSecond);
     return network;
   };
-  const auto sound = play(0, 0);
-  REQUIRE(sound->AllAgree());
-  REQUIRE(sound->Runners(0).size() == 3);
-  const std::size_t messages = sound->messages_sent;
+  const auto baseline = play(0, 0);
+  REQUIRE(baseline->AllAgree());
+  REQUIRE(baseline->Runners(0).size() == 3);
+  const std::size_t messages = baseline->messages_sent;
   REQUIRE(messages > 100);
   for (int fault = 0; fault <= 6; ++fault) {
     for (std::size_t target = 1; target <= messages; ++target) {
