--- a/src/duties/candidates.cpp
+++ b/src/duties/candidates.cpp
@@ -9,12 +9,12 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr std::uint64_t kMinBetweenLives = 100 * kMillisecond;
+constexpr std::uint64_t kMinBetweenIncarnations = 100 * kMillisecond;
 
 // A process uses its start time in microseconds as its incarnation, and increments it each time it refutes a
 // suspicion. Incarnations that are close together therefore belong to the same process.
-bool IsSameLife(std::uint64_t left, std::uint64_t right) {
-  return std::max(left, right) - std::min(left, right) < kMinBetweenLives;
+bool IsSameProcess(std::uint64_t left, std::uint64_t right) {
+  return std::max(left, right) - std::min(left, right) < kMinBetweenIncarnations;
 }
 
 }  // namespace
@@ -28,21 +28,21 @@
   for (const Member& member : live) {
     std::uint64_t& latest = incarnations_[member.name];
     const bool is_restarted =
-        latest != 0 && member.incarnation > latest && !IsSameLife(member.incarnation, latest);
-    if (is_restarted) ended_lives_[member.name] = latest;
+        latest != 0 && member.incarnation > latest && !IsSameProcess(member.incarnation, latest);
+    if (is_restarted) ended_incarnations_[member.name] = latest;
     latest = std::max(latest, member.incarnation);
   }
 }
 
 bool Candidates::IsServing(const Holder& owner) const {
   return std::any_of(live_.begin(), live_.end(), [&owner](const Member& member) {
-    return member.name == owner.name && IsSameLife(member.incarnation, owner.incarnation) && member.ready;
+    return member.name == owner.name && IsSameProcess(member.incarnation, owner.incarnation) && member.ready;
   });
 }
 
 bool Candidates::HasEnded(const Holder& owner) const {
-  const auto ended = ended_lives_.find(owner.name);
-  return ended != ended_lives_.end() && owner.incarnation <= ended->second;
+  const auto ended = ended_incarnations_.find(owner.name);
+  return ended != ended_incarnations_.end() && owner.incarnation <= ended->second;
 }
 
 std::optional<int> Candidates::Position(const Holder& owner) const {
--- a/src/duties/candidates.h
+++ b/src/duties/candidates.h
@@ -31,8 +31,8 @@
   std::string self_name_;
   std::vector<Member> live_;
   std::vector<Member> order_;
-  std::map<std::string, std::uint64_t> incarnations_;  // the latest seen live, by name
-  std::map<std::string, std::uint64_t> ended_lives_;   // the latest known to have ended, by name
+  std::map<std::string, std::uint64_t> incarnations_;        // the latest seen live, by name
+  std::map<std::string, std::uint64_t> ended_incarnations_;  // the latest known to have ended, by name
 };
 
 }  // namespace lichenlug::duties
--- a/src/duties/demand_reports.cpp
+++ b/src/duties/demand_reports.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Time kFadesAfter = 4 * kSecond;  // since the last report of a dispatcher
+constexpr Time kReportLifetime = 4 * kSecond;  // since the last report of a dispatcher
 constexpr std::size_t kMaxDispatchers = 8192;
 
 bool IsOlder(const messages::DemandReport& a, const messages::DemandReport& b) {
@@ -18,7 +18,7 @@
 
 bool DemandReports::Merge(Time now, const messages::DemandReport& report) {
   if (!reports_.contains(report.name()) && reports_.size() >= kMaxDispatchers) return false;
-  Held& held = reports_[report.name()];
+  StoredReport& held = reports_[report.name()];
   if (IsOlder(report, held.report)) return false;
   held = {report, now};
   const auto& models = report.models();
@@ -26,7 +26,8 @@
 }
 
 std::vector<messages::DemandReport> DemandReports::Recent(Time now) {
-  std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.heard_at > kFadesAfter; });
+  std::erase_if(reports_,
+                [&](const auto& entry) { return now - entry.second.received_at > kReportLifetime; });
   std::vector<messages::DemandReport> recent;
   for (const auto& [name, held] : reports_) recent.push_back(held.report);
   return recent;
--- a/src/duties/demand_reports.h
+++ b/src/duties/demand_reports.h
@@ -22,12 +22,12 @@
   std::vector<messages::DemandReport> Recent(Time now);
 
  private:
-  struct Held {
+  struct StoredReport {
     messages::DemandReport report;
-    Time heard_at = 0;
+    Time received_at = 0;
   };
 
-  std::map<std::string, Held> reports_;  // by dispatcher
+  std::map<std::string, StoredReport> reports_;  // by dispatcher
 };
 
 }  // namespace lichenlug::duties
--- a/src/duties/load_history.cpp
+++ b/src/duties/load_history.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kMaxServices = 256;
-constexpr Time kForgetAfter = 60 * kSecond;  // longer than any rate limit window of the weight store
+constexpr Time kMaxLoadAge = 60 * kSecond;  // longer than any rate limit window of the weight store
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   auto* begun = history->mutable_begun();
   begun->erase(std::remove_if(begun->begin(), begun->end(),
                               [](const messages::LoadsBegun& item) {
-                                return item.age_us() > static_cast<std::uint64_t>(kForgetAfter);
+                                return item.age_us() > static_cast<std::uint64_t>(kMaxLoadAge);
                               }),
                begun->end());
   const std::uint32_t unseen = history->allowance() + history->unsettled();
@@ -28,16 +28,16 @@
   entry->set_loads(unseen);
 }
 
-void ReplaceLoads(const std::vector<messages::LoadHistory>& told, messages::OwnershipState* state) {
-  for (const messages::LoadHistory& history : told) {
-    auto* held = state->mutable_loads();
-    const auto same = std::find_if(held->begin(), held->end(), [&](const messages::LoadHistory& item) {
-      return item.service() == history.service();
-    });
-    if (same != held->end())
-      *same = history;
-    else if (held->size() < kMaxServices)
-      *held->Add() = history;
+void ReplaceLoads(const std::vector<messages::LoadHistory>& updates, messages::OwnershipState* state) {
+  for (const messages::LoadHistory& history : updates) {
+    auto* histories = state->mutable_loads();
+    const auto existing =
+        std::find_if(histories->begin(), histories->end(),
+                     [&](const messages::LoadHistory& item) { return item.service() == history.service(); });
+    if (existing != histories->end())
+      *existing = history;
+    else if (histories->size() < kMaxServices)
+      *histories->Add() = history;
   }
 }
 
--- a/src/duties/load_history.h
+++ b/src/duties/load_history.h
@@ -17,7 +17,7 @@
 
 // Replaces the histories of the given services. Those of other services stay unchanged, so their loads appear
 // more recent than they are.
-void ReplaceLoads(const std::vector<messages::LoadHistory>& told, messages::OwnershipState* state);
+void ReplaceLoads(const std::vector<messages::LoadHistory>& updates, messages::OwnershipState* state);
 
 // Null if the state has no history of the service.
 const messages::LoadHistory* FindLoads(const messages::OwnershipState& state, const std::string& service);
--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -16,9 +16,9 @@
 constexpr Time kMargin = 400 * kMillisecond;  // allows for clock drift
 constexpr Time kReadInterval = 500 * kMillisecond;
 constexpr Time kRetryAfter = 150 * kMillisecond;
-constexpr Time kLongestOperation = kSecond;
+constexpr Time kMaxOperationTime = kSecond;
 
-enum class Kind { kRead, kTakeOver, kRenew, kGiveUp };
+enum class Kind { kRead, kTakeOver, kRenew, kRelease };
 
 struct Operation {
   Kind kind = Kind::kRead;
@@ -26,7 +26,7 @@
   Time started_at = 0;
   Time deadline = 0;
 };
-struct Heard {
+struct ProposedRenewal {
   Renewal renewal;
   Time at = 0;
 };
@@ -53,14 +53,14 @@
 
   void Accepting(Time now, const OwnershipState& state) {
     const Renewal renewal = RenewalOf(state);
-    if (!heard_ || heard_->renewal != renewal) heard_ = Heard{renewal, now};
+    if (!last_proposed_ || last_proposed_->renewal != renewal) last_proposed_ = ProposedRenewal{renewal, now};
   }
 
   void Tick(Time now, OwnershipOutput* output) {
     Begin(now);
-    if (running_ && now > running_->deadline + kLongestOperation) {  // no answer will arrive any more
-      running_.reset();
-      Failed(now);
+    if (pending_ && now > pending_->deadline + kMaxOperationTime) {  // no answer will arrive any more
+      pending_.reset();
+      OnFailure(now);
     }
     Act(now, output);
     Report(now, output);
@@ -68,8 +68,8 @@
 
   void Completed(Time now, std::uint64_t tag, const consensus::Completion& completion,
                  OwnershipOutput* output) {
-    if (!running_ || running_->tag != tag) return;
-    const Operation done = *std::exchange(running_, std::nullopt);
+    if (!pending_ || pending_->tag != tag) return;
+    const Operation done = *std::exchange(pending_, std::nullopt);
     ended_at_ = now;
     failures_ = 0;
     const bool is_known =
@@ -82,7 +82,7 @@
       if (completion.outcome == consensus::Outcome::kChosen && holds && OwnsInState())
         lease_started_at_ = done.started_at;
     } else {
-      Failed(now);
+      OnFailure(now);
     }
     Act(now, output);
     Report(now, output);
@@ -91,8 +91,8 @@
   std::optional<Time> NextTimer() const {
     std::optional<Time> next;
     const auto consider = [&next](Time at) { next = std::min(next.value_or(at), at); };
-    if (running_) {
-      consider(running_->deadline + kLongestOperation + kMillisecond);
+    if (pending_) {
+      consider(pending_->deadline + kMaxOperationTime + kMillisecond);
     } else if (const std::optional<Plan> plan = MakePlan()) {
       consider(plan->at);
     }
@@ -134,7 +134,7 @@
   // for a whole lease.
   void Begin(Time now) {
     if (std::exchange(has_begun_, true)) return;
-    may_take_at_ = now + settings_.lease + kMargin;
+    earliest_takeover_at_ = now + settings_.lease + kMargin;
   }
 
   Time LeaseEnd() const { return *lease_started_at_ + settings_.lease - kMargin; }
@@ -145,10 +145,10 @@
   std::optional<Plan> MakePlan() const {
     const Time retry_at = failures_ > 0 ? ended_at_ + retry_after_ : 0;
     if (OwnsInState()) {
-      if (resigned_) return Plan{Kind::kGiveUp, retry_at};
+      if (resigned_) return Plan{Kind::kRelease, retry_at};
       if (!wanted_) return std::nullopt;
-      const bool at_once = !lease_started_at_ || !tallies_.empty() || failures_ > 0;
-      const Time at = at_once ? 0 : started_at_ + settings_.lease / kRenewalsInLease;
+      const bool immediately = !lease_started_at_ || !tallies_.empty() || failures_ > 0;
+      const Time at = immediately ? 0 : started_at_ + settings_.lease / kRenewalsInLease;
       return Plan{Kind::kRenew, std::max(at, retry_at)};
     }
     if (!wanted_ || resigned_) return std::nullopt;
@@ -163,29 +163,29 @@
     const std::optional<int> position = candidates_.Position(Owner());
     const bool owner_is_live = candidates_.IsServing(Owner());
     if (!position || *position > (owner_is_live ? 0 : 1)) return std::nullopt;
-    const bool is_slow = owner_is_live || *position > 0;
-    const Time read_at = started_at_ + (is_slow ? settings_.lease : kReadInterval);
+    const bool waits_longer = owner_is_live || *position > 0;
+    const Time read_at = started_at_ + (waits_longer ? settings_.lease : kReadInterval);
     if (!observed_since_) return Plan{Kind::kRead, *position > 0 ? read_at : 0};
 
-    Time take_at = *observed_since_ + (is_slow ? 2 * settings_.lease : 0);
+    Time take_at = *observed_since_ + (waits_longer ? 2 * settings_.lease : 0);
     if (!state_.owner().empty() && !candidates_.HasEnded(Owner())) take_at += settings_.lease + kMargin;
-    if (state_.epoch() > 0) take_at = std::max(take_at, may_take_at_);
+    if (state_.epoch() > 0) take_at = std::max(take_at, earliest_takeover_at_);
     return take_at <= read_at ? Plan{Kind::kTakeOver, take_at} : Plan{Kind::kRead, read_at};
   }
 
   void Act(Time now, OwnershipOutput* output) {
-    if (running_) return;
+    if (pending_) return;
     const std::optional<Plan> plan = MakePlan();
     if (!plan || now < plan->at) return;
     attempts_ = std::max(attempts_, state_.renewals()) + 1;
     Operation operation{plan->kind, ++last_tag_, now, now + OperationTime()};
     output->operations.push_back(
         {operation.tag, settings_.register_name, ChangeOf(now, plan->kind), operation.deadline});
-    running_ = operation;
+    pending_ = operation;
     started_at_ = now;
   }
 
-  Time OperationTime() const { return std::min(kLongestOperation, settings_.lease / kRenewalsInLease); }
+  Time OperationTime() const { return std::min(kMaxOperationTime, settings_.lease / kRenewalsInLease); }
 
   std::vector<messages::LoadHistory> Loads(Time now) const {
     return settings_.recent_loads ? settings_.recent_loads(now) : std::vector<messages::LoadHistory>();
@@ -197,15 +197,15 @@
         return TakeOver(RenewalOf(state_), self_, attempts_, now - observed_since_.value_or(now));
       case Kind::kRenew:
         return Renew(self_, state_.epoch(), attempts_, tallies_, Loads(now));
-      case Kind::kGiveUp:
-        return GiveUp(self_, state_.epoch(), Loads(now));
+      case Kind::kRelease:
+        return Release(self_, state_.epoch(), Loads(now));
       case Kind::kRead:
         break;
     }
     return ReadOnly();
   }
 
-  void Failed(Time now) {
+  void OnFailure(Time now) {
     ++failures_;
     ended_at_ = now;
     retry_after_ = kRetryAfter + static_cast<Time>(random_() % static_cast<std::uint64_t>(kRetryAfter));
@@ -216,23 +216,23 @@
     if (!observed_since_ || RenewalOf(state) != RenewalOf(state_)) observed_since_ = SeenAt(now, state);
     const bool is_renewal =
         RenewalOf(state).owner == RenewalOf(state_).owner && state.epoch() == state_.epoch();
-    has_news_ = has_news_ || !is_renewal;
+    has_change_ = has_change_ || !is_renewal;
     state_ = state;
-    if (owned && !OwnsInState()) Lost();
+    if (owned && !OwnsInState()) OnOwnershipLost();
     DropChosenTallies();
   }
 
   // When the renewal was first seen here. If the local replica was asked to accept it, the attempt that led
   // to it had started by then, and no other attempt leads to the same renewal.
   Time SeenAt(Time now, const OwnershipState& state) const {
-    return heard_ && heard_->renewal == RenewalOf(state) ? heard_->at : now;
+    return last_proposed_ && last_proposed_->renewal == RenewalOf(state) ? last_proposed_->at : now;
   }
 
   // A former holder may take the duty again only a whole lease after it could last act.
-  void Lost() {
+  void OnOwnershipLost() {
     if (lease_started_at_) {
       const Time acted_until = resigned_ ? std::min(LeaseEnd(), resigned_at_) : LeaseEnd();
-      may_take_at_ = std::max(may_take_at_, acted_until + settings_.lease + kMargin);
+      earliest_takeover_at_ = std::max(earliest_takeover_at_, acted_until + settings_.lease + kMargin);
     }
     lease_started_at_.reset();
     tallies_.clear();
@@ -246,9 +246,9 @@
 
   void Report(Time now, OwnershipOutput* output) {
     const bool holds = Holds(now);
-    if (holds != reported_holds_ || has_news_) output->changed = true;
+    if (holds != reported_holds_ || has_change_) output->changed = true;
     reported_holds_ = holds;
-    has_news_ = false;
+    has_change_ = false;
   }
 
   OwnershipSettings settings_;
@@ -260,15 +260,16 @@
   bool resigned_ = false;
   Time resigned_at_ = 0;
 
-  OwnershipState state_;                  // the last state known to be chosen
-  std::optional<Time> observed_since_;    // when the current renewal was first seen
-  std::optional<Heard> heard_;            // the last renewal that the local replica was asked to accept
+  OwnershipState state_;                // the last state known to be chosen
+  std::optional<Time> observed_since_;  // when the current renewal was first seen
+  std::optional<ProposedRenewal>
+      last_proposed_;                     // the last renewal that the local replica was asked to accept
   std::optional<Time> lease_started_at_;  // start of this dispatcher's last renewal that was chosen
   bool has_begun_ = false;
-  Time may_take_at_ = 0;
+  Time earliest_takeover_at_ = 0;
   std::vector<WindowCount> tallies_;  // not yet chosen, by window
 
-  std::optional<Operation> running_;
+  std::optional<Operation> pending_;
   std::uint64_t last_tag_ = 0;
   std::uint64_t attempts_ = 0;
   Time started_at_ = 0;  // of the last operation
@@ -277,7 +278,7 @@
   Time retry_after_ = 0;
 
   bool reported_holds_ = false;
-  bool has_news_ = false;
+  bool has_change_ = false;
 };
 
 Ownership::Ownership(OwnershipSettings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
--- a/src/duties/ownership_changes.cpp
+++ b/src/duties/ownership_changes.cpp
@@ -70,8 +70,8 @@
   };
 }
 
-consensus::ChangeFunction GiveUp(const Holder& owner, std::uint64_t epoch,
-                                 std::vector<messages::LoadHistory> loads) {
+consensus::ChangeFunction Release(const Holder& owner, std::uint64_t epoch,
+                                  std::vector<messages::LoadHistory> loads) {
   return [owner, epoch, loads = std::move(loads)](const std::string& payload) -> Change {
     std::optional<OwnershipState> state = ReadState(payload);
     if (!state) return KeepPayload{kUnreadable};
--- a/src/duties/ownership_changes.h
+++ b/src/duties/ownership_changes.h
@@ -54,7 +54,7 @@
                                 std::vector<messages::WindowCount> tallies,
                                 std::vector<messages::LoadHistory> loads);
 // Leaves the duty without an owner; the epoch is unchanged.
-consensus::ChangeFunction GiveUp(const Holder& owner, std::uint64_t epoch,
-                                 std::vector<messages::LoadHistory> loads);
+consensus::ChangeFunction Release(const Holder& owner, std::uint64_t epoch,
+                                  std::vector<messages::LoadHistory> loads);
 
 }  // namespace lichenlug::duties
--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -11,13 +11,14 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr Time kReportsInFlight = 2500 * kMillisecond;  // allowed for the last reports of a window to arrive
-constexpr Time kChooseAgainAfter = kSecond;
-constexpr std::int64_t kMaxChosenAtOnce = 8;
-constexpr int kOverLate = 4;  // multiple of the allowed lateness after which a window is dropped
+constexpr Time kReportArrivalTime =
+    2500 * kMillisecond;  // allowed for the last reports of a window to arrive
+constexpr Time kProposeAgainAfter = kSecond;
+constexpr std::int64_t kMaxProposedAtOnce = 8;
+constexpr int kExpiryFactor = 4;  // multiple of the allowed lateness after which a window is dropped
 constexpr Time kCallInterval = 250 * kMillisecond;
-constexpr Time kShortestBackoff = 250 * kMillisecond, kLongestBackoff = 2 * kSecond;
-constexpr Time kCallTime = kSecond;
+constexpr Time kMinBackoff = 250 * kMillisecond, kMaxBackoff = 2 * kSecond;
+constexpr Time kCallTimeout = kSecond;
 
 constexpr int kConflict = 409;  // the platform has seen a higher fence
 
@@ -28,7 +29,7 @@
 class UsageDuty::Impl {
  public:
   explicit Impl(Settings settings)
-      : settings_(settings), counts_(kOverLate * settings.late / settings.window + 2) {}
+      : settings_(settings), counts_(kExpiryFactor * settings.late / settings.window + 2) {}
 
   void Merge(Time wall_now, const messages::UsageReport& report) {
     counts_.Merge(report, WindowAt(wall_now));
@@ -48,7 +49,7 @@
     if (IsAcknowledged(result.status)) {
       done_.insert(done.window);
     } else {
-      PutOff(now, done.window);
+      ScheduleRetry(now, done.window);
     }
     if (result.status == kConflict && done.epoch == epoch_) is_refused_ = true;
   }
@@ -70,13 +71,13 @@
   std::int64_t WindowAt(Time wall) const { return wall / settings_.window; }
   Time EndOf(std::int64_t window) const { return (window + 1) * settings_.window; }
   bool IsLate(std::int64_t window, Time wall_now) const { return wall_now > EndOf(window) + settings_.late; }
-  bool IsOverLate(std::int64_t window, Time wall_now) const {
-    return wall_now > EndOf(window) + kOverLate * settings_.late;
+  bool IsExpired(std::int64_t window, Time wall_now) const {
+    return wall_now > EndOf(window) + kExpiryFactor * settings_.late;
   }
 
   // Allows time for reports to arrive, but stays between two and three fifths of the allowed lateness.
   Time ChooseAfter() const {
-    return std::clamp(kReportsInFlight, settings_.late * 2 / 5, settings_.late * 3 / 5);
+    return std::clamp(kReportArrivalTime, settings_.late * 2 / 5, settings_.late * 3 / 5);
   }
 
   // A new holder sends the chosen tallies again that may not have reached the platform, unless they are late.
@@ -93,17 +94,17 @@
   std::int64_t NextWindow(Time wall_now, const messages::OwnershipState& state) const {
     std::int64_t next = std::min(*first_window_, counts_.OldestWindow().value_or(*first_window_));
     if (!state.tallies().empty()) next = state.tallies().rbegin()->window() + 1;
-    const std::int64_t oldest = WindowAt(std::max<Time>(0, wall_now - kOverLate * settings_.late));
+    const std::int64_t oldest = WindowAt(std::max<Time>(0, wall_now - kExpiryFactor * settings_.late));
     return std::max(next, oldest);
   }
 
   void Choose(Time now, Time wall_now, const messages::OwnershipState& state, Output* output) {
     const std::int64_t first = NextWindow(wall_now, state);
     std::erase_if(proposed_, [first](const auto& entry) { return entry.first < first; });
-    for (std::int64_t window = first; window < first + kMaxChosenAtOnce; ++window) {
+    for (std::int64_t window = first; window < first + kMaxProposedAtOnce; ++window) {
       if (wall_now < EndOf(window) + ChooseAfter()) return;
       const auto known = proposed_.find(window);
-      if (known != proposed_.end() && now - known->second < kChooseAgainAfter) continue;
+      if (known != proposed_.end() && now - known->second < kProposeAgainAfter) continue;
       proposed_[window] = now;
       output->choose.push_back(counts_.Tally(window));
     }
@@ -111,34 +112,34 @@
 
   void Post(Time now, Time wall_now, const messages::OwnershipState& state, Output* output) {
     if (call_ && now > call_->deadline + kCallInterval) {  // no answer will arrive any more
-      PutOff(now, call_->window);
+      ScheduleRetry(now, call_->window);
       call_.reset();
     }
-    if (!state.tallies().empty()) Forget(state.tallies(0).window());
+    if (!state.tallies().empty()) DropWindowsBefore(state.tallies(0).window());
     if (call_ || now < next_call_at_) return;
     const messages::WindowCount* next = nullptr;  // the oldest that is not late, else the oldest
     for (const auto& tally : state.tallies()) {
-      if (done_.contains(tally.window()) || IsOverLate(tally.window(), wall_now)) continue;
+      if (done_.contains(tally.window()) || IsExpired(tally.window(), wall_now)) continue;
       if (now < retries_[tally.window()].next_at) continue;
       if (next == nullptr || (IsLate(next->window(), wall_now) && !IsLate(tally.window(), wall_now)))
         next = &tally;
     }
     if (next == nullptr) return;
-    call_ = Call{++last_tag_, epoch_, next->window(), now + kCallTime};
+    call_ = Call{++last_tag_, epoch_, next->window(), now + kCallTimeout};
     next_call_at_ = now + kCallInterval;
-    output->calls.push_back({last_tag_, "", "POST", kUsagePath, WriteUsage(*next), epoch_, kCallTime, ""});
+    output->calls.push_back({last_tag_, "", "POST", kUsagePath, WriteUsage(*next), epoch_, kCallTimeout, ""});
   }
 
-  void Forget(std::int64_t before) {
+  void DropWindowsBefore(std::int64_t before) {
     done_.erase(done_.begin(), done_.lower_bound(before));
     retries_.erase(retries_.begin(), retries_.lower_bound(before));
   }
 
-  void PutOff(Time now, std::int64_t window) {
+  void ScheduleRetry(Time now, std::int64_t window) {
     Retry& retry = retries_[window];
-    const Time backoff = kShortestBackoff << std::min(retry.failures, 3);
+    const Time backoff = kMinBackoff << std::min(retry.failures, 3);
     ++retry.failures;
-    retry.next_at = now + std::min(backoff, kLongestBackoff);
+    retry.next_at = now + std::min(backoff, kMaxBackoff);
   }
 
   Settings settings_;
--- a/src/duties/usage_counts.h
+++ b/src/duties/usage_counts.h
@@ -27,12 +27,12 @@
  private:
   using Counts = std::map<std::string, std::uint64_t>;  // by tenant
   using Windows = std::map<std::int64_t, Counts>;
-  using Life = std::pair<std::string, std::uint64_t>;  // a dispatcher process: name and incarnation
+  using ProcessId = std::pair<std::string, std::uint64_t>;  // a dispatcher process: name and incarnation
 
-  void DropBefore(std::int64_t oldest);
+  void RemoveBefore(std::int64_t oldest);
 
   std::int64_t kept_windows_;
-  std::map<Life, Windows> lives_;
+  std::map<ProcessId, Windows> processes_;
   std::int64_t oldest_kept_ = 0;
 };
 
--- a/src/duties/usage_handover.cpp
+++ b/src/duties/usage_handover.cpp
@@ -15,9 +15,9 @@
   std::set<std::pair<std::string, std::uint64_t>> present;
   for (const Member& member : live) {
     if (member.replica_id.empty() || member.name == self_name) continue;
-    const std::pair life(member.name, member.incarnation);
-    present.insert(life);
-    if (!known_.contains(life)) added.push_back(member.address);
+    const std::pair process(member.name, member.incarnation);
+    present.insert(process);
+    if (!known_.contains(process)) added.push_back(member.address);
   }
   known_ = std::move(present);
   return added;
--- a/tests/system/duties/load_history_test.cpp
+++ b/tests/system/duties/load_history_test.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 
 namespace lichenlug::duties {
 namespace {
@@ -65,26 +65,26 @@
 }
 
 TEST_CASE("a new owner sees the loads of the previous one, and counts its allowance as started") {
-  OwnershipWorld testbed(3, 4);
+  OwnershipSimulation testbed(3, 4);
   testbed.loads = {History("llm", 5, 3)};
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   REQUIRE(FindLoads(testbed.nodes[first].ownership->state(), "llm") != nullptr);
   testbed.Kill(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.loads.clear();  // the new owner has placed nothing yet
   while (!testbed.Holder()) testbed.RunFor(10 * kMillisecond);
   const auto& taken = testbed.nodes[*testbed.Holder()].ownership;
   const messages::LoadHistory* history = FindLoads(taken->state(), "llm");
   REQUIRE(history != nullptr);
   CHECK(Total(*history) == 8);
-  CHECK(history->begun(0).age_us() >= kSecond + OwnershipWorld::kLease);
+  CHECK(history->begun(0).age_us() >= kSecond + OwnershipSimulation::kLease);
   CHECK(history->begun(1).age_us() == 0);
   REQUIRE(taken->lease_started_at());
 }
 
 TEST_CASE("an owner that resigns records its loads once more, without an allowance") {
-  OwnershipWorld testbed(3, 5);
+  OwnershipSimulation testbed(3, 5);
   testbed.loads = {History("llm", 5, 3)};
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
--- a/tests/system/duties/ownership_checks.h
+++ b/tests/system/duties/ownership_checks.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 
 namespace lichenlug::duties {
 
@@ -28,19 +28,20 @@
 
 // Checks the actions of holders: each epoch belongs to one process, epochs never decrease, no two holders act
 // at the same time, and a former holder acts again only a whole lease after its previous turn.
-inline void CheckActs(const std::vector<OwnershipWorld::Act>& acts) {
-  std::map<std::uint64_t, std::uint64_t> life_of_epoch;
+inline void CheckActions(const std::vector<OwnershipSimulation::Action>& actions) {
+  std::map<std::uint64_t, std::uint64_t> incarnation_of_epoch;
   std::map<std::size_t, Time> turn_ended;  // by node: its last action before that of another
-  for (std::size_t k = 0; k < acts.size(); ++k) {
-    const auto& act = acts[k];
-    const auto [known, added] = life_of_epoch.try_emplace(act.epoch, act.incarnation);
-    REQUIRE(known->second == act.incarnation);
+  for (std::size_t k = 0; k < actions.size(); ++k) {
+    const auto& action = actions[k];
+    const auto [known, added] = incarnation_of_epoch.try_emplace(action.epoch, action.incarnation);
+    REQUIRE(known->second == action.incarnation);
     if (k == 0) continue;
-    REQUIRE(act.epoch >= acts[k - 1].epoch);
-    if (act.node == acts[k - 1].node) continue;
-    REQUIRE(act.at > acts[k - 1].at);  // never two at the same time
-    turn_ended[acts[k - 1].node] = acts[k - 1].at;
-    if (turn_ended.contains(act.node)) REQUIRE(act.at - turn_ended[act.node] >= OwnershipWorld::kLease);
+    REQUIRE(action.epoch >= actions[k - 1].epoch);
+    if (action.node == actions[k - 1].node) continue;
+    REQUIRE(action.at > actions[k - 1].at);  // never two at the same time
+    turn_ended[actions[k - 1].node] = actions[k - 1].at;
+    if (turn_ended.contains(action.node))
+      REQUIRE(action.at - turn_ended[action.node] >= OwnershipSimulation::kLease);
   }
 }
 
--- a/tests/system/duties/ownership_world.h
+++ b/tests/system/duties/ownership_simulation.h
@@ -17,7 +17,7 @@
 
 namespace lichenlug::duties {
 
-class OwnershipWorld {
+class OwnershipSimulation {
  public:
   static constexpr Time kLease = 3 * kSecond;
 
@@ -34,17 +34,17 @@
     Time clock_offset = 0;
     std::vector<std::pair<std::uint64_t, consensus::Completion>> held_back;  // arrived while it was frozen
   };
-  struct Act {  // an external call by a holder
+  struct Action {  // an external call by a holder
     Time at = 0;
     std::size_t node = 0;
     std::uint64_t incarnation = 0, epoch = 0;
     Time calls_end_by = 0;  // like `at`, in simulation time
   };
 
-  OwnershipWorld(std::size_t count, std::uint64_t seed) : random_(seed) {
+  OwnershipSimulation(std::size_t count, std::uint64_t seed) : random_(seed) {
     nodes.resize(count);
     for (std::size_t i = 0; i < count; ++i) Start(i);
-    TellMembers();
+    UpdateMembers();
   }
 
   std::string Name(std::size_t i) const { return "dispatcher-" + std::to_string(i); }
@@ -80,16 +80,16 @@
   void Resign(std::size_t i) {
     OwnershipOutput output;
     nodes[i].ownership->Resign(LocalTime(i), &output);
-    Take(i, &output);
+    HandleOutput(i, &output);
   }
   void ChooseTally(std::size_t i, const messages::WindowCount& tally) {
     OwnershipOutput output;
     nodes[i].ownership->ChooseTally(LocalTime(i), tally, &output);
-    Take(i, &output);
+    HandleOutput(i, &output);
   }
 
   // Updates the members of each running node: those that run, are not frozen and are not suspected.
-  void TellMembers() {
+  void UpdateMembers() {
     for (std::size_t i = 0; i < nodes.size(); ++i)
       if (Runs(i)) nodes[i].ownership->SetMembers(LocalTime(i), LiveFor(i), nodes[i].wanted);
   }
@@ -99,7 +99,7 @@
       if (!Runs(i) || (nodes[i].is_suspected && i != observer)) continue;
       Member member;
       member.name = Name(i);
-      member.incarnation = nodes[i].incarnation + objections;
+      member.incarnation = nodes[i].incarnation + refutations;
       member.ready = nodes[i].is_ready;
       member.replica_id = i < stores ? "replica-" + std::to_string(i) : "";
       live.push_back(member);
@@ -130,29 +130,29 @@
         if (timer && *timer > LocalTime(i)) continue;
         OwnershipOutput output;
         nodes[i].ownership->Tick(LocalTime(i), &output);
-        Take(i, &output);
+        HandleOutput(i, &output);
       }
       for (std::size_t i = 0; i < nodes.size(); ++i)
-        if (Holds(i)) acts.push_back(ActOf(i));
+        if (Holds(i)) actions.push_back(ActionOf(i));
     }
   }
 
-  Time Random(Time most) { return static_cast<Time>(random_() % static_cast<std::uint64_t>(most)); }
+  Time Random(Time bound) { return static_cast<Time>(random_() % static_cast<std::uint64_t>(bound)); }
 
   Time now = 1000 * kSecond;
-  std::size_t stores = 100;      // the first `stores` nodes have a store
-  std::uint64_t objections = 0;  // refuted suspicions, which increase the incarnations of all members
+  std::size_t stores = 100;       // the first `stores` nodes have a store
+  std::uint64_t refutations = 0;  // refuted suspicions, which increase the incarnations of all members
   std::vector<Node> nodes;
-  std::vector<Act> acts;
+  std::vector<Action> actions;
   std::string payload;                       // of the register
   std::vector<messages::LoadHistory> loads;  // recorded by any owner with its renewals
-  bool is_rough = false;
-  bool replicas_hear = true;  // of proposals, before their outcome is known
-  std::size_t operations = 0, changes_told = 0;
+  bool is_faulty = false;
+  bool replicas_notified = true;  // of proposals, before their outcome is known
+  std::size_t operations = 0, changes_reported = 0;
   std::function<void()> on_change;  // after each change of the payload
 
  private:
-  Act ActOf(std::size_t i) const {
+  Action ActionOf(std::size_t i) const {
     const Node& node = nodes[i];
     const auto since_start = static_cast<double>(node.ownership->CallDeadline().value() - node.clock_offset);
     const auto calls_end_by = static_cast<Time>(since_start / node.clock_rate);
@@ -161,8 +161,8 @@
 
   void At(Time when, std::function<void()> event) { events_[{when, ++event_number_}] = std::move(event); }
 
-  void Take(std::size_t i, OwnershipOutput* output) {
-    if (output->changed) ++changes_told;
+  void HandleOutput(std::size_t i, OwnershipOutput* output) {
+    if (output->changed) ++changes_reported;
     for (RegisterOperation& operation : output->operations) Submit(i, operation);
   }
 
@@ -173,11 +173,11 @@
     const auto answer = [this, i, incarnation, tag = operation.tag](const consensus::Completion& completion) {
       if (nodes[i].incarnation == incarnation) Complete(i, tag, completion);
     };
-    if (nodes[i].is_cut_off || (is_rough && Random(20) == 0)) {
+    if (nodes[i].is_cut_off || (is_faulty && Random(20) == 0)) {
       At(now + timeout, [answer] { answer({}); });  // never proposed
       return;
     }
-    const bool is_slow = is_rough && Random(8) == 0;
+    const bool is_slow = is_faulty && Random(8) == 0;
     const Time applied = now + kMillisecond + Random(is_slow ? 5 * kSecond : 20 * kMillisecond);
     const Time answered = applied + Random(is_slow ? 2 * kSecond : 20 * kMillisecond);
     if (answered > now + timeout) {
@@ -185,7 +185,7 @@
       unknown.outcome = consensus::Outcome::kUnknown;
       At(now + timeout, [answer, unknown] { answer(unknown); });
       if (Random(2) == 0)
-        At(applied, [this, change = operation.change] { AcceptedByFew(change); });
+        At(applied, [this, change = operation.change] { AcceptByMinority(change); });
       else
         At(applied, [this, change = operation.change] { Apply(change); });
       return;
@@ -203,7 +203,7 @@
     if (const auto* next = std::get_if<consensus::NewPayload>(&result)) {
       payload = next->payload;
       completion.outcome = consensus::Outcome::kChosen;
-      TellReplicas(payload);
+      NotifyReplicas(payload);
       if (on_change) on_change();
     } else {
       completion.outcome = consensus::Outcome::kKept;
@@ -214,22 +214,22 @@
   }
 
   // The change is accepted by too few replicas to be chosen.
-  void AcceptedByFew(const consensus::ChangeFunction& change) {
+  void AcceptByMinority(const consensus::ChangeFunction& change) {
     const consensus::Change result = change(payload);
-    if (const auto* next = std::get_if<consensus::NewPayload>(&result)) TellReplicas(next->payload);
+    if (const auto* next = std::get_if<consensus::NewPayload>(&result)) NotifyReplicas(next->payload);
   }
 
   // Asks the candidates' local replicas to accept a payload: some later, some never.
-  void TellReplicas(const std::string& accepting) {
-    if (!replicas_hear) return;
+  void NotifyReplicas(const std::string& accepting) {
+    if (!replicas_notified) return;
     const std::optional<messages::OwnershipState> state = ReadState(accepting);
     if (!state) return;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (is_rough && Random(3) == 0) continue;
+      if (is_faulty && Random(3) == 0) continue;
       const std::uint64_t incarnation = nodes[i].incarnation;
-      At(now + Random(is_rough ? 2 * kSecond : 5 * kMillisecond), [this, i, incarnation, state] {
-        const bool hears = Runs(i) && !nodes[i].is_cut_off && nodes[i].incarnation == incarnation;
-        if (hears) nodes[i].ownership->Accepting(LocalTime(i), *state);
+      At(now + Random(is_faulty ? 2 * kSecond : 5 * kMillisecond), [this, i, incarnation, state] {
+        const bool is_reachable = Runs(i) && !nodes[i].is_cut_off && nodes[i].incarnation == incarnation;
+        if (is_reachable) nodes[i].ownership->Accepting(LocalTime(i), *state);
       });
     }
   }
@@ -239,7 +239,7 @@
     if (nodes[i].is_frozen) return nodes[i].held_back.emplace_back(tag, completion), void();
     OwnershipOutput output;
     nodes[i].ownership->Completed(LocalTime(i), tag, completion, &output);
-    Take(i, &output);
+    HandleOutput(i, &output);
   }
 
   std::mt19937_64 random_;
--- a/tests/system/duties/ownership_simulation_test.cpp
+++ b/tests/system/duties/ownership_simulation_test.cpp
@@ -1,23 +1,24 @@
 // Randomized simulation of the candidates for a duty under faults.
+#include "ownership_simulation.h"
+
 #include <catch2/catch.hpp>
 
 #include "ownership_checks.h"
-#include "ownership_world.h"
 
 namespace lichenlug::duties {
 
 TEST_CASE("under faults there is one holder at a time and per epoch, and no new turn within a lease") {
-  std::size_t acts = 0;
+  std::size_t actions = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
-    OwnershipWorld testbed(4, seed);
-    testbed.is_rough = true;
+    OwnershipSimulation testbed(4, seed);
+    testbed.is_faulty = true;
     for (auto& node : testbed.nodes) {
       node.clock_rate = 0.99 + static_cast<double>(testbed.Random(200)) / 10000;
       node.clock_offset = testbed.Random(1000 * kSecond);
     }
     for (std::size_t i = 0; i < 4; ++i) testbed.Start(i);
-    testbed.TellMembers();
+    testbed.UpdateMembers();
     std::map<std::int64_t, std::string> chosen;
     std::uint64_t last_epoch = 0;
     testbed.on_change = [&] {
@@ -72,21 +73,21 @@
           if (testbed.Holds(k))
             testbed.ChooseTally(k, MakeTally(window, static_cast<std::uint64_t>(testbed.Random(100))));
       }
-      if (testbed.Random(15) == 0) testbed.TellMembers();
+      if (testbed.Random(15) == 0) testbed.UpdateMembers();
     }
-    CheckActs(testbed.acts);
-    acts += testbed.acts.size();
+    CheckActions(testbed.actions);
+    actions += testbed.actions.size();
 
-    testbed.is_rough = false;
+    testbed.is_faulty = false;
     for (std::size_t i = 0; i < 4; ++i) {
       testbed.Start(i);
-      testbed.TellMembers();
+      testbed.UpdateMembers();
     }
     testbed.RunFor(12 * kSecond);
     REQUIRE(testbed.Holder());
-    CheckActs(testbed.acts);
+    CheckActions(testbed.actions);
   }
-  CHECK(acts > 60 * 2000);  // of 12,000 steps each: the duty was held for a good part of the time
+  CHECK(actions > 60 * 2000);  // of 12,000 steps each: the duty was held for a good part of the time
 }
 
 }  // namespace lichenlug::duties
--- a/tests/system/duties/ownership_test.cpp
+++ b/tests/system/duties/ownership_test.cpp
@@ -7,12 +7,12 @@
 
 #include "duties/agreed_order.h"
 #include "ownership_checks.h"
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 
 namespace lichenlug::duties {
 namespace {
 
-std::size_t FirstInOrder(const OwnershipWorld& testbed, const std::vector<std::size_t>& live) {
+std::size_t FirstInOrder(const OwnershipSimulation& testbed, const std::vector<std::size_t>& live) {
   std::vector<Member> members;
   for (const std::size_t i : live) {
     Member member;
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("the first in the order soon takes a duty that was never held, and keeps it") {
-  OwnershipWorld testbed(5, 1);
+  OwnershipSimulation testbed(5, 1);
   testbed.RunFor(kSecond / 2);
   const std::size_t first = FirstInOrder(testbed, {0, 1, 2, 3, 4});
   REQUIRE(testbed.Holder() == first);
@@ -63,51 +63,51 @@
 }
 
 TEST_CASE("only members with a store hold duties, where there are any") {
-  OwnershipWorld testbed(5, 1);
+  OwnershipSimulation testbed(5, 1);
   testbed.stores = 1;
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(5 * kSecond);
   CHECK(testbed.Holder() == std::size_t{0});
 }
 
 TEST_CASE("a holder that failed is replaced after its lease, and does not take the duty back") {
-  OwnershipWorld testbed(3, 2);
+  OwnershipSimulation testbed(3, 2);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   const Time killed_at = testbed.now;
   testbed.Kill(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   while (!testbed.Holder() && testbed.now < killed_at + 20 * kSecond) testbed.RunFor(10 * kMillisecond);
   REQUIRE(testbed.Holder());
   const std::size_t second = *testbed.Holder();
-  CHECK(testbed.now - killed_at >= OwnershipWorld::kLease - kSecond);
-  CHECK(testbed.now - killed_at <= OwnershipWorld::kLease + 2 * kSecond);
+  CHECK(testbed.now - killed_at >= OwnershipSimulation::kLease - kSecond);
+  CHECK(testbed.now - killed_at <= OwnershipSimulation::kLease + 2 * kSecond);
   CHECK(testbed.nodes[second].ownership->epoch() == 2);
   testbed.Start(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(30 * kSecond);
   CHECK(testbed.Holder() == second);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 TEST_CASE("a holder is replaced a lease after its last renewal, however late its failure is detected") {
-  constexpr Time kKnownAfter = 2300 * kMillisecond;
+  constexpr Time kDetectedAfter = 2300 * kMillisecond;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    OwnershipWorld testbed(3, seed);
+    OwnershipSimulation testbed(3, seed);
     testbed.RunFor(10 * kSecond + testbed.Random(kSecond));
     const Time killed_at = testbed.now;
     testbed.Kill(testbed.Holder().value());
-    testbed.RunFor(kKnownAfter);
-    testbed.TellMembers();
+    testbed.RunFor(kDetectedAfter);
+    testbed.UpdateMembers();
     while (!testbed.Holder() && testbed.now < killed_at + 20 * kSecond) testbed.RunFor(10 * kMillisecond);
     INFO("seed " << seed);
-    CHECK(testbed.now - killed_at <= OwnershipWorld::kLease + 600 * kMillisecond);
-    CheckActs(testbed.acts);
+    CHECK(testbed.now - killed_at <= OwnershipSimulation::kLease + 600 * kMillisecond);
+    CheckActions(testbed.actions);
   }
 }
 
 TEST_CASE("a renewal that a minority accepted is not mistaken for one that was chosen later") {
-  OwnershipWorld testbed(2, 3);
+  OwnershipSimulation testbed(2, 3);
   testbed.RunFor(10 * kSecond);
   const std::size_t owner = testbed.Holder().value(), other = 1 - owner;
   std::optional<consensus::ChangeFunction> renewal;
@@ -130,142 +130,142 @@
 }
 
 TEST_CASE("a holder that was paused finds its lease expired before it acts") {
-  OwnershipWorld testbed(3, 3);
+  OwnershipSimulation testbed(3, 3);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.Freeze(first);
   testbed.RunFor(2 * kSecond);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(6 * kSecond);
   REQUIRE(testbed.Holder());
   testbed.nodes[first].is_frozen = false;
   CHECK_FALSE(testbed.Holds(first));
   testbed.nodes[first].is_frozen = true;
   testbed.Thaw(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(20 * kSecond);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 TEST_CASE("calls of a holder that is partitioned off are sent before another holder acts") {
   std::size_t turns = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
-    OwnershipWorld testbed(3, seed);
+    OwnershipSimulation testbed(3, seed);
     for (auto& node : testbed.nodes)
       node.clock_rate = 0.99 + static_cast<double>(testbed.Random(200)) / 10000;
     for (std::size_t i = 0; i < testbed.nodes.size(); ++i) testbed.Start(i);
-    testbed.is_rough = true;
+    testbed.is_faulty = true;
     for (int turn = 0; turn < 4; ++turn) {
-      testbed.TellMembers();
+      testbed.UpdateMembers();
       testbed.RunFor(10 * kSecond + testbed.Random(kSecond));
       const std::optional<std::size_t> holder = testbed.Holder();
       if (!holder) continue;
       testbed.nodes[*holder].is_cut_off = true;
       testbed.nodes[*holder].is_suspected = true;
-      testbed.TellMembers();
+      testbed.UpdateMembers();
       testbed.RunFor(10 * kSecond);
       testbed.nodes[*holder].is_cut_off = false;
       testbed.nodes[*holder].is_suspected = false;
     }
-    for (std::size_t k = 1; k < testbed.acts.size(); ++k) {
-      const auto& before = testbed.acts[k - 1];
-      const auto& act = testbed.acts[k];
-      if (act.node == before.node) continue;
+    for (std::size_t k = 1; k < testbed.actions.size(); ++k) {
+      const auto& before = testbed.actions[k - 1];
+      const auto& action = testbed.actions[k];
+      if (action.node == before.node) continue;
       ++turns;
-      REQUIRE(act.at > before.calls_end_by);
+      REQUIRE(action.at > before.calls_end_by);
     }
   }
   CHECK(turns > 80);
 }
 
 TEST_CASE("a holder that resigns is replaced at once, and after a restart waits for a whole lease") {
-  OwnershipWorld testbed(2, 4);
+  OwnershipSimulation testbed(2, 4);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.Resign(first);
   CHECK_FALSE(testbed.Holds(first));
   testbed.RunFor(200 * kMillisecond);
   testbed.Kill(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(kSecond);
   REQUIRE(testbed.Holder() == 1 - first);
   testbed.Start(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.Resign(1 - first);
   testbed.RunFor(kSecond);
   testbed.Kill(1 - first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(10 * kSecond);
   CHECK(testbed.Holder() == first);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 // A draining holder stays a live member for seconds, and would still be first by its hash.
 TEST_CASE("a duty released by a draining holder is taken by the next candidate at once") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    OwnershipWorld testbed(3, seed);
+    OwnershipSimulation testbed(3, seed);
     testbed.RunFor(10 * kSecond);
     const std::size_t first = testbed.Holder().value();
     testbed.nodes[first].is_ready = false;
     testbed.Resign(first);
-    testbed.TellMembers();
+    testbed.UpdateMembers();
     testbed.RunFor(1500 * kMillisecond);
     REQUIRE(testbed.Holder());
     CHECK(*testbed.Holder() != first);
-    CheckActs(testbed.acts);
+    CheckActions(testbed.actions);
   }
 }
 
 TEST_CASE("a draining candidate does not delay the others when a holder fails") {
-  OwnershipWorld testbed(3, 5);
+  OwnershipSimulation testbed(3, 5);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   const std::size_t second = (first + 1) % 3, third = (first + 2) % 3;
   for (const std::size_t drains : {second, third}) {
-    OwnershipWorld again(3, 5);
+    OwnershipSimulation again(3, 5);
     again.RunFor(10 * kSecond);
     again.nodes[drains].is_ready = false;
     again.Resign(drains);
     again.Kill(first);
-    again.TellMembers();
-    again.RunFor(OwnershipWorld::kLease + 1500 * kMillisecond);
+    again.UpdateMembers();
+    again.RunFor(OwnershipSimulation::kLease + 1500 * kMillisecond);
     CHECK(again.Holder() == (drains == second ? third : second));
-    CheckActs(again.acts);
+    CheckActions(again.actions);
   }
 }
 
 TEST_CASE("a holder that has restarted is replaced without waiting for its lease") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    OwnershipWorld testbed(3, seed);
+    OwnershipSimulation testbed(3, seed);
     testbed.RunFor(10 * kSecond);
     const std::size_t first = testbed.Holder().value();
     testbed.Kill(first);
     testbed.RunFor(500 * kMillisecond);
     testbed.Start(first);
-    testbed.TellMembers();
+    testbed.UpdateMembers();
     testbed.RunFor(1200 * kMillisecond);
     REQUIRE(testbed.Holder());
     CHECK(*testbed.Holder() != first);
-    CheckActs(testbed.acts);
+    CheckActions(testbed.actions);
   }
 }
 
 // The holder is not the first in the order here, and the candidate before it polls rarely while it is live.
 TEST_CASE("a holder that refuted a suspicion is not taken for a restarted one") {
-  OwnershipWorld testbed(3, 6);
+  OwnershipSimulation testbed(3, 6);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.Kill(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(10 * kSecond);
   const std::size_t second = testbed.Holder().value();
   testbed.Start(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(10 * kSecond);
   REQUIRE(testbed.Holder() == second);
-  testbed.objections = 3;
-  testbed.TellMembers();
+  testbed.refutations = 3;
+  testbed.UpdateMembers();
   testbed.operations = 0;
   testbed.RunFor(20 * kSecond);
   CHECK(testbed.Holder() == second);
@@ -274,32 +274,32 @@
 }
 
 TEST_CASE("a renewal is not reported as a change") {
-  OwnershipWorld testbed(3, 7);
+  OwnershipSimulation testbed(3, 7);
   testbed.RunFor(10 * kSecond);
-  testbed.changes_told = 0;
+  testbed.changes_reported = 0;
   testbed.RunFor(60 * kSecond);
-  CHECK(testbed.changes_told == 0);
+  CHECK(testbed.changes_reported == 0);
 }
 
 TEST_CASE("a duty that is not wanted is not taken, and a held one expires") {
-  OwnershipWorld testbed(3, 5);
+  OwnershipSimulation testbed(3, 5);
   for (auto& node : testbed.nodes) node.wanted = false;
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(10 * kSecond);
   CHECK_FALSE(testbed.Holder());
   CHECK(testbed.operations == 0);
   for (auto& node : testbed.nodes) node.wanted = true;
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(5 * kSecond);
   REQUIRE(testbed.Holder());
   for (auto& node : testbed.nodes) node.wanted = false;
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(3 * kSecond);
   CHECK_FALSE(testbed.Holder());
 }
 
 TEST_CASE("a holder without a quorum stops in time, and is replaced although it is live") {
-  OwnershipWorld testbed(3, 6);
+  OwnershipSimulation testbed(3, 6);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.nodes[first].is_cut_off = true;  // but live according to the membership
@@ -308,11 +308,11 @@
   testbed.RunFor(12 * kSecond);
   REQUIRE(testbed.Holder());
   CHECK(testbed.Holder() != first);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 TEST_CASE("if the first candidate can't act, the second does") {
-  OwnershipWorld testbed(3, 6);
+  OwnershipSimulation testbed(3, 6);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.Kill(first);
@@ -321,15 +321,15 @@
     if (i != first) rest.push_back(i);
   const std::size_t next = FirstInOrder(testbed, rest);
   testbed.nodes[next].is_cut_off = true;
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(15 * kSecond);
   REQUIRE(testbed.Holder());
   CHECK(testbed.Holder() != next);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 TEST_CASE("a tally is chosen at once with a renewal, each window once, and the newest sixteen are kept") {
-  OwnershipWorld testbed(3, 7);
+  OwnershipSimulation testbed(3, 7);
   testbed.RunFor(5 * kSecond);
   const std::size_t holder = testbed.Holder().value();
   for (std::int64_t window = 100; window < 130; ++window) {
@@ -347,7 +347,7 @@
 }
 
 TEST_CASE("an unreadable payload blocks only the duty and is not overwritten") {
-  OwnershipWorld testbed(2, 8);
+  OwnershipSimulation testbed(2, 8);
   testbed.payload = "\xff\xff";
   testbed.RunFor(10 * kSecond);
   CHECK_FALSE(testbed.Holder());
@@ -356,27 +356,27 @@
 }
 
 TEST_CASE("a renewal that completes only after a pause counts from its start") {
-  OwnershipWorld testbed(3, 9);
+  OwnershipSimulation testbed(3, 9);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.operations = 0;
   while (testbed.operations == 0) testbed.RunFor(10 * kMillisecond);  // a renewal is in progress
   testbed.Freeze(first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(10 * kSecond);
   REQUIRE(testbed.Holder());
   testbed.Thaw(first);
   CHECK_FALSE(testbed.Holds(first));
   testbed.RunFor(5 * kSecond);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 TEST_CASE("a former holder waits for a whole lease though the next one resigns at once") {
-  OwnershipWorld testbed(2, 10);
+  OwnershipSimulation testbed(2, 10);
   testbed.RunFor(10 * kSecond);
   const std::size_t first = testbed.Holder().value();
   testbed.nodes[first].is_suspected = true;  // so the other polls often, and sees the last renewal soon
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(5 * kSecond);
   REQUIRE(testbed.Holder() == first);
   testbed.nodes[first].is_cut_off = true;
@@ -386,10 +386,10 @@
   testbed.Resign(1 - first);
   testbed.RunFor(100 * kMillisecond);
   testbed.Kill(1 - first);
-  testbed.TellMembers();
+  testbed.UpdateMembers();
   testbed.RunFor(10 * kSecond);
   CHECK(testbed.Holder() == first);
-  CheckActs(testbed.acts);
+  CheckActions(testbed.actions);
 }
 
 TEST_CASE("a takeover of unknown outcome that was chosen holds only from its first renewal on") {
--- a/tests/system/duties/usage_handover_test.cpp
+++ b/tests/system/duties/usage_handover_test.cpp
@@ -43,12 +43,12 @@
 }
 
 TEST_CASE("only reports of ended processes are selected, as live ones send their own") {
-  const auto told = ReportsOfEndedProcesses(
+  const auto reports = ReportsOfEndedProcesses(
       {Report("a", 1), Report("b", 1), Report("b", 2), Report("gone", 1)}, {Store("a", 1), Store("b", 2)});
-  REQUIRE(told.size() == 2);
-  CHECK(told[0].incarnation() == 1);
-  CHECK(told[0].name() == "b");
-  CHECK(told[1].name() == "gone");
+  REQUIRE(reports.size() == 2);
+  CHECK(reports[0].incarnation() == 1);
+  CHECK(reports[0].name() == "b");
+  CHECK(reports[1].name() == "gone");
 }
 
 }  // namespace lichenlug::duties
--- a/tests/system/duties/usage_reports.h
+++ b/tests/system/duties/usage_reports.h
@@ -22,10 +22,10 @@
   messages::UsageReport report;
   report.set_name(name);
   report.set_incarnation(incarnation);
-  auto* told = report.add_windows();
-  told->set_window(window);
+  auto* window_counts = report.add_windows();
+  window_counts->set_window(window);
   for (const auto& [tenant, count] : counts) {
-    auto* entry = told->add_counts();
+    auto* entry = window_counts->add_counts();
     entry->set_tenant(tenant);
     entry->set_count(count);
   }
--- a/tests/system/duties/usage_simulation_test.cpp
+++ b/tests/system/duties/usage_simulation_test.cpp
@@ -21,7 +21,7 @@
     for (auto& duty : duties) duty = std::make_unique<UsageDuty>(UsageDuty::Settings{kWindow, kLate});
     messages::OwnershipState state;
     std::vector<messages::WindowCount> pending;  // proposed to the register by the current holder
-    std::map<std::int64_t, std::string> told;
+    std::map<std::int64_t, std::string> bodies;
     std::map<std::int64_t, CountByTenant> truth;
     std::set<std::int64_t> acknowledged;
     struct InFlight {
@@ -70,7 +70,7 @@
       for (const HttpCall& call : output.calls) {
         REQUIRE(call.fence == epoch);
         const std::int64_t reported = WindowIn(call);
-        const auto [known, added] = told.try_emplace(reported, call.body);
+        const auto [known, added] = bodies.try_emplace(reported, call.body);
         REQUIRE(known->second == call.body);
         const int status = chance(3) ? 503 : 200;
         if (status == 200) acknowledged.insert(reported);
@@ -93,7 +93,7 @@
       const Time ended = (window + 1) * kWindow;
       REQUIRE(std::any_of(losses.begin(), losses.end(), [ended](Time at) { return at > ended; }));
     }
-    for (const auto& [window, body] : told) {
+    for (const auto& [window, body] : bodies) {
       const auto counted = nlohmann::json::parse(body)["tallies"].value("t", std::uint64_t{0});
       REQUIRE(counted == truth[window]["t"]);
     }
--- a/tests/system/duties/usage_test.cpp
+++ b/tests/system/duties/usage_test.cpp
@@ -52,7 +52,7 @@
     CountByTenant truth;
     for (int life = 0; life < 4; ++life) {
       CountByTenant counts;
-      for (int told = 0; told < 3; ++told) {  // cumulative
+      for (int repetition = 0; repetition < 3; ++repetition) {  // cumulative
         counts["a"] += random() % 5;
         counts["b"] += random() % 5;
         reports.push_back(MakeReport("dispatcher-" + std::to_string(life / 2), life, kFirst, counts));
@@ -123,9 +123,9 @@
 
   testbed.platform_status = 200;
   testbed.RunFor(5 * kSecond, 1);
-  const auto told = testbed.calls.size();
+  const auto calls_before = testbed.calls.size();
   testbed.RunFor(kWindow, 1);
-  CHECK(testbed.calls.size() <= told + 2);  // the windows that fell due meanwhile
+  CHECK(testbed.calls.size() <= calls_before + 2);  // the windows that fell due meanwhile
 }
 
 TEST_CASE("a window is dropped after four times the allowed time") {
@@ -169,13 +169,13 @@
   next.duty.Merge(next.wall, MakeReport("d", 1, kFirst, {{"t", 9}}));
   const std::int64_t newest = next.state.tallies().rbegin()->window();
   next.RunFor(20 * kSecond, 2);
-  std::map<std::int64_t, std::string> told;
-  for (const HttpCall& call : testbed.calls) told[WindowIn(call)] = call.body;
+  std::map<std::int64_t, std::string> bodies;
+  for (const HttpCall& call : testbed.calls) bodies[WindowIn(call)] = call.body;
   REQUIRE(next.calls.size() >= 4);
   for (const HttpCall& call : next.calls) {
     const std::int64_t window = WindowIn(call);
     CHECK((window + 1) * kWindow + kLate >= testbed.wall);
-    if (window <= newest) CHECK(call.body == told.at(window));
+    if (window <= newest) CHECK(call.body == bodies.at(window));
     CHECK(call.fence == 2);
   }
   REQUIRE(next.chosen.size() >= 3);
