--- a/tests/system/registry/registry_test.cpp
+++ b/tests/system/registry/registry_test.cpp
@@ -203,8 +203,8 @@
   messages::RegistryMessage news;
   *news.mutable_update()->add_records() = MakeRecord("i-1", 2, RUNNER_DRAINING);
   registry.Receive(now, MakeMember(2).address, news, &output);
-  RegistryOutput heard;
-  CHECK(registry.Heartbeat(now, MakeRecord("i-1", 3, RUNNER_DRAINING), &heard).is_end);
+  RegistryOutput heartbeat_output;
+  CHECK(registry.Heartbeat(now, MakeRecord("i-1", 3, RUNNER_DRAINING), &heartbeat_output).is_end);
   RegistryOutput resent;
   registry.SendEnd(now, "i-1", {MakeMember(1).address}, &resent);
   REQUIRE(UpdatesIn(resent).size() == 1);
