--- a/src/registry/heartbeat_codec.cpp
+++ b/src/registry/heartbeat_codec.cpp
@@ -35,7 +35,7 @@
     if (!value->is_string()) return Fail(key, "must be a string"), std::string();
     const auto& text = value->get_ref<const std::string&>();
     if (required && text.empty()) Fail(key, "must not be empty");
-    if (text.size() > kMaxNameLength) Fail(key, "must have 256 bytes at most");
+    if (text.size() > kMaxNameLength) Fail(key, "must not be longer than 256 bytes");
     return text;
   }
 
@@ -45,7 +45,7 @@
     const bool is_valid =
         value->is_number_unsigned() || (value->is_number_integer() && value->get<std::int64_t>() >= 0);
     if (!is_valid || value->get<std::uint64_t>() > static_cast<std::uint64_t>(limit))
-      return Fail(key, "must be a whole number from 0 to " + std::to_string(limit)), 0;
+      return Fail(key, "must be an integer from 0 to " + std::to_string(limit)), 0;
     return value->get<std::int64_t>();
   }
 
@@ -62,7 +62,7 @@
     if (value == nullptr) return nullptr;
     if (!value->is_array()) return Fail(key, "must be a list"), nullptr;
     if (value->size() > limit)
-      return Fail(key, "must have " + std::to_string(limit) + " items at most"), nullptr;
+      return Fail(key, "must have at most " + std::to_string(limit) + " items"), nullptr;
     return value;
   }
 
@@ -89,7 +89,7 @@
   if (adapters == nullptr) return;
   for (const Json& adapter : *adapters) {
     if (!adapter.is_string() || adapter.get_ref<const std::string&>().size() > kMaxNameLength)
-      return reader.Fail("adapters", "must hold names of 256 bytes at most");
+      return reader.Fail("adapters", "must contain only strings of at most 256 bytes");
     model->add_adapters(adapter.get<std::string>());
   }
   std::sort(model->mutable_adapters()->begin(), model->mutable_adapters()->end());
