--- a/src/duties/ownership.cpp
+++ b/src/duties/ownership.cpp
@@ -260,11 +260,10 @@
   bool resigned_ = false;
   Time resigned_at_ = 0;
 
-  OwnershipState state_;                // the last state known to be chosen
-  std::optional<Time> observed_since_;  // when the current renewal was first seen
-  std::optional<ProposedRenewal>
-      last_proposed_;                     // the last renewal that the local replica was asked to accept
-  std::optional<Time> lease_started_at_;  // start of this dispatcher's last renewal that was chosen
+  OwnershipState state_;                          // the last state known to be chosen
+  std::optional<Time> observed_since_;            // when the current renewal was first seen
+  std::optional<ProposedRenewal> last_proposed_;  // the last one that the local replica was asked to accept
+  std::optional<Time> lease_started_at_;          // start of this dispatcher's last renewal that was chosen
   bool has_begun_ = false;
   Time earliest_takeover_at_ = 0;
   std::vector<WindowCount> tallies_;  // not yet chosen, by window
--- a/src/duties/usage.cpp
+++ b/src/duties/usage.cpp
@@ -11,8 +11,7 @@
 namespace lichenlug::duties {
 namespace {
 
-constexpr Time kReportArrivalTime =
-    2500 * kMillisecond;  // allowed for the last reports of a window to arrive
+constexpr Time kReportArrivalTime = 2500 * kMillisecond;  // for the last reports of a window to arrive
 constexpr Time kProposeAgainAfter = kSecond;
 constexpr std::int64_t kMaxProposedAtOnce = 8;
 constexpr int kExpiryFactor = 4;  // multiple of the allowed lateness after which a window is dropped
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -8,8 +8,7 @@
 namespace lichenlug::registry {
 namespace {
 
-constexpr int kMissedHeartbeatsUntilLost =
-    3;                               // heartbeat intervals without a heartbeat until a runner is lost
+constexpr int kMissedHeartbeatsUntilLost = 3;
 constexpr int kGraceHeartbeats = 1;  // added for a new home, as runners have yet to switch to it
 constexpr Time kMinPause = kSecond;  // a longer gap between ticks is a pause of this process
 constexpr Time kMaxExpiryCheckInterval = kSecond / 4;  // between two checks for silent runners
--- a/src/registry/spread.h
+++ b/src/registry/spread.h
@@ -42,8 +42,8 @@
  private:
   // The current version of a record that one peer has not acknowledged.
   struct Pending {
-    std::vector<std::uint64_t>
-        sent_in;  // numbers of the last messages that contained it; empty: not sent yet
+    // Numbers of the last messages that contained it; empty: not sent yet.
+    std::vector<std::uint64_t> sent_in;
     int repeats = 0;
     Time sent_at = 0, repeat_at = 0;
   };
--- a/src/registry/table.cpp
+++ b/src/registry/table.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Time kTombstoneLifetime = 120 * kSecond;
-constexpr Time kDigestEndedAge =
-    60 * kSecond;  // well below kTombstoneLifetime, so that removed entries are not relearned
+// Well below kTombstoneLifetime, so that removed entries are not relearned from other dispatchers.
+constexpr Time kDigestEndedAge = 60 * kSecond;
 constexpr std::size_t kMaxTombstones = 4096;
 
 bool InDigest(Time now, const TrackedRunner& runner) {
--- a/tests/system/duties/ownership_simulation.h
+++ b/tests/system/duties/ownership_simulation.h
@@ -59,8 +59,8 @@
     node = Node();
     node.clock_rate = rate;
     node.clock_offset = offset;
-    node.incarnation =
-        static_cast<std::uint64_t>(now) + ++incarnations_;  // like a clock reading at its start
+    // Like a clock reading at its start.
+    node.incarnation = static_cast<std::uint64_t>(now) + ++incarnations_;
     node.is_running = true;
     OwnershipSettings settings;
     settings.register_name = "duties/0";
