--- a/tests/system/duties/ownership_simulation.h
+++ b/tests/system/duties/ownership_simulation.h
@@ -38,7 +38,7 @@
     Time at = 0;
     std::size_t node = 0;
     std::uint64_t incarnation = 0, epoch = 0;
-    Time calls_end_by = 0;  // like `at`, in simulation time
+    Time call_deadline = 0;  // like `at`, in simulation time
   };
 
   OwnershipSimulation(std::size_t count, std::uint64_t seed) : random_(seed) {
@@ -155,8 +155,8 @@
   Action ActionOf(std::size_t i) const {
     const Node& node = nodes[i];
     const auto since_start = static_cast<double>(node.ownership->CallDeadline().value() - node.clock_offset);
-    const auto calls_end_by = static_cast<Time>(since_start / node.clock_rate);
-    return {now, i, node.incarnation, node.ownership->epoch(), calls_end_by};
+    const auto call_deadline = static_cast<Time>(since_start / node.clock_rate);
+    return {now, i, node.incarnation, node.ownership->epoch(), call_deadline};
   }
 
   void At(Time when, std::function<void()> event) { events_[{when, ++event_number_}] = std::move(event); }
--- a/tests/system/duties/ownership_test.cpp
+++ b/tests/system/duties/ownership_test.cpp
@@ -173,7 +173,7 @@
       const auto& action = testbed.actions[k];
       if (action.node == before.node) continue;
       ++turns;
-      REQUIRE(action.at > before.calls_end_by);
+      REQUIRE(action.at > before.call_deadline);
     }
   }
   CHECK(turns > 80);
