--- a/src/node/configuration_reader.cpp
+++ b/src/node/configuration_reader.cpp
@@ -10,10 +10,10 @@
 constexpr Time kReadInterval = 300 * kMillisecond;
 constexpr Time kReadGiveUp = 800 * kMillisecond;
 constexpr Time kToldWithin =
-    400 * kMillisecond;  // of an accept, where its proposer lives and has a fast link
-constexpr std::size_t kSlowestBytesPerMillisecond = 1000;  // a link of 10 Mbit/s, most of it
-constexpr Time kLongestWait = kSecond;                     // drawn: up to twice as long
-constexpr Time kLatest = 2 * kSecond;                      // after the first accept, however many follow
+    400 * kMillisecond;  // after an accept, if its proposer is alive and has a fast link
+constexpr std::size_t kSlowestBytesPerMillisecond = 1000;  // most of a 10 Mbit/s link
+constexpr Time kLongestWait = kSecond;                     // the random wait is up to twice as long
+constexpr Time kLatest = 2 * kSecond;  // after the first accept, regardless of how many follow
 
 }  // namespace
 
--- a/src/node/configuration_reader.h
+++ b/src/node/configuration_reader.h
@@ -1,6 +1,7 @@
-// When the newest configuration is read from its register: until a majority has told it once in this life,
-// and after the replica here was asked to accept one that nobody has told since (its proposer may be dead).
-// Replicas wait for times drawn at random, so that one of them reads and tells the others. A state machine.
+// Decides when to read the newest configuration from its register: until a majority has confirmed it once in
+// the lifetime of this process, and after the local replica was asked to accept a configuration that no
+// dispatcher has distributed since (its proposer may have crashed). Replicas wait for random times, so that
+// one of them reads the register and distributes the result to the others. A state machine without I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +15,25 @@
 class ConfigurationReader {
  public:
   struct Read {
-    bool push = false;  // what is read is told to all others
-    Time deadline = 0;  // without an answer
+    bool push = false;  // whether to distribute the result to all other dispatchers
+    Time deadline = 0;  // when the read times out
   };
 
   explicit ConfigurationReader(std::uint64_t seed) : random_(seed) {}
 
-  // The replica here was asked to accept a configuration newer than the one in force, of which its proposer
-  // may have to send so many bytes to all replicas.
+  // The local replica was asked to accept a configuration newer than the one in force. `bytes_to_all`: how
+  // many bytes its proposer may have to send to all replicas in total.
   void Accepting(Time now, std::size_t bytes_to_all);
-  // Registers can be read from now on: the founding group is known.
+  // Registers can be read from now on, because the founding group is known.
   void RegistersKnown(Time now);
-  // A majority told a configuration: to a read, or to an operator's call.
+  // A majority confirmed a configuration, in answer to a read or to an operator's call.
   void Confirmed();
-  // A configuration came into force here.
+  // A configuration came into force on this dispatcher.
   void Installed();
 
-  // The read to begin now, if any. It is under way until Completed().
+  // The read to start now, if any. It is in flight until Completed() is called.
   std::optional<Read> Next(Time now);
-  // `answered`: by a majority, be it that there is no configuration yet.
+  // `answered`: whether a majority answered, even if only that there is no configuration yet.
   void Completed(Time now, bool answered);
 
   bool confirmed() const { return confirmed_; }
@@ -45,10 +46,10 @@
   std::mt19937_64 random_;
   bool confirmed_ = false;
   std::optional<Read> in_flight_;
-  Time next_read_ = 0;  // while nothing is confirmed
+  Time next_read_ = 0;  // used until a configuration is confirmed
   std::optional<Time> check_accepted_at_;
-  Time check_latest_ = 0;         // of what was asked first
-  std::size_t bytes_to_all_ = 0;  // of what was asked last
+  Time check_latest_ = 0;         // latest time for the check, set by the first pending accept
+  std::size_t bytes_to_all_ = 0;  // of the last pending accept
 };
 
 }  // namespace lichenlug::node
--- a/src/node/configuration_source.cpp
+++ b/src/node/configuration_source.cpp
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-// A value that is written back, or moved to another group, carries a revision that is in force here already.
+// A value that is written back, or moved to another replica group, carries a revision that is already in
+// force on this dispatcher.
 void ConfigurationSource::Proposed(Time now, const std::string& payload) {
   const auto state = configuration::ReadState(payload);
   const configuration::Follower::Version* current = follower_->Current();
@@ -21,8 +22,8 @@
   reader_.Accepting(now, payload.size() * replicas);
 }
 
-// A dispatcher with a replica finishes what it finds; all others only look. Were they to finish it too, as
-// many proposers as there are dispatchers would outbid one another.
+// A dispatcher with a replica completes an unfinished proposal that it finds; all others only read. If they
+// completed it too, all dispatchers would be competing proposers that preempt one another's ballots.
 void ConfigurationSource::ReadInTime(Time now, bool has_replica) {
   const auto read = reader_.Next(now);
   if (!read) return;
--- a/src/node/configuration_source.h
+++ b/src/node/configuration_source.h
@@ -1,5 +1,5 @@
-// Brings the newest configuration out of its register to the follower: reads it as ConfigurationReader says,
-// on the control plane's thread.
+// Reads the newest configuration from its register when ConfigurationReader asks for it, and passes it on.
+// Runs on the control plane's thread.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 class ConfigurationSource {
  public:
-  // Called with what a majority told. `push`: all others are to be told too.
+  // Called with the configuration that a majority confirmed. `push`: distribute it to all other dispatchers.
   using Learned = std::function<void(const messages::ConfigurationState& state, bool push)>;
 
-  // `host`, `registers` and `follower` outlive it.
+  // `host`, `registers` and `follower` must outlive this object.
   ConfigurationSource(NodeHost* host, std::uint64_t seed, RegisterService* registers,
                       const configuration::Follower* follower, Learned learned)
       : host_(host),
@@ -27,15 +27,16 @@
         follower_(follower),
         learned_(std::move(learned)) {}
 
-  // Another dispatcher asks the replica here to accept this payload.
+  // Another dispatcher asks the local replica to accept this payload.
   void Proposed(Time now, const std::string& payload);
   // Registers can be read from now on.
   void RegistersKnown(Time now) { reader_.RegistersKnown(now); }
-  // A majority told a configuration, to a read or an operator's call; one came into force here.
+  // Confirmed: a majority confirmed a configuration, in answer to a read or an operator's call. Installed: a
+  // configuration came into force on this dispatcher.
   void Confirmed() { reader_.Confirmed(); }
   void Installed() { reader_.Installed(); }
 
-  // Begins the read that is due. `has_replica`: this dispatcher's store votes.
+  // Starts a read if one is due. `has_replica`: whether this dispatcher's store votes.
   void ReadInTime(Time now, bool has_replica);
   std::optional<Time> NextTimer() const { return reader_.NextTimer(); }
   bool confirmed() const { return reader_.confirmed(); }
--- a/src/node/control_call.h
+++ b/src/node/control_call.h
@@ -1,4 +1,4 @@
-// A call of the operator, a runner or the platform to this dispatcher, and its answer.
+// A control request from the operator, a runner or the platform to this dispatcher, and the response.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 struct ControlRequest {
   std::string method;
   std::string path;      // without the query
-  std::string if_match;  // of the header; empty: absent
+  std::string if_match;  // value of the If-Match header; empty if absent
   std::string body;
 };
 
@@ -22,13 +22,13 @@
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
-inline ControlResponse PlainStatus(int status) {  // with no body
+inline ControlResponse PlainStatus(int status) {  // without a body
   ControlResponse response;
   response.status = status;
   return response;
 }
 
-// Answers one request, now or later, exactly once.
+// Sends the response to one request, now or later; must be called exactly once.
 using Respond = std::function<void(ControlResponse)>;
 
 }  // namespace lichenlug::node
--- a/src/node/control_node.cpp
+++ b/src/node/control_node.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 
-constexpr Time kServeUnconfirmedAfter = 3 * kSecond;  // a peer's word will do when no majority can be asked
+constexpr Time kServeUnconfirmedAfter =
+    3 * kSecond;  // then a configuration from a peer suffices if no majority is reachable
 constexpr Time kReportInterval = 500 * kMillisecond;
 
 const char* ToText(configuration::Arrival arrival) {
@@ -124,7 +125,7 @@
   }
 }
 
-// A fresh process can read registers from the moment that it knows what was founded.
+// A newly started process can read registers as soon as it knows the founding group.
 void ControlNode::ReceiveGroupHints(Time now, const std::string& from, const messages::GroupHints& hints) {
   const bool could_read = registers_.KnowsFounding();
   groups_.Receive(from, hints);
@@ -300,7 +301,7 @@
   const configuration::Follower::Version* version = follower_.Current();
   const bool may_serve =
       version != nullptr && (configuration_source_.confirmed() || now - started_at_ > kServeUnconfirmedAfter);
-  if (version != nullptr && !may_serve) return;  // tried again at the next batch
+  if (version != nullptr && !may_serve) return;  // retried after the next batch
   snapshot_changed_ = false;
   host_->Install(SnapshotOf(
       settings_, version, runners_,
@@ -312,7 +313,7 @@
   const Lifecycle::Knowledge known{configuration_source_.confirmed(), follower_.Current() != nullptr,
                                    registry_.Settled(now)};
   if (!lifecycle_.BecomesReady(known)) return;
-  snapshot_changed_ = true;  // the runners are known by now
+  snapshot_changed_ = true;  // the snapshot now reports that the runners are known
   LOG(INFO) << "ready: edition " << follower_.Current()->edition << ", " << runners_->size() << " runners, "
             << live_.size() << " members";
   membership_ring::MembershipOutput output;
@@ -323,17 +324,18 @@
 void ControlNode::BeginDrain() {
   const Time now = host_->Now();
   if (!lifecycle_.BeginDrain(now)) return;
-  LOG(INFO) << "ends: what is in work is finished first";
+  LOG(INFO) << "draining: requests in flight are finished before exit";
   host_->DrainRequests();
   duties_.Resign(now);
-  // The others are told at once, so that no duty waits for this dispatcher.
-  // One without a store is wanted in no replica group: the keeper hands this one's vote over, if it can.
+  // Announces the drain at once, so that other dispatchers take over its duties without delay. A member
+  // without a store is not wanted in any replica group, so the group keeper hands its votes over where it
+  // can.
   membership_ring::MembershipOutput output;
   membership_.UpdateSelf(now, /*ready=*/false, /*replica_id=*/"", &output);
   Carry(std::move(output));
 }
 
-// Whether some register still counts on this store although enough others live to take its place.
+// Whether this store is still a voter of some register although enough other live members could replace it.
 bool ControlNode::VotesWhereOthersCould() const {
   if (!CanLeaveVotes(live_, settings_.name, settings_.tolerated_machines)) return false;
   const std::vector<std::string> names = AllRegisters();
@@ -342,7 +344,7 @@
   });
 }
 
-// Stays a member, and hears of drained runners, until its last request is answered.
+// Remains a member, and keeps receiving updates about drained runners, until its last request is answered.
 void ControlNode::ExitIfDrained(Time now) {
   if (!lifecycle_.MayExit(now, {.requests = !host_->RequestsAreDrained(), .votes = VotesWhereOthersCould()}))
     return;
--- a/src/node/control_node.h
+++ b/src/node/control_node.h
@@ -1,6 +1,6 @@
-// The control side of one dispatcher, whole and without I/O: membership, the registry of runners, the replica
-// groups, the configuration and the duties, and who hears whose outputs. Time, sockets, disk and data plane
-// are the host's, so that the same code runs on a machine and in a simulation.
+// The control plane of one dispatcher, without I/O: membership, the registry of runners, the replica groups,
+// the configuration and the duties, and the routing of messages between them. The host provides time,
+// sockets, disk and data plane, so that the same code runs on a machine and in a simulation.
 #pragma once
 
 #include <memory>
@@ -25,19 +25,19 @@
 
 class ControlNode {
  public:
-  // `host` outlives it. All calls are on one thread.
+  // `host` must outlive this object. All methods are called on one thread.
   ControlNode(NodeHost* host, NodeSettings settings, const NodeIdentity& identity);
 
   void Start();
   void Receive(messages::Envelope envelope);                    // from another dispatcher
-  void HandleControl(ControlRequest request, Respond respond);  // of the operator or a runner
+  void HandleControl(ControlRequest request, Respond respond);  // from the operator or a runner
   void Tick();                                                  // at NextTimer(), or later
-  void Settle();                                                // after each batch of the others
+  void Settle();  // after each batch of calls to the methods above
   Time NextTimer() const;
 
   void ReloadSettings(const NodeSettings& settings);  // the seeds may have changed
-  void BeginDrain();  // SIGTERM: not ready any more; Exit when nothing is owed
-  // The data plane was asked for something that is not there: its report is taken now.
+  void BeginDrain();  // SIGTERM: no longer ready; exits when no work is pending
+  // The data plane received a request that no runner can serve: takes its report immediately.
   void DemandHasChanged();
 
   bool is_ready() const { return lifecycle_.is_ready(); }
@@ -48,7 +48,7 @@
   void Carry(membership_ring::MembershipOutput output);
   void Carry(registry::RegistryOutput output);
   void Carry(configuration::FollowerOutput output);
-  // Duties of this file
+  // State and timers
   ControlResponse Status() const;
   void MembersChanged(Time now);
   void Learn(const messages::ConfigurationState& state, bool push);
@@ -62,7 +62,7 @@
   NodeHost* host_;
   NodeSettings settings_;
   Time started_at_;
-  Time wall_offset_;  // true Unix time less the steady clock, as this process began
+  Time wall_offset_;  // true Unix time minus the steady clock, at process start
 
   RegisterService registers_;
   GroupKeeper groups_;
@@ -73,7 +73,7 @@
   OperatorApi operator_api_;
   RunnerApi runner_api_;
 
-  std::vector<Member> live_;  // this one included
+  std::vector<Member> live_;  // including this dispatcher
   std::shared_ptr<const std::vector<messages::RunnerRecord>> runners_;
   std::string replica_id_;
   bool snapshot_changed_ = true;
--- a/src/node/duty_registers.h
+++ b/src/node/duty_registers.h
@@ -1,4 +1,4 @@
-// The registers in which the owners of duties are chosen.
+// The names of the registers that hold the owner of each duty.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace lichenlug::node {
 
-inline constexpr int kServiceShards = 4;  // by a hash of the service's name
+inline constexpr int kServiceShards = 4;  // a service's shard is a hash of its name
 
 std::string ShardRegister(const std::string& service);
 std::string UsageRegister();
--- a/src/node/duty_service.cpp
+++ b/src/node/duty_service.cpp
@@ -198,7 +198,7 @@
   CarryUsage(std::move(output));
 }
 
-// The call is given up before another dispatcher may act in place of this one.
+// The call times out before another dispatcher can become owner and act in place of this one.
 void DutyService::CallAsOwner(const std::string& register_name, duties::HttpCall call,
                               NodeHost::CallDone done) {
   if (const std::optional<Time> end = OwnershipOf(register_name).CallDeadline()) {
--- a/src/node/duty_service.h
+++ b/src/node/duty_service.h
@@ -1,5 +1,5 @@
-// The duties of the system at work: ownership of each shard, usage reports, placement of each service with an
-// engine.
+// Runs the duties of this dispatcher: ownership of each shard, usage reports, and the placement of each
+// service that has an engine.
 #pragma once
 
 #include <map>
@@ -22,7 +22,7 @@
 
 class DutyService {
  public:
-  // `host` and `registers` outlive it.
+  // `host` and `registers` must outlive this object.
   DutyService(NodeHost* host, const NodeSettings& settings, const NodeIdentity& identity,
               RegisterService* registers);
   ~DutyService();
@@ -30,10 +30,10 @@
   void SetMembers(Time now, std::vector<Member> live);
   void SetConfiguration(std::shared_ptr<const messages::Configuration> configuration);
   void SetRunners(std::shared_ptr<const std::vector<messages::RunnerRecord>> runners);
-  // Own counts and demand: kept here and told to the members with a store.
+  // Records this dispatcher's own counts and demand, and sends them to the members that have a store.
   void Report(Time now, Time wall_now, const dataplane::Report& report);
   void Receive(Time wall_now, const messages::DutiesMessage& message);
-  // The replica here was asked to accept this payload of a register.
+  // The local replica was asked to accept this payload of a register.
   void Accepting(Time now, const std::string& register_name, const std::string& payload);
   void Tick(Time now, Time wall_now);
   std::optional<Time> NextTimer() const;
@@ -54,7 +54,7 @@
   void Carry(const std::string& register_name, duties::OwnershipOutput output);
   void ActOnUsage(Time now, Time wall_now);
   void ActOnPlacement(Time now);
-  void ActBy(std::optional<Time> time);  // at the latest
+  void ActBy(std::optional<Time> time);  // schedules the next action at `time` or earlier
   void HandOverUsage();
   void CarryUsage(duties::UsageDuty::Output output);
   void CallAsOwner(const std::string& register_name, duties::HttpCall call, NodeHost::CallDone done);
--- a/src/node/end_acknowledgements.cpp
+++ b/src/node/end_acknowledgements.cpp
@@ -24,8 +24,8 @@
 int EndAcknowledgements::Check(Time now, const IsKnown& is_known) {
   int refused = 0;
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
-    // A process that was frozen answers as late as it wakes: what it knew then may be old, and the caller is
-    // gone.
+    // A process that was frozen would respond late: its knowledge may be stale by then, and the caller has
+    // given up.
     const bool is_over = now >= entry->until;
     if (!is_over && !is_known(entry->runner_id)) {
       ++entry;
--- a/src/node/end_acknowledgements.h
+++ b/src/node/end_acknowledgements.h
@@ -1,6 +1,6 @@
-// Answers to runners that say they drain or end. An acknowledgement binds every dispatcher, so it is given
-// once a majority of the core is known to hold the end, with which all others compare themselves; where that
-// does not come in time, the runner is told to call another dispatcher. No I/O, no clock.
+// Responses to runners that announce a drain or their end. An acknowledgement binds every dispatcher, so it
+// is sent only once a majority of the core, with which all others synchronize, is known to have recorded the
+// end. If that takes too long, the response tells the runner to call another dispatcher. No I/O, no clock.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
 
 namespace lichenlug::node {
 
-inline constexpr Time kEndAcknowledgedWithin = 700 * kMillisecond;  // runners move on after a second
+inline constexpr Time kEndAcknowledgedWithin =
+    700 * kMillisecond;  // runners try another dispatcher after 1 s
 inline constexpr std::size_t kMaxWaitingEnds = 4096;
 
 class EndAcknowledgements {
  public:
   using IsKnown = std::function<bool(const std::string& runner_id)>;
 
-  // `respond` is given `response`, or 503.
+  // `respond` is called with `response`, or with status 503.
   void Add(Time now, const std::string& runner_id, ControlResponse response, Respond respond);
-  // Answers those that may be answered now. Returns how many were refused as their time was over.
+  // Sends the responses that are due. Returns how many were refused because their time limit had passed.
   int Check(Time now, const IsKnown& is_known);
   std::optional<Time> NextTimer() const;
 
@@ -33,7 +34,7 @@
     ControlResponse response;
     Respond respond;
   };
-  std::list<Waiting> waiting_;  // in order of time
+  std::list<Waiting> waiting_;  // ordered by deadline
 };
 
 }  // namespace lichenlug::node
--- a/src/node/founding_records.cpp
+++ b/src/node/founding_records.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr const char* kFoundingGroupKey = "system/founding_group";  // of earlier versions: the group alone
+constexpr const char* kFoundingGroupKey =
+    "system/founding_group";  // written by earlier versions: only the group
 
 std::optional<messages::FoundingRecord> ReadFoundingRecord(const std::string& key, const std::string& value) {
   messages::FoundingRecord record;
--- a/src/node/founding_records.h
+++ b/src/node/founding_records.h
@@ -1,4 +1,4 @@
-// The records of the founding in a store, beside those of the registers.
+// The founding record in a store, which is kept next to the records of the registers.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
 
 inline constexpr const char* kFoundingKey = "system/founding";
 
-// Takes the records of the founding out of all those of a store, by key. Without a founding where there is
-// none, or none that can be read.
+// Removes the founding records from the records of a store (pairs of key and value) and returns the newest.
+// The result has no founding if there is no such record, or none that can be parsed.
 messages::FoundingRecord TakeFoundingRecord(std::vector<std::pair<std::string, std::string>>* records);
 
 }  // namespace lichenlug::node
--- a/src/node/group_asking.h
+++ b/src/node/group_asking.h
@@ -1,4 +1,5 @@
-// Whom a dispatcher asks for the replica groups while it does not know for sure what was founded. Pure.
+// Selects the members that a dispatcher queries for the replica groups until the founding group is confirmed.
+// No I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,14 +10,15 @@
 
 namespace lichenlug::node {
 
-// Asks so many members at a time.
+// The number of members queried at a time.
 inline constexpr std::size_t kAskedForGroups = 3;
 
 class GroupAsking {
  public:
-  // Addresses to ask now, without this dispatcher's own. Those that keep a store know the groups, so all but
-  // one of the questions go to them, in turn; the last goes to the next of all members, as those with a store
-  // may be out of reach. Members without a store are asked alone only where none with one is known.
+  // The addresses to query now, excluding this dispatcher's own. Members with a store know the groups, so all
+  // but one of the queries go to them, round robin; the last one goes to the next of all members, because
+  // those with a store may be unreachable. If no member with a store is known, all queries go to members
+  // without one.
   std::vector<std::string> Next(const std::vector<Member>& live, const std::string& own_address);
 
  private:
--- a/src/node/group_keeper.cpp
+++ b/src/node/group_keeper.cpp
@@ -15,7 +15,7 @@
 
 constexpr Time kKeepInterval = 300 * kMillisecond;
 constexpr Time kHintInterval = 500 * kMillisecond;
-constexpr Time kPollInterval = 100 * kMillisecond;  // while nothing is known of the groups
+constexpr Time kPollInterval = 100 * kMillisecond;  // while the founding group is unknown
 constexpr Time kProofPollInterval = 400 * kMillisecond;
 
 }  // namespace
@@ -52,7 +52,7 @@
 }
 
 void GroupKeeper::Change(GroupMove move) {
-  LOG(INFO) << move.register_name << ": replica group moves to " << move.members.size() << " members";
+  LOG(INFO) << move.register_name << ": changing the replica group to " << move.members.size() << " members";
   registers_->Submit(
       move.register_name,
       [change = consensus::NewGroup{std::move(move.members), move.if_version}](const std::string&) {
@@ -63,8 +63,7 @@
         const bool settled = completion.outcome == consensus::Outcome::kChosen ||
                              completion.outcome == consensus::Outcome::kKept;
         mover_.Completed(host_->Now(), register_name, settled);
-        LOG_IF_EVERY_N(WARNING, !settled, 20)
-            << register_name << ": replica group not changed; it is tried again";
+        LOG_IF_EVERY_N(WARNING, !settled, 20) << register_name << ": replica group not changed; retrying";
       });
 }
 
@@ -74,8 +73,8 @@
   if (hints.wants_reply()) SendHints(from_address);
 }
 
-// A process of a later start, without a store or with an empty one, asks others for the groups; one that only
-// assumes what was founded asks whether something else was agreed on.
+// A process that is not on its first start and has no store, or an empty one, queries others for the groups.
+// A process that only assumes the founding group queries whether another one was agreed on.
 void GroupKeeper::Ask(Time now, const std::vector<Member>& live) {
   next_ask_ = now + (registers_->KnowsFounding() ? kProofPollInterval : kPollInterval);
   for (const std::string& address : asking_.Next(live, settings_.internal_address)) {
--- a/src/node/group_keeper.h
+++ b/src/node/group_keeper.h
@@ -1,5 +1,5 @@
-// Keeps the replica groups of all registers as the live members want them, and brings the groups to
-// dispatchers that do not know them. Runs on the control plane's thread.
+// Adapts the replica groups of all registers to the live members, and sends the groups to dispatchers that
+// don't know them. Runs on the control plane's thread.
 #pragma once
 
 #include <functional>
@@ -14,20 +14,20 @@
 
 namespace lichenlug::node {
 
-// All registers that there are.
+// The names of all registers.
 std::vector<std::string> AllRegisters();
 
 class GroupKeeper {
  public:
-  // `host`, `settings` and `registers` outlive it.
+  // `host`, `settings` and `registers` must outlive this object.
   GroupKeeper(NodeHost* host, const NodeSettings& settings, RegisterService* registers, std::uint64_t seed)
       : host_(host),
         settings_(settings),
         registers_(registers),
         mover_(settings.name, settings.tolerated_machines, seed) {}
 
-  // `live` holds this dispatcher too. `replica_id`: of the store here; empty where this dispatcher changes no
-  // group.
+  // `live` includes this dispatcher. `replica_id`: identity of the local store; empty if this dispatcher must
+  // not change any group.
   void Tick(Time now, const std::vector<Member>& live, const std::string& replica_id);
   Time NextTimer() const;
   AbsentMembers AbsentMembersOf(Time now, const std::string& register_name) const {
@@ -47,7 +47,7 @@
   RegisterService* registers_;
   GroupMover mover_;
   Time next_keep_ = 0, next_hint_ = 0, next_ask_ = 0;
-  std::size_t turn_ = 0;  // of the members that are told
+  std::size_t turn_ = 0;  // round-robin position among the members that receive hints
   GroupAsking asking_;
 };
 
--- a/src/node/group_mover.cpp
+++ b/src/node/group_mover.cpp
@@ -10,7 +10,8 @@
 constexpr Time kGiveUpAfter = 2 * kSecond;
 constexpr Time kPauseAfterFailure = 500 * kMillisecond;
 constexpr int kMaxDoublings = 4;
-constexpr Time kLongestUnseen = 2 * kSecond;  // between two looks; beyond that this process was frozen
+constexpr Time kLongestUnseen =
+    2 * kSecond;  // between two calls of Next(); a longer gap means that this process was frozen
 
 }  // namespace
 
--- a/src/node/group_mover.h
+++ b/src/node/group_mover.h
@@ -1,9 +1,10 @@
-// When the replica groups of the registers are changed, and to what. A state machine.
+// Decides when the replica groups of the registers are changed, and to which members. A state machine.
 //
-// One dispatcher does it: the first live member with a store, by name, of those that see a majority of the
-// group. After a start of all each process sees itself alone for a moment; it neither takes itself for that
-// dispatcher then, nor for some seconds takes the absent for gone. A change that fails is tried again after a
-// pause that grows, with more time to end in.
+// Only one dispatcher changes groups: the first live member with a store, by name, provided that it sees a
+// majority of the group. After a simultaneous start of all dispatchers each process sees only itself for a
+// moment; the majority condition keeps it from changing groups then, and for a few seconds more it does not
+// treat absent members as gone. A failed change is retried after an exponential backoff, with a longer
+// timeout.
 #pragma once
 
 #include <cstdint>
@@ -20,14 +21,14 @@
 
 namespace lichenlug::node {
 
-// An absent member counts as gone once a majority of the group has been seen for so long without a break: all
-// others have started by then, and have been heard of.
+// An absent member counts as gone once a majority of the group has been visible for this long without
+// interruption: by then all other members have started and are known here.
 inline constexpr Time kStartOfAllTakes = 4 * kSecond;
 
 struct GroupMove {
   std::string register_name;
-  std::vector<messages::ReplicaIdentity> members;  // wanted
-  std::uint64_t if_version = 0;                    // only from this version of the group
+  std::vector<messages::ReplicaIdentity> members;  // of the new group
+  std::uint64_t if_version = 0;                    // apply only if the group still has this version
   Time deadline = 0;
 };
 
@@ -36,23 +37,23 @@
   GroupMover(std::string self_name, int tolerated, std::uint64_t seed)
       : self_name_(std::move(self_name)), tolerated_(tolerated), random_(seed) {}
 
-  // To be called several times a second for each register, with its group as known here and all live members,
-  // this one included. The change to begin now, if any; it is under way until Completed(). `may_change`: this
-  // dispatcher has a store and does not leave.
+  // Call several times a second for each register, with its group as known here and all live members,
+  // including this one. Returns the change to start now, if any; it is in flight until Completed() is called.
+  // `may_change`: whether this dispatcher has a store and is not leaving.
   std::optional<GroupMove> Next(Time now, const std::string& register_name,
                                 const messages::ReplicaGroup& present, const std::vector<Member>& live,
                                 bool may_change);
-  // What the absent members of that register's group are taken for, by the looks so far.
+  // How to treat the absent members of that register's group, according to the calls of Next() so far.
   AbsentMembers AbsentMembersOf(Time now, const std::string& register_name) const;
-  // `settled`: it was carried out, or is not wanted any more.
+  // `settled`: the change was applied, or is no longer wanted.
   void Completed(Time now, const std::string& register_name, bool settled);
 
  private:
   struct Register {
     std::optional<Time> majority_seen_since;
-    Time seen_at = 0;  // the last look
+    Time seen_at = 0;  // the last call of Next()
     bool in_flight = false;
-    int failures = 0;  // in a row
+    int failures = 0;  // consecutive
     Time not_before = 0;
   };
 
--- a/src/node/group_planner.cpp
+++ b/src/node/group_planner.cpp
@@ -11,7 +11,7 @@
 using consensus::IsJoint;
 using Identities = std::vector<messages::ReplicaIdentity>;
 
-// So many voters outlast the loss of `tolerated` of them.
+// The smallest number of voters that survives the loss of `tolerated` of them.
 std::size_t MinVoters(int tolerated) { return 2 * static_cast<std::size_t>(tolerated) + 1; }
 
 bool MayReplicate(const Member& member) { return member.counts_for_quorum && !member.replica_id.empty(); }
@@ -35,7 +35,7 @@
   return found == live.end() ? nullptr : &*found;
 }
 
-// The same machine lives with another store: what the older identity knew is lost.
+// The same machine is live with another store, so the data of the older identity is lost.
 bool WasReplaced(const std::vector<Member>& live, const messages::ReplicaIdentity& identity) {
   return std::any_of(live.begin(), live.end(), [&](const Member& member) {
     const bool same_machine =
@@ -66,7 +66,7 @@
   for (const auto& identity : absent) {
     if (!keeps_absent && wanted.size() < least) wanted.push_back(identity);
   }
-  // An even number of voters adds a vote to wait for, and no loss that can be borne.
+  // An even number of voters enlarges the quorum without tolerating another loss.
   if (wanted.size() > least && wanted.size() % 2 == 0) wanted.pop_back();
   const bool same = wanted.size() == static_cast<std::size_t>(present.members_size()) &&
                     std::all_of(present.members().begin(), present.members().end(),
@@ -102,7 +102,7 @@
 }
 
 bool IsGroupKeeper(const std::vector<Member>& live, const std::string& self_name) {
-  for (const Member& member : live) {  // by name
+  for (const Member& member : live) {  // sorted by name
     if (MayReplicate(member)) return member.name == self_name;
   }
   return false;
--- a/src/node/group_planner.h
+++ b/src/node/group_planner.h
@@ -1,4 +1,4 @@
-// Which replicas a register's group should have, given who lives. Pure.
+// Computes which replicas a register's group should have, given the live members. Pure functions.
 #pragma once
 
 #include <optional>
@@ -12,34 +12,36 @@
 
 inline constexpr std::size_t kMaxReplicas = 9;
 
-// A process that has begun of late has not heard of all that live.
+// How to treat members that are not live: a recently started process doesn't know all live members yet, so
+// the absent ones may still start.
 enum class AbsentMembers { kMayStart, kAreGone };
 
-// The members wanted instead of the present ones; none where nothing is to change. The present members that
-// live stay; a machine that is back with another store replaces its older identity; live machines that count
-// for the quorum join, but for one that would make the voters even beyond 2 x `tolerated` + 1; a member that
-// does not live, or says that it leaves (it tells no store any more), is dropped where 2 x `tolerated` + 1
+// The members that should replace the present ones; nullopt if nothing is to change. Present members that are
+// live stay; a machine that returns with another store replaces its older identity; live machines that count
+// for the quorum join, except one that would make the number of voters even beyond 2 x `tolerated` + 1; a
+// member that is not live, or is leaving (it no longer announces a store), is dropped if 2 x `tolerated` + 1
 // others remain, unless it may be about to start.
 std::optional<std::vector<messages::ReplicaIdentity>> PlanGroup(const messages::ReplicaGroup& present,
                                                                 const std::vector<Member>& live,
                                                                 int tolerated, AbsentMembers absent_members);
 
-// Whether a majority of the group's members (and of those it moves to) lives with its store.
+// Whether a majority of the group's members (and, during a move, also of the next members) is live with its
+// store.
 bool SeesMajority(const messages::ReplicaGroup& group, const std::vector<Member>& live);
 
-// Whether what is chosen in this group outlasts the loss of `tolerated` disks, as far as the live machines
-// allow: not while the group is smaller than that takes and a machine has yet to join it, or may start.
+// Whether a value chosen in this group survives the loss of `tolerated` disks, as far as the live machines
+// allow: false while the group is smaller than required and a machine has yet to join it, or may start.
 bool IsGrown(const messages::ReplicaGroup& group, const std::vector<Member>& live, int tolerated,
              AbsentMembers absent_members);
 
-// Whether enough others live that count for the quorum and have a store, so that this one can leave its
-// votes.
+// Whether enough other live members count for the quorum and have a store, so that this one can hand its
+// votes over.
 bool CanLeaveVotes(const std::vector<Member>& live, const std::string& self_name, int tolerated);
 
-// Whether the group counts on this replica, also while it moves to another one.
+// Whether this replica is a voter of the group, or of the next group during a move.
 bool IsVoter(const messages::ReplicaGroup& group, const std::string& replica_id);
 
-// Whether this dispatcher is the one to make the change: the first live member with a store, by name.
+// Whether this dispatcher is the one that changes groups: the first live member with a store, by name.
 bool IsGroupKeeper(const std::vector<Member>& live, const std::string& self_name);
 
 }  // namespace lichenlug::node
--- a/src/node/lifecycle.cpp
+++ b/src/node/lifecycle.cpp
@@ -4,9 +4,11 @@
 
 namespace {
 
-constexpr Time kReadyFalseFor = 2500 * kMillisecond;  // the platform needs two misses, a second apart
-constexpr Time kHandOverWithin = 5 * kSecond;         // of this store's votes, to others that live
-constexpr Time kExitReserve = 700 * kMillisecond;     // before SIGKILL
+constexpr Time kReadyFalseFor =
+    2500 * kMillisecond;  // the platform needs two failed readiness checks, 1 s apart
+constexpr Time kHandOverWithin =
+    5 * kSecond;  // time limit for handing this store's votes over to live members
+constexpr Time kExitReserve = 700 * kMillisecond;  // before SIGKILL
 
 }  // namespace
 
--- a/src/node/lifecycle.h
+++ b/src/node/lifecycle.h
@@ -1,4 +1,4 @@
-// From the start of the process to its exit: when it is ready, and when a drain is over. A state machine.
+// The lifecycle of the process: when it becomes ready, and when a drain is complete. A state machine.
 #pragma once
 
 #include "base/clock.h"
@@ -7,26 +7,26 @@
 
 class Lifecycle {
  public:
-  // What has to be known before requests are taken.
+  // What must be known before requests are accepted.
   struct Knowledge {
-    bool configuration_confirmed = false;  // by a majority, in this life
+    bool configuration_confirmed = false;  // by a majority, since the process started
     bool configuration_in_force = false;
     bool runners_settled = false;
   };
-  // What is still owed during a drain.
+  // Work that is still pending during a drain.
   struct Owed {
-    bool requests = false;  // under way
-    bool votes = false;     // of the store here, that others could take
+    bool requests = false;  // in flight
+    bool votes = false;     // of the local store that other members could take over
   };
 
   // `grace`: from SIGTERM to SIGKILL.
   explicit Lifecycle(Time grace) : grace_(grace) {}
 
-  // Whether it became ready just now.
+  // Returns true once, when the process becomes ready.
   bool BecomesReady(const Knowledge& known);
-  // SIGTERM. False where it drains already.
+  // SIGTERM. Returns false if the process is already draining.
   bool BeginDrain(Time now);
-  // To be asked again every kDrainPoll while it drains.
+  // Poll every kDrainPoll while draining.
   bool MayExit(Time now, const Owed& owed) const;
 
   bool is_ready() const { return phase_ == Phase::kReady; }
--- a/src/node/node_host.h
+++ b/src/node/node_host.h
@@ -1,6 +1,6 @@
-// What a control node asks of the machine that it runs on. Behind it stand an event loop, sockets and a
-// disk's thread (host/control_host.h), or virtual ones (lab/control). All callbacks come on the node's own
-// thread, never from within the call that asked for them.
+// The interface between a control node and the machine that it runs on. It is implemented with an event loop,
+// sockets and a disk thread (host/control_host.h), or by a simulation (lab/control). All callbacks run on the
+// node's own thread, never from within the call that requested them.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +18,12 @@
 
 namespace lichenlug::node {
 
-// What the store held as it was opened.
+// The contents of the store when it was opened.
 struct StoreContents {
   bool opened = false;
-  std::string error;       // one line with the remedy, where not opened
+  std::string error;       // one line that includes the remedy, if not opened
   std::string replica_id;  // identity of the store
-  bool created = false;    // the folder held no store before
+  bool created = false;    // the folder contained no store before
   std::vector<std::pair<std::string, std::string>> records;
 };
 
@@ -32,10 +32,10 @@
   virtual ~NodeHost() = default;
 
   virtual Time Now() const = 0;      // a steady clock
-  virtual Time WallNow() const = 0;  // true Unix time as this life began, carried on by the steady clock
-  virtual void Post(std::function<void()> task) = 0;  // soon, in order
+  virtual Time WallNow() const = 0;  // true Unix time at process start, advanced by the steady clock
+  virtual void Post(std::function<void()> task) = 0;  // runs the tasks asynchronously, in order
 
-  // To another dispatcher; may be lost, never altered. Forget: it is dead.
+  // Send: to another dispatcher; messages may be lost but never altered. Forget: that dispatcher is dead.
   virtual void Send(const std::string& address, messages::Envelope envelope) = 0;
   virtual void Forget(const std::string& address) = 0;
 
@@ -43,7 +43,8 @@
   using CallDone = std::function<void(const duties::HttpResult&)>;
   virtual void Call(const duties::HttpCall& call, CallDone done) = 0;
 
-  // A new store is given `new_replica_id`. Writes are synced before they are told of, in their order.
+  // A new store gets the identity `new_replica_id`. Writes are synced to disk before `done` is called, in
+  // order.
   virtual void OpenStore(const std::string& new_replica_id, std::function<void(StoreContents)> done) = 0;
   virtual void Write(std::string key, std::string value, std::function<void(bool written)> done) = 0;
 
@@ -53,13 +54,13 @@
   virtual void DrainRequests() = 0;
   virtual bool RequestsAreDrained() = 0;
 
-  virtual void Exit() = 0;  // nothing is owed any more
+  virtual void Exit() = 0;  // no work is pending
 };
 
-// Of one life of a process.
+// Identifies one run of a process.
 struct NodeIdentity {
-  std::uint64_t incarnation = 0;  // rises with each life on this machine
-  std::uint64_t seed = 0;         // unique to this life
+  std::uint64_t incarnation = 0;  // increases with each start on this machine
+  std::uint64_t seed = 0;         // unique to this run
 };
 
 }  // namespace lichenlug::node
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// A key that is missing or has the wrong type. Never leaves this file.
+// Thrown for a key that is missing or has the wrong type; never propagates out of this file.
 class SettingsError : public std::runtime_error {
  public:
   SettingsError(std::string key, const std::string& remedy)
@@ -30,14 +30,14 @@
 std::string RequiredText(const Json& object, const std::string& key) {
   const auto found = object.find(key);
   if (found == object.end() || !found->is_string() || found->get_ref<const std::string&>().empty())
-    Refuse(key, "give a text that is not empty");
+    Refuse(key, "give a non-empty string");
   return found->get<std::string>();
 }
 
 std::string OptionalText(const Json& object, const std::string& key) {
   const auto found = object.find(key);
   if (found == object.end() || found->is_null()) return "";
-  if (!found->is_string()) Refuse(key, "give a text");
+  if (!found->is_string()) Refuse(key, "give a string");
   return found->get<std::string>();
 }
 
@@ -110,7 +110,7 @@
   const auto seeds = object.find("seed_stations");
   if (seeds == object.end() || !seeds->is_array()) Refuse("seed_stations", "give a list of addresses");
   for (const Json& seed : *seeds) {
-    if (!seed.is_string()) Refuse("seed_stations", "give addresses as texts, IP:PORT");
+    if (!seed.is_string()) Refuse("seed_stations", "give addresses as strings of the form IP:PORT");
     settings->seed_addresses.push_back(IpOf(seed.get<std::string>()) + ":" + port);
   }
 }
@@ -129,7 +129,7 @@
   settings->control_address = OptionalText(addresses, "control_dock");
 }
 
-// A machine may lack an address, a disk or both; only what it is asked to serve must be there.
+// A machine may lack an address, a disk or both; only what its required roles need must be present.
 void ReadRoles(const Json& object, NodeSettings* settings) {
   settings->asked.clients = ListHolds(object, "serves", "front");
   settings->asked.control = ListHolds(object, "serves", "control");
@@ -180,7 +180,7 @@
   } catch (const SettingsError& error) {
     return SettingsProblem{place, error.key(), error.what()};
   } catch (const Json::exception&) {
-    return SettingsProblem{place, "", "the file is not JSON; write it whole and anew"};
+    return SettingsProblem{place, "", "the file is not valid JSON; write the complete file again"};
   }
 }
 
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Callers move on after a second of silence, so an operation ends just before it.
+// Callers try another dispatcher after 1 s without a response, so an operation times out just before that.
 constexpr Time kGiveUpAfter = 900 * kMillisecond;
 
 enum Reason { kAlreadyAccepted = 1, kConflict, kInvalid, kRead };
@@ -31,7 +31,7 @@
   return response;
 }
 
-// The version that If-Match names, with or without quotes; none where it can't be read.
+// The version in If-Match, with or without quotes; nullopt if it can't be parsed.
 std::optional<std::int64_t> ReadIfMatch(std::string text) {
   std::erase(text, '"');
   std::int64_t version = 0;
@@ -40,10 +40,10 @@
   return version;
 }
 
-// One call on its way through the register.
+// One call whose register operation is in flight.
 struct PendingChange {
   configuration::ChangeRequest request;
-  configuration::ChangeResult judgement;  // of the last value it was judged against
+  configuration::ChangeResult judgement;  // for the last value that the request was checked against
 };
 
 consensus::Change Apply(PendingChange* pending, const std::string& payload) {
--- a/src/node/operator_api.h
+++ b/src/node/operator_api.h
@@ -1,4 +1,4 @@
-// The operator's calls: the configuration is taken, changed and given back through its register.
+// The operator's calls: reads and changes the configuration through its register.
 #pragma once
 
 #include <functional>
@@ -13,11 +13,11 @@
 
 class OperatorApi {
  public:
-  // Whether what is chosen in this group outlasts the losses that the deployment is to bear.
+  // Whether a value chosen in this group survives the losses that the deployment must tolerate.
   using IsSafeIn = std::function<bool(const messages::ReplicaGroup& group)>;
   using Learned = std::function<void(const messages::ConfigurationState& state, bool changed)>;
 
-  // `learned` is told each version seen chosen, before the operator is answered.
+  // `learned` is called with each version known to be chosen, before the response to the operator.
   OperatorApi(NodeHost* host, RegisterService* registers, Learned learned, IsSafeIn is_safe_in);
 
   void Change(configuration::ChangeRequest::Method method, const ControlRequest& request, Respond respond);
--- a/src/node/part_settings.h
+++ b/src/node/part_settings.h
@@ -1,4 +1,4 @@
-// The settings of the control plane's parts, from those of the process.
+// Derives the settings of the control plane's components from those of the process.
 #pragma once
 
 #include <cstdint>
--- a/src/node/register_service.cpp
+++ b/src/node/register_service.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 constexpr std::size_t kMaxHints = 64;
-constexpr Time kDiskAgainAfter = 300 * kMillisecond;  // a full disk may have space again
+constexpr Time kDiskAgainAfter = 300 * kMillisecond;  // a full disk may have free space by then
 
-// Peers that know what was founded are heard before: they ask and answer within some 100 ms. Where two disks
-// may be lost at once, dispatchers that are no seats may be the only ones that know.
+// Long enough to learn the founding group from peers that know it, which takes about 100 ms. If two disks may
+// be lost at once, dispatchers that are not seats may be the only ones that know it.
 constexpr Time kFoundingRoundAfter = 500 * kMillisecond;
 constexpr Time kFoundingRoundAfterMoreLosses = 1500 * kMillisecond;
 
-// Unique to one life of a process, as its seed is.
+// Unique to one run of a process, as its seed is.
 std::string DrawnIdentity(std::uint64_t seed) { return "replica:" + std::to_string(std::mt19937_64(seed)()); }
 
 }  // namespace
@@ -70,7 +70,7 @@
     node_ = std::make_unique<consensus::RegisterNode>(NodeSettingsFor("proposer", ""));
     return StartReplica();
   }
-  LOG(WARNING) << "registers: the seats have agreed on another founding group than the first start's";
+  LOG(WARNING) << "registers: the seats have agreed on a founding group other than that of the first start";
   hints_.clear();
   const auto& members = founding_->group().members();
   node_->ReplaceFoundingGroup({members.begin(), members.end()},
@@ -122,7 +122,7 @@
   Carry(std::move(output));
 }
 
-// Needs the store and the founding group, which is in the store before the replica votes.
+// Requires the store and the founding group, which is written to the store before the replica votes.
 void RegisterService::StartReplica() {
   if (!opened_store_ || !KnowsFounding() || replicates_) return;
   if (!agreement_ || !agreement_->MayVoteInRegisters()) return;
@@ -130,7 +130,7 @@
   auto replica = std::make_unique<consensus::RegisterNode>(NodeSettingsFor("replica", replica_id));
   if (!replica->Restore(opened_store_->records)) {
     LOG(ERROR) << "store: a record in " << settings_.store_folder
-               << " can't be read; empty the folder, then this machine joins again as a new replica";
+               << " can't be parsed; empty the folder, then this machine rejoins as a new replica";
     return;
   }
   opened_store_.reset();
@@ -170,7 +170,7 @@
   StartReplica();
 }
 
-// A value that was chosen in the founding group, or in one that followed from it.
+// A chosen value proves the founding group, because its group is the founding group or a successor of it.
 void RegisterService::NoteProven(const consensus::Completion& completion) {
   if (founding_proven_ || !founding_) return;
   const bool chosen = completion.outcome == consensus::Outcome::kChosen ||
--- a/src/node/register_service.h
+++ b/src/node/register_service.h
@@ -1,11 +1,12 @@
-// The registers at work in this process: the register node, its store, and the callbacks of operations. Until
-// the store is open the node only proposes, so that a disk that hangs at the start holds up nothing else;
-// then a node with a replica takes its place, and operations under way end as unknown.
+// Runs the registers of this process: the register node, its store, and the callbacks of operations. Until
+// the store is open the node only proposes, so that a disk that hangs at startup blocks nothing else; then a
+// node with a replica replaces it, and operations in flight end with an unknown outcome.
 //
-// All nodes have to agree on the founding group of the registers for ever. It is the seeds of the very first
-// start; later settings may name other seeds. So a process of a later start takes it from its store or from a
-// peer, and neither proposes nor votes before it knows it. Where the first start was cut short, the seats
-// agree on another one (consensus/founding.h), and whoever assumed the first one moves to it.
+// All nodes must agree permanently on the founding group of the registers. It consists of the seeds of the
+// very first start; later settings may list other seeds. A process on a later start therefore takes the group
+// from its store or from a peer, and neither proposes nor votes until it knows it. If the first start was
+// interrupted, the seats agree on another group (consensus/founding.h), and any node that assumed the first
+// one switches to it.
 #pragma once
 
 #include <functional>
@@ -27,27 +28,27 @@
  public:
   using Done = std::function<void(const consensus::Completion&)>;
 
-  // `host` outlives it.
+  // `host` must outlive this object.
   RegisterService(NodeHost* host, const NodeSettings& settings, const NodeIdentity& identity);
 
-  // Opens the store, if there is one; `started` is told the replica's identity once it votes. A disk that
-  // refuses (a full one) is asked again and again.
+  // Opens the store, if there is one; `started` is called with the replica's identity once it votes. If the
+  // store can't be opened (for example on a full disk), retries until it succeeds.
   void OpenStore(std::function<void(const std::string& replica_id)> started);
 
   void Submit(const std::string& register_name, consensus::ChangeFunction change, Time deadline, Done done);
-  // Only looks; see RegisterNode::Read.
+  // Reads without completing proposals; see RegisterNode::Read.
   void Read(const std::string& register_name, Time deadline, Done done);
   void Receive(const std::string& from_address, const messages::RegisterMessage& message);
   void Tick(Time now);
   std::optional<Time> NextTimer() const;
 
-  // Called whenever another dispatcher asks the replica here to accept a value, with its payload.
+  // Called with the payload whenever another dispatcher asks the local replica to accept a value.
   using Accepting = std::function<void(const std::string& register_name, const std::string& payload)>;
   void OnAccepting(Accepting accepting) { accepting_ = std::move(accepting); }
 
   bool KnowsFounding() const { return founding_.has_value(); }
   const messages::Founding& founding() const { return *founding_; }
-  // A value was chosen in the founding group, or its stores have agreed on it: there is never another one.
+  // Whether a value was chosen in the founding group, or its stores have agreed on it, so that it is final.
   bool FoundingIsProven() const { return founding_proven_; }
   void LearnFounding(const messages::Founding& founding, bool proven);
   void ReceiveFounding(const std::string& from_address, const messages::FoundingMessage& message);
@@ -78,10 +79,10 @@
   std::optional<consensus::FoundingAgreement> agreement_;  // once the store is open
   std::optional<StoreContents> opened_store_;              // until the replica starts
   std::function<void(const std::string& replica_id)> replica_started_;
-  std::optional<Time> reopen_store_at_;                            // it could not be opened
-  std::unique_ptr<consensus::RegisterNode> node_;                  // none before the founding group is known
+  std::optional<Time> reopen_store_at_;                            // set if it could not be opened
+  std::unique_ptr<consensus::RegisterNode> node_;                  // null until the founding group is known
   bool replicates_ = false;                                        // node_ has a replica
-  std::unordered_map<std::string, messages::ReplicaGroup> hints_;  // by register, for the next node
+  std::unordered_map<std::string, messages::ReplicaGroup> hints_;  // by register, to initialize the next node
   std::unordered_map<consensus::OperationId, Done> waiting_;
   Accepting accepting_;
 };
--- a/src/node/runner_api.cpp
+++ b/src/node/runner_api.cpp
@@ -57,8 +57,8 @@
   respond(std::move(response));
 }
 
-// The acknowledgement of a drain, or of an end, binds all dispatchers: one that reaches nobody must not give
-// it.
+// The acknowledgement of a drain or an end binds all dispatchers, so a dispatcher that is cut off from the
+// others must not send it.
 void RunnerApi::AcknowledgeEnd(const std::string& runner_id, ControlResponse response, Respond respond) {
   const Time now = host_->Now();
   std::vector<std::string> core;
@@ -78,8 +78,8 @@
       ends_.Check(now, [this](const std::string& runner_id) { return EndIsKnownToCore(runner_id); });
   if (refused == 0) return;
   LOG_EVERY_N(WARNING, 20)
-      << "runners: an end is not acknowledged, as no majority of the core has heard of it";
-  // The group may be another by now.
+      << "runners: an end is not acknowledged, because no majority of the core has recorded it";
+  // The group may have changed; a read updates the known one.
   registers_->Read(std::string(configuration::kRegisterName), now + kReadGiveUp,
                    [](const consensus::Completion&) {});
 }
--- a/src/node/runner_api.h
+++ b/src/node/runner_api.h
@@ -1,4 +1,4 @@
-// What runners call: heartbeats, and their word that they end. Runs on the control plane's thread.
+// The calls of runners: heartbeats, and the announcement of their end. Runs on the control plane's thread.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,15 @@
  public:
   using Carry = std::function<void(registry::RegistryOutput output)>;
 
-  // `host`, `registry` and `registers` outlive it. `own_address`: where other dispatchers reach this one.
+  // `host`, `registry` and `registers` must outlive this object. `own_address`: where other dispatchers reach
+  // this one.
   RunnerApi(NodeHost* host, std::string own_address, registry::Registry* registry, RegisterService* registers,
             Carry carry);
 
   // PUT: a heartbeat; DELETE: the runner ends.
   void Handle(const std::string& runner_id, const ControlRequest& request, Respond respond);
 
-  // Answers those ends that may be acknowledged now.
+  // Acknowledges the ends that are known to a majority of the core by now.
   void CheckEnds(Time now);
   std::optional<Time> NextTimer() const { return ends_.NextTimer(); }
 
--- a/src/node/service_placements.h
+++ b/src/node/service_placements.h
@@ -1,4 +1,5 @@
-// The placements of the services whose shard is held here, or was. No I/O: calls come back as outputs.
+// The placements of the services whose shard this dispatcher owns or has owned. No I/O: HTTP calls are
+// returned.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,7 @@
   struct Facts {
     const messages::Configuration* configuration = nullptr;
     const std::vector<messages::RunnerRecord>* runners = nullptr;
-    // The ownership of a service's shard; null where it was never wanted.
+    // The ownership of a service's shard; null if this dispatcher never wanted it.
     std::function<const duties::Ownership*(const std::string& service)> ownership_of;
     std::function<std::vector<messages::DemandReport>()> demand;
   };
@@ -35,10 +36,10 @@
   void Completed(Time now, const std::string& service, std::uint64_t tag, const duties::HttpResult& result);
   std::optional<Time> NextTimer() const;
 
-  // What the placements of this shard may have loaded of late, to be kept with its owner's renewals.
+  // What the placements of this shard may have loaded recently, to be stored with its owner's lease renewals.
   std::vector<messages::LoadHistory> LoadHistoryForRenewal(Time now, const std::string& register_name,
                                                            std::uint64_t epoch, bool resigned) const;
-  std::vector<std::string> Explain(Time now) const;  // lines for the operator
+  std::vector<std::string> Explain(Time now) const;  // one line per entry, for the operator
 
  private:
   placement::Placement& PlacementOf(const std::string& service);
--- a/src/node/snapshot.h
+++ b/src/node/snapshot.h
@@ -1,4 +1,4 @@
-// What the data plane is given to decide by.
+// Builds the snapshot by which the data plane routes requests.
 #pragma once
 
 #include <cstddef>
@@ -13,8 +13,8 @@
 
 struct SnapshotFacts {
   bool runners_known = false;
-  std::size_t members = 0;  // live, this one included
-  Time wall_offset = 0;     // true Unix time less the steady clock
+  std::size_t members = 0;  // live, including this dispatcher
+  Time wall_offset = 0;     // true Unix time minus the steady clock
 };
 
 // `version` is null while no configuration is in force.
--- a/src/node/status.h
+++ b/src/node/status.h
@@ -1,4 +1,4 @@
-// What a dispatcher tells of itself: GET /-/status, for the operator's tool.
+// The status report of a dispatcher, served at GET /-/status for the operator's tool.
 #pragma once
 
 #include <string>
@@ -28,7 +28,7 @@
 
 std::string StatusJson(const StatusInput& input);
 
-// The answer to a runner's heartbeat.
+// The response body for a runner's heartbeat.
 std::string HeartbeatAnswer(const std::string& report_to);
 
 }  // namespace lichenlug::node
