--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -180,7 +180,7 @@
   } catch (const SettingsError& error) {
     return SettingsProblem{place, error.key(), error.what()};
   } catch (const Json::exception&) {
-    return SettingsProblem{place, "", "the file is not valid JSON; write the complete file again"};
+    return SettingsProblem{place, "", "the file is not JSON; write the complete file again"};
   }
 }
 
--- a/tests/system/node/configuration_reader_test.cpp
+++ b/tests/system/node/configuration_reader_test.cpp
@@ -1,4 +1,4 @@
-// When the newest configuration is read from its register.
+// When the reader starts a read of the newest configuration from its register.
 #include "node/configuration_reader.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 constexpr Time kStart = 100 * kSecond;
 constexpr std::uint64_t kSeed = 5;
-constexpr std::size_t kBytes = 30'000;   // of a configuration to all replicas
+constexpr std::size_t kBytes = 30'000;   // to send a configuration to all replicas
 constexpr Time kLongest = 10 * kSecond;  // any wait of the reader is shorter
 
-// The moment of the next read, as a host that wakes at NextTimer() begins it.
+// The start of the next read, if the host wakes at NextTimer().
 std::optional<Time> BeginsNext(ConfigurationReader* reader, Time now, bool push) {
   const std::optional<Time> timer = reader->NextTimer();
   if (!timer) return std::nullopt;
@@ -33,7 +33,7 @@
   return reader;
 }
 
-TEST_CASE("it is read again and again until a majority has told it") {
+TEST_CASE("the configuration is read repeatedly until a majority confirms it") {
   ConfigurationReader reader(kSeed);
   Time now = kStart;
   for (int round = 0; round < 5; ++round) {
@@ -43,7 +43,7 @@
     CHECK_FALSE(reader.confirmed());
     CHECK_FALSE(reader.Next(*begun + kLongest));  // one at a time
     now = *begun + 50 * kMillisecond;
-    reader.Completed(now, round == 4);  // an empty register in the end: it is asked again
+    reader.Completed(now, round == 4);  // the last read finds an empty register, so another read follows
   }
   REQUIRE(BeginsNext(&reader, now, /*push=*/false));
   reader.Confirmed();
@@ -53,7 +53,7 @@
   CHECK_FALSE(reader.NextTimer());
 }
 
-TEST_CASE("it is read at once when the founding group becomes known") {
+TEST_CASE("the configuration is read immediately when the founding group becomes known") {
   ConfigurationReader reader(kSeed);
   REQUIRE(reader.Next(kStart));
   reader.Completed(kStart, /*answered=*/false);
@@ -62,20 +62,20 @@
   CHECK(reader.Next(kStart + kMillisecond));
 }
 
-TEST_CASE("one that was accepted here and told by nobody is read and told") {
+TEST_CASE("a configuration that was accepted here and distributed by nobody is read and distributed") {
   ConfigurationReader reader = ConfirmedReader();
   reader.Accepting(kStart, kBytes);
-  CHECK_FALSE(reader.Next(kStart));  // its proposer has a moment to tell it
+  CHECK_FALSE(reader.Next(kStart));  // its proposer has some time to distribute it
   reader.Accepting(kStart + 200 * kMillisecond, kBytes);
   const std::optional<Time> begun = BeginsNext(&reader, kStart, /*push=*/true);
   REQUIRE(begun);
-  CHECK(*begun - kStart > 600 * kMillisecond);  // the later one came from a proposer that lives
+  CHECK(*begun - kStart > 600 * kMillisecond);  // the later accept came from a live proposer
   CHECK(*begun - kStart < 1200 * kMillisecond);
   reader.Completed(*begun, /*answered=*/true);
   CHECK_FALSE(reader.NextTimer());
 }
 
-TEST_CASE("such a read that no majority answered is begun anew") {
+TEST_CASE("a read after an accept that no majority answers is retried") {
   ConfigurationReader reader = ConfirmedReader();
   reader.Accepting(kStart, kBytes);
   Time now = kStart;
@@ -87,7 +87,7 @@
   }
 }
 
-TEST_CASE("one that was told after all is not read") {
+TEST_CASE("an accepted configuration that is distributed in time is not read") {
   ConfigurationReader reader = ConfirmedReader();
   reader.Accepting(kStart, kBytes);
   reader.Installed();
@@ -95,7 +95,7 @@
   CHECK_FALSE(reader.Next(kStart + kLongest));
 }
 
-TEST_CASE("no timer is set while a read is under way, however long ago the next was due") {
+TEST_CASE("no timer is set while a read is in flight, even if the next one is overdue") {
   ConfigurationReader reader(kSeed);
   REQUIRE(reader.Next(kStart));
   reader.Accepting(kStart, kBytes);
@@ -105,7 +105,7 @@
   CHECK(BeginsNext(&reader, kStart + kLongest, /*push=*/true) == kStart + kLongest);
 }
 
-TEST_CASE("however many accepts follow, it is read within 2 s of the first") {
+TEST_CASE("an accepted configuration is read within 2 s of the first accept, however many follow") {
   ConfigurationReader reader = ConfirmedReader();
   Time now = kStart;
   for (; now < kStart + 1900 * kMillisecond; now += 100 * kMillisecond) {
@@ -117,7 +117,7 @@
   CHECK(*begun - kStart <= 2 * kSecond);
 }
 
-TEST_CASE("replicas read at times of their own, later for what takes longer to send") {
+TEST_CASE("replicas read at random times, later for a configuration that takes longer to send") {
   const auto waits = [](std::size_t bytes) {
     std::vector<Time> all;
     for (std::uint64_t seed = 1; seed <= 7; ++seed) {
--- a/tests/system/node/end_acknowledgements_test.cpp
+++ b/tests/system/node/end_acknowledgements_test.cpp
@@ -1,4 +1,4 @@
-// A runner's drain is acknowledged once the core holds it, and refused in time where that does not come.
+// A runner's drain is acknowledged once the core has recorded it, and refused after a timeout otherwise.
 #include "node/end_acknowledgements.h"
 
 #include <catch2/catch.hpp>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("an end that the core does not hold is not acknowledged") {
+TEST_CASE("an end is not acknowledged until the core has recorded it") {
   Fixture fixture;
   fixture.Add("i-1");
   CHECK(fixture.Check(kStart) == 0);
@@ -38,7 +38,7 @@
   CHECK_FALSE(fixture.ends.NextTimer());
 }
 
-TEST_CASE("one that reaches no majority refuses within the time that runners wait") {
+TEST_CASE("an end that reaches no majority is refused before runners time out") {
   Fixture fixture;
   fixture.Add("i-1");
   CHECK(fixture.ends.NextTimer() == kStart + kEndAcknowledgedWithin);
@@ -46,7 +46,7 @@
   CHECK(fixture.answers == std::vector{503});
 }
 
-TEST_CASE("a process that was frozen does not acknowledge late what it knew before") {
+TEST_CASE("a process that was frozen past the deadline refuses the end, even if it is known") {
   Fixture fixture;
   fixture.Add("i-1");
   fixture.known.insert("i-1");
@@ -54,7 +54,7 @@
   CHECK(fixture.answers == std::vector{503});
 }
 
-TEST_CASE("ends that wait are bounded") {
+TEST_CASE("the number of pending ends is bounded") {
   Fixture fixture;
   for (std::size_t i = 0; i <= kMaxWaitingEnds; ++i) fixture.Add("i-" + std::to_string(i));
   CHECK(fixture.answers == std::vector{503});
--- a/tests/system/node/group_asking_test.cpp
+++ b/tests/system/node/group_asking_test.cpp
@@ -1,4 +1,4 @@
-// Whom a dispatcher asks for the replica groups: those that keep a store, among however many that do not.
+// A dispatcher queries members with a store for the replica groups, however many members have none.
 #include "node/group_asking.h"
 
 #include <algorithm>
@@ -18,14 +18,14 @@
   return member;
 }
 
-// The first `stores` of them keep a store; the asking one is number 1, without a store.
+// The machines whose numbers are in `stores` keep a store; the querying one is number 1, without a store.
 std::vector<Member> Machines(int count, const std::set<int>& stores) {
   std::vector<Member> members;
   for (int number = 1; number <= count; ++number) members.push_back(Machine(number, stores.contains(number)));
   return members;
 }
 
-TEST_CASE("one that keeps a store is asked each time, among many that do not") {
+TEST_CASE("members with a store are queried in each round, among many without one") {
   for (const int count : {10, 73, 300}) {
     const std::set<int> stores = {2, count / 2, count};
     const std::vector<Member> live = Machines(count, stores);
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("all members come by turns, as those with a store may be out of reach") {
+TEST_CASE("all members are queried in turn, because those with a store may be unreachable") {
   const std::vector<Member> live = Machines(8, {2, 3});
   GroupAsking asking;
   std::set<std::string> asked;
@@ -59,7 +59,7 @@
   CHECK_FALSE(asked.contains(kOwn));
 }
 
-TEST_CASE("without one that keeps a store any are asked, and alone nobody") {
+TEST_CASE("without a member with a store any member is queried, and a lone dispatcher queries nobody") {
   GroupAsking asking;
   CHECK(asking.Next(Machines(5, {}), kOwn).size() == kAskedForGroups);
   CHECK(asking.Next(Machines(1, {}), kOwn).empty());
--- a/tests/system/node/group_mover_test.cpp
+++ b/tests/system/node/group_mover_test.cpp
@@ -1,4 +1,4 @@
-// When the replica groups are changed.
+// When the group mover changes the replica groups.
 #include "node/group_mover.h"
 
 #include <catch2/catch.hpp>
@@ -38,7 +38,7 @@
   return group;
 }
 
-// One dispatcher that looks every 300 ms.
+// One dispatcher that checks its groups every 300 ms.
 struct Looker {
   explicit Looker(int number) : mover(std::to_string(number), kTolerated, 1) {}
 
@@ -47,7 +47,7 @@
     return mover.Next(now, kRegister, group, live, /*may_change=*/true);
   }
 
-  // The time until the first change; none within `longest`.
+  // The time until the first change; nullopt if there is none within `longest`.
   std::optional<Time> LooksUntilMove(const messages::ReplicaGroup& group, const std::vector<Member>& live,
                                      Time longest) {
     const Time began = now;
@@ -61,12 +61,12 @@
   Time now = kStart;
 };
 
-TEST_CASE("in a start of all no group is changed") {
+TEST_CASE("no group is changed during a simultaneous start of all dispatchers") {
   const auto group = GroupOf(Stores(1, 7));
   for (int number = 1; number <= 7; ++number) {
     Looker looker(number);
     CHECK_FALSE(looker.LooksUntilMove(group, {Store(number)}, kSecond));  // knows only itself
-    for (int known = 2; known <= 7; ++known) {                            // hears of the others, one by one
+    for (int known = 2; known <= 7; ++known) {                            // discovers the others one by one
       auto live = Stores(1, known);
       if (number > known) live.push_back(Store(number));
       CHECK_FALSE(looker.LooksUntilMove(group, live, 500 * kMillisecond));
@@ -75,12 +75,12 @@
   }
 }
 
-TEST_CASE("one that sees no majority changes nothing, however long it is up") {
+TEST_CASE("a dispatcher that sees no majority changes nothing, however long it runs") {
   Looker looker(1);
   CHECK_FALSE(looker.LooksUntilMove(GroupOf(Stores(1, 7)), Stores(1, 3), 60 * kSecond));
 }
 
-TEST_CASE("absent members are dropped once a majority has been seen for longer than a start of all takes") {
+TEST_CASE("absent members are dropped once a majority has been visible for kStartOfAllTakes") {
   Looker looker(1);
   const auto dropped = looker.LooksUntilMove(GroupOf(Stores(1, 7)), Stores(1, 5), 60 * kSecond);
   REQUIRE(dropped);
@@ -88,14 +88,14 @@
   CHECK(*dropped <= kStartOfAllTakes + kSecond);
 }
 
-TEST_CASE("one that has seen a majority for long drops at once what leaves then") {
+TEST_CASE("a dispatcher that has long seen a majority drops leaving members immediately") {
   Looker looker(1);
   const auto group = GroupOf(Stores(1, 7));
   REQUIRE_FALSE(looker.LooksUntilMove(group, Stores(1, 7), 2 * kStartOfAllTakes));
   CHECK(looker.Look(group, Stores(1, 5)));
 }
 
-TEST_CASE("the span begins anew after a cut from the majority, and after a freeze") {
+TEST_CASE("the wait restarts after a partition from the majority, and after a freeze") {
   const auto group = GroupOf(Stores(1, 7));
   Looker looker(1);
   REQUIRE_FALSE(looker.LooksUntilMove(group, Stores(1, 7), 2 * kStartOfAllTakes));
@@ -106,7 +106,7 @@
   CHECK(*dropped >= kStartOfAllTakes);
 }
 
-TEST_CASE("only the first live member with a store changes groups, and only where it may") {
+TEST_CASE("only the first live member with a store changes groups, and only if permitted") {
   const auto group = GroupOf(Stores(1, 3));
   Looker second(2);
   CHECK_FALSE(second.LooksUntilMove(group, Stores(1, 7), 10 * kSecond));
@@ -119,7 +119,7 @@
   CHECK(move->if_version == 3);
 }
 
-TEST_CASE("absent members may start until a majority has been seen for long enough") {
+TEST_CASE("absent members may start until a majority has been visible for long enough") {
   const auto group = GroupOf(Stores(1, 3));
   Looker looker(1);
   CHECK(looker.mover.AbsentMembersOf(looker.now, kRegister) == AbsentMembers::kMayStart);
@@ -129,12 +129,12 @@
   CHECK(looker.mover.AbsentMembersOf(looker.now, kRegister) == AbsentMembers::kAreGone);
 }
 
-TEST_CASE("a change is under way once, and is tried again after pauses that grow, with more time") {
+TEST_CASE("only one change is in flight, and it is retried with growing backoff and timeout") {
   const auto group = GroupOf(Stores(1, 3));
   Looker looker(1);
   auto move = looker.Look(group, Stores(1, 7));
   REQUIRE(move);
-  CHECK_FALSE(looker.LooksUntilMove(group, Stores(1, 7), 10 * kSecond));  // not ended yet
+  CHECK_FALSE(looker.LooksUntilMove(group, Stores(1, 7), 10 * kSecond));  // still in flight
   Time pause = 0, allowed = move->deadline - kStart;
   for (int failure = 0; failure < 4; ++failure) {
     looker.mover.Completed(looker.now, kRegister, /*settled=*/false);
@@ -148,7 +148,7 @@
   }
   CHECK(allowed > 10 * kSecond);
   looker.mover.Completed(looker.now, kRegister, /*settled=*/true);
-  CHECK(looker.Look(group, Stores(1, 7)));  // a new one begins at once
+  CHECK(looker.Look(group, Stores(1, 7)));  // a new one starts immediately
 }
 
 }  // namespace
--- a/tests/system/node/group_planner_test.cpp
+++ b/tests/system/node/group_planner_test.cpp
@@ -1,4 +1,4 @@
-// Which replica groups are wanted, given who lives.
+// Which replica groups are planned for the live members.
 #include "node/group_planner.h"
 
 #include <catch2/catch.hpp>
@@ -49,21 +49,21 @@
 
 }  // namespace
 
-TEST_CASE("A group whose members all live stays") {
+TEST_CASE("A group whose members are all live is unchanged") {
   CHECK_FALSE(PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree}, 1, AbsentMembers::kAreGone));
 }
 
-TEST_CASE("A member that is away is kept while too few others live") {
+TEST_CASE("An absent member is kept while too few others are live") {
   CHECK_FALSE(PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo}, 1, AbsentMembers::kAreGone));
 }
 
-TEST_CASE("A new machine takes the place of one that is away") {
+TEST_CASE("A new machine replaces an absent one") {
   const auto wanted = PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, kFour}, 1, AbsentMembers::kAreGone);
   REQUIRE(wanted);
   CHECK(Ids(*wanted) == Names{"a", "b", "d"});
 }
 
-TEST_CASE("Voters stay odd: one new machine waits, two join") {
+TEST_CASE("The number of voters stays odd: one new machine waits, two join") {
   CHECK_FALSE(
       PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour}, 1, AbsentMembers::kAreGone));
   const auto wanted =
@@ -76,16 +76,16 @@
   CHECK(Ids(*fewer) == Names{"a", "b", "c"});
 }
 
-TEST_CASE("Fewer voters than the losses to be borne need are grown, to an even number too") {
+TEST_CASE("A group too small for the tolerated losses grows, even to an even number") {
   const auto wanted =
       PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour}, 2, AbsentMembers::kAreGone);
   REQUIRE(wanted);
   CHECK(Ids(*wanted) == Names{"a", "b", "c", "d"});
 }
 
-TEST_CASE("A member that leaves hands its vote over before its exit, and keeps it where nobody can take it") {
+TEST_CASE("A leaving member hands its vote over before it exits, unless nobody can take it") {
   Member leaving = kThree;
-  leaving.replica_id.clear();  // as one that drains says
+  leaving.replica_id.clear();  // as a draining member announces
   const auto wanted =
       PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, leaving, kFour}, 1, AbsentMembers::kAreGone);
   REQUIRE(wanted);
@@ -93,26 +93,26 @@
   CHECK_FALSE(PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, leaving}, 1, AbsentMembers::kAreGone));
 }
 
-TEST_CASE("A group is grown when it bears the losses, or nobody is left to join") {
+TEST_CASE("A group is grown when it tolerates the losses, or no machine is left to join") {
   CHECK(IsGrown(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour}, 1, AbsentMembers::kAreGone));
   CHECK_FALSE(
       IsGrown(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour, kFive}, 2, AbsentMembers::kAreGone));
   CHECK(IsGrown(Group({kOne, kTwo, kThree, kFour, kFive}), {kOne, kTwo, kThree, kFour, kFive}, 2,
                 AbsentMembers::kAreGone));
   CHECK(IsGrown(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree}, 2, AbsentMembers::kAreGone));
-  // A process that has just begun knows too few that live.
+  // A process that has just started knows too few of the live members.
   CHECK_FALSE(IsGrown(Group({kOne, kTwo, kThree}), {kOne}, 2, AbsentMembers::kMayStart));
   CHECK(IsGrown(Group({kOne, kTwo, kThree}), {kOne}, 1, AbsentMembers::kMayStart));
 }
 
-TEST_CASE("A member that is away is dropped where enough others live") {
+TEST_CASE("An absent member is dropped if enough others are live") {
   const auto wanted =
       PlanGroup(Group({kOne, kTwo, kThree, kFour}), {kOne, kTwo, kThree}, 1, AbsentMembers::kAreGone);
   REQUIRE(wanted);
   CHECK(Ids(*wanted) == Names{"a", "b", "c"});
 }
 
-TEST_CASE("A member that may be about to start is kept, also where enough others live") {
+TEST_CASE("A member that may be about to start is kept, even if enough others are live") {
   CHECK_FALSE(PlanGroup(Group({kOne, kTwo, kThree, kFour, kFive}), {kOne}, 1, AbsentMembers::kMayStart));
   CHECK_FALSE(PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, kFour}, 1, AbsentMembers::kMayStart));
   const auto joined =
@@ -121,14 +121,14 @@
   CHECK(Ids(*joined) == Names{"a", "b", "c", "d", "e"});
 }
 
-TEST_CASE("A wiped store is replaced at once, whoever else may be about to start") {
+TEST_CASE("A wiped store is replaced immediately, even if others may be about to start") {
   const auto wanted =
       PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, Replica("3", "new")}, 1, AbsentMembers::kMayStart);
   REQUIRE(wanted);
   CHECK(Ids(*wanted) == Names{"a", "b", "new"});
 }
 
-TEST_CASE("A majority is seen where it lives with its stores, of both groups during a move") {
+TEST_CASE("A majority must be live with its stores, in both groups during a move") {
   messages::ReplicaGroup group = Group({kOne, kTwo, kThree});
   CHECK(SeesMajority(group, {kOne, kTwo, kFour}));
   CHECK_FALSE(SeesMajority(group, {kOne, Replica("2", ""), kFour}));
@@ -138,14 +138,14 @@
   CHECK(SeesMajority(group, {kOne, kThree, kFour}));
 }
 
-TEST_CASE("A machine that is back with an empty store replaces its older identity") {
+TEST_CASE("A machine that returns with an empty store replaces its older identity") {
   const auto wanted =
       PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, Replica("3", "new")}, 1, AbsentMembers::kAreGone);
   REQUIRE(wanted);
   CHECK(Ids(*wanted) == Names{"a", "b", "new"});
 }
 
-TEST_CASE("Machines without a store or that do not count never join") {
+TEST_CASE("Machines without a store, or that do not count for the quorum, never join") {
   Member diskless = Replica("4", "");
   Member other = Replica("6", "f");
   other.counts_for_quorum = false;
@@ -153,13 +153,13 @@
                         AbsentMembers::kAreGone));
 }
 
-TEST_CASE("A change that was begun is finished") {
+TEST_CASE("A change in progress is completed") {
   messages::ReplicaGroup group = Group({kOne, kTwo, kThree});
   *group.add_next_members() = group.members(0);
   CHECK(PlanGroup(group, {kOne, kTwo, kThree}, 1, AbsentMembers::kAreGone));
 }
 
-TEST_CASE("Votes can be left where enough others live that may take them") {
+TEST_CASE("Votes can be handed over if enough other live members may take them") {
   const Member diskless = Replica("4", "");
   Member other = Replica("6", "f");
   other.counts_for_quorum = false;
@@ -169,7 +169,7 @@
   CHECK_FALSE(CanLeaveVotes({kOne, kTwo, kThree, Replica("5", "e")}, "1", 2));
 }
 
-TEST_CASE("A replica votes in the present group and in the one it moves to") {
+TEST_CASE("A replica is a voter in the present group and in the next one during a move") {
   messages::ReplicaGroup group = Group({kOne, kTwo});
   CHECK(IsVoter(group, "a"));
   CHECK_FALSE(IsVoter(group, "c"));
@@ -179,7 +179,7 @@
   CHECK(IsVoter(group, "c"));
 }
 
-TEST_CASE("The first live member with a store keeps the groups") {
+TEST_CASE("The first live member with a store is the group keeper") {
   const Member diskless = Replica("0", "");
   CHECK(IsGroupKeeper({diskless, kOne, kTwo}, "1"));
   CHECK_FALSE(IsGroupKeeper({diskless, kOne, kTwo}, "0"));
--- a/tests/system/node/lifecycle_test.cpp
+++ b/tests/system/node/lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// When a dispatcher is ready, and when its drain is over.
+// When a dispatcher becomes ready, and when its drain is complete.
 #include "node/lifecycle.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 constexpr Time kStart = 100 * kSecond;
 constexpr Lifecycle::Knowledge kAll{true, true, true};
 
-TEST_CASE("it becomes ready once, when configuration and runners are known") {
+TEST_CASE("a dispatcher becomes ready once, when configuration and runners are known") {
   Lifecycle lifecycle(kGrace);
   CHECK_FALSE(lifecycle.BecomesReady({false, true, true}));
   CHECK_FALSE(lifecycle.BecomesReady({true, false, true}));
@@ -21,7 +21,7 @@
   CHECK_FALSE(lifecycle.BecomesReady(kAll));
 }
 
-TEST_CASE("one that drains is not ready, and does not become so") {
+TEST_CASE("a draining dispatcher is not ready and does not become ready") {
   Lifecycle lifecycle(kGrace);
   SECTION("from the start") {}
   SECTION("after it was ready") { REQUIRE(lifecycle.BecomesReady(kAll)); }
@@ -32,7 +32,7 @@
   CHECK_FALSE(lifecycle.BecomesReady(kAll));
 }
 
-TEST_CASE("a drain lasts until the platform has seen it, even where nothing is owed") {
+TEST_CASE("a drain lasts until the platform has noticed it, even if no work is pending") {
   Lifecycle lifecycle(kGrace);
   CHECK_FALSE(lifecycle.MayExit(kStart, {}));
   lifecycle.BeginDrain(kStart);
@@ -40,7 +40,7 @@
   CHECK(lifecycle.MayExit(kStart + 2500 * kMillisecond, {}));
 }
 
-TEST_CASE("requests are waited for until shortly before SIGKILL, votes for 5 s") {
+TEST_CASE("a drain waits for requests until shortly before SIGKILL, and for votes up to 5 s") {
   Lifecycle lifecycle(kGrace);
   lifecycle.BeginDrain(kStart);
   CHECK_FALSE(lifecycle.MayExit(kStart + 11 * kSecond, {.requests = true}));
@@ -49,7 +49,7 @@
   CHECK(lifecycle.MayExit(kStart + 5 * kSecond, {.votes = true}));
 }
 
-TEST_CASE("a second SIGTERM does not begin the drain anew") {
+TEST_CASE("a second SIGTERM does not restart the drain") {
   Lifecycle lifecycle(kGrace);
   lifecycle.BeginDrain(kStart);
   lifecycle.BeginDrain(kStart + 2 * kSecond);
--- a/tests/system/node/linked_dispatchers.h
+++ b/tests/system/node/linked_dispatchers.h
@@ -1,5 +1,5 @@
-// Register nodes of dispatchers on links of limited bandwidth, in virtual time: what both simulations of a
-// return of all power share.
+// Register nodes of dispatchers on links of limited bandwidth, in virtual time. Shared by both simulations of
+// a recovery from a total power loss.
 #pragma once
 
 #include <algorithm>
@@ -16,18 +16,19 @@
 
 namespace lichenlug::node {
 
-inline constexpr consensus::LinkedNetwork::Machine kStoreMachine{12.5, 300};  // 100 Mbit/s; us a message
-inline constexpr consensus::LinkedNetwork::Machine kOtherMachine{1.25,
-                                                                 1000};  // 10 Mbit/s, a small share of a core
+inline constexpr consensus::LinkedNetwork::Machine kStoreMachine{12.5,
+                                                                 300};  // 100 Mbit/s; 300 us per message
+inline constexpr consensus::LinkedNetwork::Machine kOtherMachine{
+    1.25, 1000};  // 10 Mbit/s; 1 ms per message, with a small share of a core
 
 class LinkedDispatchers {
  public:
   virtual ~LinkedDispatchers() = default;
 
  protected:
-  static constexpr Time kDelay = 500;  // of a message, one way, microseconds
+  static constexpr Time kDelay = 500;  // one way, microseconds
 
-  // The first `stores` ones keep a store.
+  // The first `stores` dispatchers keep a store.
   LinkedDispatchers(std::size_t stores, std::size_t others) : nodes_(stores + others) {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       addresses_.push_back(std::to_string(i) + ":7660");
@@ -52,7 +53,7 @@
     return settings;
   }
 
-  // A node whose store holds this payload, chosen in the group of all stores.
+  // Starts a node whose store contains this payload, chosen in the group of all stores.
   void OpenStore(std::size_t index, const std::string& payload, std::uint64_t seed) {
     nodes_[index] = std::make_unique<consensus::RegisterNode>(SettingsOf(index, seed));
     messages::StoredAccept record;
--- a/tests/system/node/node_roles_test.cpp
+++ b/tests/system/node/node_roles_test.cpp
@@ -1,4 +1,5 @@
-// Roles by what a machine has: each address and the disk may be missing, unless it is asked for.
+// Roles follow from a machine's resources: each address and the disk may be missing, unless a role requires
+// it.
 #include "node/node_roles.h"
 
 #include <catch2/catch.hpp>
@@ -28,7 +29,7 @@
   CHECK(RolesFor(Machine()) == Names{"clients", "readiness", "control", "store", "quorum"});
 }
 
-TEST_CASE("a machine without an address for clients, or without a disk, is an ordinary one") {
+TEST_CASE("a machine without an address for clients, or without a disk, is valid") {
   Json core = Machine();
   core["serves"] = {"control"};
   core["docks"] = {{"control_dock", "10.0.0.1:83"}};
@@ -48,7 +49,7 @@
   CHECK(RolesFor(bare).empty());
 }
 
-TEST_CASE("what is asked for and missing is told with its key and remedy") {
+TEST_CASE("a missing address of a required role is reported with its key and remedy") {
   const std::vector<std::pair<std::string, std::string>> cases = {{"front", "front_dock"},
                                                                   {"control", "control_dock"}};
   for (const auto& [role, address] : cases) {
@@ -64,7 +65,7 @@
   }
 }
 
-TEST_CASE("the line of the log names what is there and what is not") {
+TEST_CASE("the log line lists the present and the absent roles") {
   Json core = Machine();
   core["docks"] = {{"control_dock", "10.0.0.1:83"}};
   const NodeRoles roles = RolesOf(std::get<NodeSettings>(Parse(core)));
--- a/tests/system/node/node_settings_test.cpp
+++ b/tests/system/node/node_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings file of a process: what is taken, and what is refused with which words.
+// Parsing of the settings file of a process, and the error lines for invalid files.
 #include "node/node_settings.h"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("A whole file is read") {
+TEST_CASE("A complete file is read") {
   const auto result = ParseNodeSettings(Valid().dump(), "node.json");
   REQUIRE(std::holds_alternative<NodeSettings>(result));
   const auto& settings = std::get<NodeSettings>(result);
@@ -44,7 +44,7 @@
   CHECK(settings.retry_budget);
 }
 
-TEST_CASE("Unknown keys, empty ones and a missing disk are borne") {
+TEST_CASE("Unknown keys, null values and a missing disk are accepted") {
   Json json = Valid();
   json["novel"] = {{"a", 1}};
   json["store_dir"] = nullptr;
@@ -53,7 +53,7 @@
   CHECK(ProblemOf(json).empty());
 }
 
-TEST_CASE("Each fault is told with file, key and remedy") {
+TEST_CASE("Each invalid value is reported with file, key and remedy") {
   const std::vector<std::pair<std::string, Json>> faults = {{"station", ""},
                                                             {"station", 3},
                                                             {"ip", nullptr},
@@ -79,7 +79,7 @@
   }
 }
 
-TEST_CASE("A file that is cut short is refused") {
+TEST_CASE("A truncated file is rejected") {
   const std::string text = Valid().dump();
   for (std::size_t length = 0; length < text.size(); ++length)
     CHECK(std::holds_alternative<SettingsProblem>(ParseNodeSettings(text.substr(0, length), "node.json")));
--- a/tests/system/node/recovery_test.cpp
+++ b/tests/system/node/recovery_test.cpp
@@ -1,5 +1,5 @@
-// After a loss of all power dispatchers without a disk ask for the replica groups and read the configuration
-// from the few machines that keep it, over links of 10 Mbit/s.
+// After a total power loss, dispatchers without a disk query the replica groups and read the configuration
+// from the few machines that store it, over links of 10 Mbit/s.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <memory>
@@ -21,19 +21,19 @@
 constexpr std::size_t kConfigurationBytes = 60'000;
 constexpr Time kPollInterval = 100 * kMillisecond;
 
-// As seen in logs of such days: processes start within 0.3 s, stores open up to 0.35 s later, and each
-// machine knows all members, and who keeps a store, up to 0.7 s after its start.
+// As observed in logs of power losses: processes start within 0.3 s, stores open up to 0.35 s later, and each
+// machine knows all members, and which of them keep a store, up to 0.7 s after its start.
 constexpr Time kStartSpread = 300 * kMillisecond;
 constexpr Time kOpenSpread = 350 * kMillisecond;
 constexpr Time kJoinSpread = 700 * kMillisecond;
 
-// One machine. Those of the core have a store and know what was founded once it is open; the others have a
-// register node once they know it.
+// One machine. A core machine has a store, and knows the founding group once the store is open; any other
+// machine has a register node once it knows the founding group.
 struct Dispatcher {
   std::vector<Member> live;
   GroupAsking asking;
   ConfigurationReader reader{0};
-  bool knows = false;  // the configuration
+  bool knows = false;  // the configuration is known
 };
 
 class Recovery : LinkedDispatchers {
@@ -47,7 +47,7 @@
     }
   }
 
-  // When the last one knows the configuration; none: not in time.
+  // The time at which the last dispatcher knows the configuration; nullopt if not within `longest`.
   std::optional<Time> Run(Time longest) {
     const auto all_know = [this] { return knowing_ == dispatchers_.size(); };
     return network_.RunUntil(all_know, longest) ? std::optional(network_.now()) : std::nullopt;
@@ -60,8 +60,9 @@
 
   void Open(std::size_t index) {
     OpenStore(index, std::string(kConfigurationBytes, 'c'), random_());
-    dispatchers_[index].reader.Completed(network_.now(),
-                                         /*answered=*/false);  // one begun without the store ends with it
+    dispatchers_[index].reader.Completed(
+        network_.now(),
+        /*answered=*/false);  // a read started without the store ends when it opens
     ReadInTime(index);
   }
 
@@ -140,12 +141,12 @@
 };
 
 constexpr Time kBound =
-    2 * kSecond;  // from the return of power, of which machines take 1.05 s to start and join
+    2 * kSecond;  // from the return of power; machines take 1.05 s of it to start and join
 constexpr Time kLongest = 30 * kSecond;
 
 }  // namespace
 
-TEST_CASE("after a loss of all power 68 and 300 dispatchers without a disk know the configuration in time") {
+TEST_CASE("after a total power loss 68 and 300 dispatchers without a disk know the configuration in time") {
   for (const std::size_t others : {68, 300}) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Recovery recovery(others, seed);
@@ -153,7 +154,7 @@
       CAPTURE(others, seed, known, recovery.megabytes());
       REQUIRE(known);
       CHECK(*known <= kBound);
-      // The configuration once for each, and little else.
+      // Each dispatcher receives the configuration once; other traffic is small.
       CHECK(recovery.megabytes() <= 0.12 * static_cast<double>(others + kCore));
     }
   }
--- a/tests/system/node/register_service_test.cpp
+++ b/tests/system/node/register_service_test.cpp
@@ -1,5 +1,5 @@
-// A disk that refuses writes for a while, at the start or when the founding group is kept: the replica comes
-// to vote all the same, in this life of the process and in the next one.
+// A disk that temporarily rejects writes, at startup or while the founding group is stored: the replica must
+// eventually vote anyway, in this run of the process and in the next one.
 #include "node/register_service.h"
 
 #include <sys/resource.h>
@@ -42,7 +42,7 @@
   fs::path path_;
 };
 
-// While it lives no file of this process can grow, as on a full disk.
+// While an instance exists, no file of this process can grow, as on a full disk.
 class FullDisk {
  public:
   FullDisk() : handler_(std::signal(SIGXFSZ, SIG_IGN)) {
@@ -77,7 +77,7 @@
   return consensus::FirstStartFounding({"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"});
 }
 
-// One life of a process: the loop, the disk and the service on them. Nobody else is there.
+// One run of a process: the event loop, the disk and the service that uses them. There are no peers.
 class Life : NodeHost {
  public:
   Life(const fs::path& store_folder, bool first_run)
@@ -91,7 +91,7 @@
 
   void DoAfter(Time span, std::function<void()> step) { steps_.emplace_back(span, std::move(step)); }
 
-  // Once a life: until the replica has started and all steps are done, or for long enough.
+  // Call once per instance: runs until the replica has started and all steps are done, or until kLongEnough.
   void Run() {
     const Time begin = EventLoop::Now();
     loop_.OnIdle([this, begin] {
@@ -130,9 +130,10 @@
 
   EventLoop loop_;
   std::string started_as_;
-  std::vector<std::pair<Time, std::function<void()>>> steps_;  // in order of time
+  std::vector<std::pair<Time, std::function<void()>>> steps_;  // ordered by time
   RegisterService service_;
-  host::PostedStore store_;  // last: its thread ends before what its callbacks use
+  host::PostedStore
+      store_;  // last member: its thread must end before the members that its callbacks use are destroyed
 };
 
 }  // namespace
@@ -146,10 +147,10 @@
   CHECK(life.started_as() == "founder:10.0.0.1:7660");
 }
 
-TEST_CASE("a founding group whose write was refused is written again") {
+TEST_CASE("a founding group whose write failed is written again") {
   const Folder folder;
   {
-    Life life(folder.path(), false);  // of a later start: the group comes from a peer
+    Life life(folder.path(), false);  // not the first start: the group comes from a peer
     std::optional<FullDisk> full;
     life.DoAfter(kRefusing, [&] {
       REQUIRE_FALSE(life.service().KnowsFounding());
--- a/tests/system/node/start_of_stores_test.cpp
+++ b/tests/system/node/start_of_stores_test.cpp
@@ -1,6 +1,6 @@
-// All power returns at a deployment with seven stores, of which two may be lost, and a large configuration:
-// each process knows itself alone at first. No replica group may move, no proposer outbid another for long,
-// and the configuration may not be sent about.
+// Power returns after a total loss in a deployment with a large configuration and seven stores, of which two
+// may be lost. Each process knows only itself at first. Guards against unnecessary changes of the replica
+// group, proposers that preempt one another for long, and redundant transfers of the configuration.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <optional>
@@ -20,21 +20,21 @@
 constexpr std::size_t kOthers = 20;
 constexpr int kTolerated = 2;
 constexpr std::size_t kConfigurationBytes = 60'000;
-constexpr std::size_t kPushBytes = 400;  // of a difference
+constexpr std::size_t kPushBytes = 400;  // size of a pushed difference
 constexpr Time kPollInterval = 300 * kMillisecond;
 constexpr Time kCheckInterval = 300 * kMillisecond;
 
-// As seen in logs of such days.
+// As observed in logs of power losses.
 constexpr Time kStartSpread = 600 * kMillisecond;
 constexpr Time kOpenSpread = 350 * kMillisecond;
 constexpr Time kJoinSpread = 700 * kMillisecond;
 
-constexpr Time kCallsAt = 800 * kMillisecond;  // the operators', while processes still start
+constexpr Time kCallsAt = 800 * kMillisecond;  // operators' calls, while processes are still starting
 constexpr Time kCallGivesUp = 900 * kMillisecond;
 constexpr Time kCallAgainAfter = 200 * kMillisecond;
 constexpr Time kLasts = 15 * kSecond;
 
-// The payload of a configuration: the same text, and a letter for each change that was taken.
+// The payload of a configuration: a constant text, followed by one letter for each accepted change.
 std::string Payload(const std::string& changes) { return std::string(kConfigurationBytes, 'c') + changes; }
 std::size_t RevisionOf(const std::string& payload) {
   return payload.empty() ? 0 : 1 + payload.size() - kConfigurationBytes;
@@ -52,7 +52,7 @@
 
 struct OperatorCall {
   char letter = 'x';
-  std::size_t asked = 0;  // dispatcher
+  std::size_t asked = 0;  // index of the dispatcher that is called
   std::optional<consensus::OperationId> operation;
   std::optional<Time> acknowledged_at;
 };
@@ -75,7 +75,8 @@
     network_.At(at, [this, call = calls_.size() - 1] { Call(call); });
   }
 
-  // This dispatcher dies as its first Accept of a configuration has left, and tells nobody.
+  // This dispatcher crashes after sending its first Accept of a configuration, before distributing the
+  // result.
   void DiesAfterAccept(std::size_t index) { dies_after_accept_ = index; }
 
   void Run(Time until) {
@@ -83,7 +84,7 @@
     network_.RunUntil([] { return false; }, until);
   }
 
-  // When the last of those that live had the change of this letter in force; none: not all have.
+  // The time since which the change of this letter is in force on all live dispatchers; nullopt if it isn't.
   std::optional<Time> InForceSince(char letter) const {
     Time last = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -112,7 +113,7 @@
     ReadInTime(index);
   }
 
-  // Itself from the start, once it has joined all that have started by then.
+  // The members that this dispatcher knows: only itself at first; once joined, all that have started by then.
   std::vector<Member> LiveFor(std::size_t index) const {
     std::vector<Member> live;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -146,7 +147,7 @@
   void Call(std::size_t number) {
     OperatorCall& call = calls_[number];
     if (call.acknowledged_at) return;
-    if (!nodes_[call.asked])  // not up yet: a connection is refused
+    if (!nodes_[call.asked])  // not running yet: the connection is refused
       return network_.At(network_.now() + kCallAgainAfter, [this, number] { Call(number); });
     const auto change = [letter = call.letter](const std::string& payload) -> consensus::Change {
       if (payload.find(letter, kConfigurationBytes) != std::string::npos) return consensus::KeepPayload{};
@@ -159,7 +160,7 @@
     consensus::RegisterOutput output;
     const auto id =
         nodes_[index]->Submit(network_.now(), consensus::kName, std::move(change), deadline, &output);
-    // Completions that come at once are seen after the caller has noted the operation.
+    // Immediate completions are delivered after the caller has stored the operation's id.
     network_.At(network_.now(), [this, index, output] { Carry(index, output); });
     return id;
   }
@@ -228,7 +229,7 @@
     }
   }
 
-  // A difference is of no use to one that knows no configuration yet; it asks again once it does.
+  // A dispatcher that knows no configuration can't apply a difference; it polls again later.
   void Pushed(std::size_t index, const std::string& payload) {
     if (!nodes_[index]) return;
     if (!dispatchers_[index].known.empty()) return Learn(index, payload, false);
@@ -244,22 +245,23 @@
   std::mt19937_64 random_;
   std::vector<Dispatcher> dispatchers_;
   std::vector<OperatorCall> calls_;
-  std::map<std::size_t, bool> pushes_;  // of the read under way, by dispatcher
+  std::map<std::size_t, bool> pushes_;  // whether the read in flight pushes its result, by dispatcher
   std::map<std::pair<char, std::size_t>, Time> in_force_;
   std::optional<std::size_t> dies_after_accept_;
   std::optional<Time> died_at_;
   int group_moves_ = 0;
 };
 
-// The configuration once for each that has no store, for some of them twice, as it changes while they read.
+// Each dispatcher without a store receives the configuration once; some receive it twice, because it changes
+// while they read it.
 constexpr double kMaxMegabytes = 1.75 * kOthers * kConfigurationBytes / 1e6;
 
 }  // namespace
 
-TEST_CASE("a start of all with seven stores moves no group and sends the configuration once to each") {
+TEST_CASE("a simultaneous start with seven stores moves no group and sends the configuration once to each") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     StartOfStores start(seed);
-    start.CallAt(kCallsAt, 'a', kStores + 3);  // two operators at once, at machines with small links
+    start.CallAt(kCallsAt, 'a', kStores + 3);  // two concurrent operators, at machines with slow links
     start.CallAt(kCallsAt, 'b', kStores + 11);
     start.Run(kLasts);
     CAPTURE(seed, start.megabytes(), start.group_moves());
@@ -275,7 +277,7 @@
   }
 }
 
-TEST_CASE("a configuration whose proposer died after its accept is in force everywhere within 3 s") {
+TEST_CASE("a configuration whose proposer crashed after its accept is in force everywhere within 3 s") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     constexpr std::size_t kProposer = kStores + 5;
     StartOfStores start(seed);
