--- a/src/node/part_settings.cpp
+++ b/src/node/component_settings.cpp
@@ -1,4 +1,4 @@
-#include "node/part_settings.h"
+#include "node/component_settings.h"
 
 namespace lichenlug::node {
 
--- a/src/node/configuration_reader.cpp
+++ b/src/node/configuration_reader.cpp
@@ -8,37 +8,37 @@
 namespace {
 
 constexpr Time kReadInterval = 300 * kMillisecond;
-constexpr Time kReadGiveUp = 800 * kMillisecond;
-constexpr Time kToldWithin =
+constexpr Time kReadTimeout = 800 * kMillisecond;
+constexpr Time kDistributionTime =
     400 * kMillisecond;  // after an accept, if its proposer is alive and has a fast link
-constexpr std::size_t kSlowestBytesPerMillisecond = 1000;  // most of a 10 Mbit/s link
-constexpr Time kLongestWait = kSecond;                     // the random wait is up to twice as long
-constexpr Time kLatest = 2 * kSecond;  // after the first accept, regardless of how many follow
+constexpr std::size_t kMinBytesPerMillisecond = 1000;  // most of a 10 Mbit/s link
+constexpr Time kMaxBaseWait = kSecond;                 // the random wait is up to twice as long
+constexpr Time kMaxTotalWait = 2 * kSecond;  // after the first accept, regardless of how many follow
 
 }  // namespace
 
-void ConfigurationReader::Accepting(Time now, std::size_t bytes_to_all) {
-  if (!check_accepted_at_) check_latest_ = now + kLatest;
+void ConfigurationReader::OnAcceptRequest(Time now, std::size_t bytes_to_all) {
+  if (!accept_check_at_) check_deadline_ = now + kMaxTotalWait;
   bytes_to_all_ = bytes_to_all;
-  check_accepted_at_ = std::min(now + DrawWait(), check_latest_);
+  accept_check_at_ = std::min(now + RandomWait(), check_deadline_);
 }
 
-Time ConfigurationReader::DrawWait() {
-  const Time to_send = static_cast<Time>(bytes_to_all_ / kSlowestBytesPerMillisecond) * kMillisecond;
-  const Time shortest = std::min(kToldWithin + to_send, kLongestWait);
-  return std::uniform_int_distribution<Time>(shortest, 2 * shortest)(random_);
+Time ConfigurationReader::RandomWait() {
+  const Time to_send = static_cast<Time>(bytes_to_all_ / kMinBytesPerMillisecond) * kMillisecond;
+  const Time base_wait = std::min(kDistributionTime + to_send, kMaxBaseWait);
+  return std::uniform_int_distribution<Time>(base_wait, 2 * base_wait)(random_);
 }
 
 void ConfigurationReader::RegistersKnown(Time now) { next_read_ = now; }
 
 void ConfigurationReader::Confirmed() { confirmed_ = true; }
 
-void ConfigurationReader::Installed() { check_accepted_at_.reset(); }
+void ConfigurationReader::Installed() { accept_check_at_.reset(); }
 
 std::optional<ConfigurationReader::Read> ConfigurationReader::Next(Time now) {
   if (in_flight_) return std::nullopt;
-  if (check_accepted_at_ && now >= *check_accepted_at_) {
-    check_accepted_at_.reset();
+  if (accept_check_at_ && now >= *accept_check_at_) {
+    accept_check_at_.reset();
     return Begin(now, /*push=*/true);
   }
   if (!confirmed_ && now >= next_read_) return Begin(now, /*push=*/false);
@@ -47,19 +47,19 @@
 
 ConfigurationReader::Read ConfigurationReader::Begin(Time now, bool push) {
   next_read_ = now + kReadInterval;
-  in_flight_ = Read{push, now + kReadGiveUp};
+  in_flight_ = Read{push, now + kReadTimeout};
   return *in_flight_;
 }
 
 void ConfigurationReader::Completed(Time now, bool answered) {
   const std::optional<Read> read = std::exchange(in_flight_, std::nullopt);
-  if (read && read->push && !answered) Accepting(now, bytes_to_all_);
+  if (read && read->push && !answered) OnAcceptRequest(now, bytes_to_all_);
 }
 
 std::optional<Time> ConfigurationReader::NextTimer() const {
   if (in_flight_) return std::nullopt;
-  if (confirmed_) return check_accepted_at_;
-  return check_accepted_at_ ? std::min(*check_accepted_at_, next_read_) : next_read_;
+  if (confirmed_) return accept_check_at_;
+  return accept_check_at_ ? std::min(*accept_check_at_, next_read_) : next_read_;
 }
 
 }  // namespace lichenlug::node
--- a/src/node/configuration_reader.h
+++ b/src/node/configuration_reader.h
@@ -23,7 +23,7 @@
 
   // The local replica was asked to accept a configuration newer than the one in force. `bytes_to_all`: how
   // many bytes its proposer may have to send to all replicas in total.
-  void Accepting(Time now, std::size_t bytes_to_all);
+  void OnAcceptRequest(Time now, std::size_t bytes_to_all);
   // Registers can be read from now on, because the founding group is known.
   void RegistersKnown(Time now);
   // A majority confirmed a configuration, in answer to a read or to an operator's call.
@@ -41,14 +41,14 @@
 
  private:
   Read Begin(Time now, bool push);
-  Time DrawWait();
+  Time RandomWait();
 
   std::mt19937_64 random_;
   bool confirmed_ = false;
   std::optional<Read> in_flight_;
   Time next_read_ = 0;  // used until a configuration is confirmed
-  std::optional<Time> check_accepted_at_;
-  Time check_latest_ = 0;         // latest time for the check, set by the first pending accept
+  std::optional<Time> accept_check_at_;
+  Time check_deadline_ = 0;       // latest time for the check, set by the first pending accept
   std::size_t bytes_to_all_ = 0;  // of the last pending accept
 };
 
--- a/src/node/configuration_source.cpp
+++ b/src/node/configuration_source.cpp
@@ -13,18 +13,18 @@
 
 // A value that is written back, or moved to another replica group, carries a revision that is already in
 // force on this dispatcher.
-void ConfigurationSource::Proposed(Time now, const std::string& payload) {
+void ConfigurationSource::OnAcceptRequest(Time now, const std::string& payload) {
   const auto state = configuration::ReadState(payload);
   const configuration::Follower::Version* current = follower_->Current();
   const bool is_news = state && (current == nullptr || state->revision() > current->revision);
   if (!is_news) return;
   const std::size_t replicas = consensus::AllMembers(registers_->KnownGroup(kRegister)).size();
-  reader_.Accepting(now, payload.size() * replicas);
+  reader_.OnAcceptRequest(now, payload.size() * replicas);
 }
 
 // A dispatcher with a replica completes an unfinished proposal that it finds; all others only read. If they
 // completed it too, all dispatchers would be competing proposers that preempt one another's ballots.
-void ConfigurationSource::ReadInTime(Time now, bool has_replica) {
+void ConfigurationSource::ReadIfDue(Time now, bool has_replica) {
   const auto read = reader_.Next(now);
   if (!read) return;
   const auto done = [this, push = read->push](const consensus::Completion& completion) {
--- a/src/node/configuration_source.h
+++ b/src/node/configuration_source.h
@@ -28,7 +28,7 @@
         learned_(std::move(learned)) {}
 
   // Another dispatcher asks the local replica to accept this payload.
-  void Proposed(Time now, const std::string& payload);
+  void OnAcceptRequest(Time now, const std::string& payload);
   // Registers can be read from now on.
   void RegistersKnown(Time now) { reader_.RegistersKnown(now); }
   // Confirmed: a majority confirmed a configuration, in answer to a read or an operator's call. Installed: a
@@ -37,7 +37,7 @@
   void Installed() { reader_.Installed(); }
 
   // Starts a read if one is due. `has_replica`: whether this dispatcher's store votes.
-  void ReadInTime(Time now, bool has_replica);
+  void ReadIfDue(Time now, bool has_replica);
   std::optional<Time> NextTimer() const { return reader_.NextTimer(); }
   bool confirmed() const { return reader_.confirmed(); }
 
--- a/src/node/control_node.cpp
+++ b/src/node/control_node.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "node/component_settings.h"
 #include "node/group_planner.h"
 #include "node/node_roles.h"
-#include "node/part_settings.h"
 #include "node/snapshot.h"
 #include "node/status.h"
 
@@ -54,10 +54,10 @@
           [this](const messages::ReplicaGroup& group) {
             const AbsentMembers absent =
                 groups_.AbsentMembersOf(host_->Now(), std::string(configuration::kRegisterName));
-            return IsGrown(group, live_, settings_.tolerated_machines, absent);
+            return IsFaultTolerant(group, live_, settings_.tolerated_machines, absent);
           }),
       runner_api_(host, settings_.internal_address, &registry_, &registers_,
-                  [this](registry::RegistryOutput output) { Carry(std::move(output)); }),
+                  [this](registry::RegistryOutput output) { Execute(std::move(output)); }),
       runners_(std::make_shared<std::vector<messages::RunnerRecord>>()),
       configuration_source_(
           host, identity.seed, &registers_, &follower_,
@@ -65,22 +65,22 @@
       lifecycle_(settings_.bounds.grace) {}
 
 void ControlNode::Start() {
-  registers_.OnAccepting([this](const std::string& register_name, const std::string& payload) {
+  registers_.SetAcceptCallback([this](const std::string& register_name, const std::string& payload) {
     if (register_name != configuration::kRegisterName)
-      return duties_.Accepting(host_->Now(), register_name, payload);
-    configuration_source_.Proposed(host_->Now(), payload);
+      return duties_.OnAcceptRequest(host_->Now(), register_name, payload);
+    configuration_source_.OnAcceptRequest(host_->Now(), payload);
   });
   registers_.OpenStore([this](const std::string& replica_id) {
     replica_id_ = replica_id;
     membership_ring::MembershipOutput output;
     membership_.UpdateSelf(host_->Now(), lifecycle_.is_ready(), replica_id_, &output);
     output.changed = true;
-    Carry(std::move(output));
+    Execute(std::move(output));
   });
   membership_ring::MembershipOutput output;
   membership_.Start(host_->Now(), &output);
   output.changed = true;
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 void ControlNode::ReloadSettings(const NodeSettings& settings) {
@@ -99,18 +99,18 @@
     case messages::Envelope::kMembership: {
       membership_ring::MembershipOutput output;
       membership_.Receive(now, from, envelope.membership(), &output);
-      return Carry(std::move(output));
+      return Execute(std::move(output));
     }
     case messages::Envelope::kRegistry: {
       registry::RegistryOutput output;
       registry_.Receive(now, from, envelope.registry(), &output);
-      Carry(std::move(output));
+      Execute(std::move(output));
       return runner_api_.CheckEnds(now);
     }
     case messages::Envelope::kDistribution: {
       configuration::FollowerOutput output;
       follower_.Receive(now, from, envelope.distribution(), &output);
-      return Carry(std::move(output));
+      return Execute(std::move(output));
     }
     case messages::Envelope::kConsensus:
       return registers_.Receive(from, envelope.consensus());
@@ -131,10 +131,10 @@
   groups_.Receive(from, hints);
   if (could_read || !registers_.KnowsFounding()) return;
   configuration_source_.RegistersKnown(now);
-  configuration_source_.ReadInTime(now, !replica_id_.empty());
+  configuration_source_.ReadIfDue(now, !replica_id_.empty());
 }
 
-void ControlNode::Carry(membership_ring::MembershipOutput output) {
+void ControlNode::Execute(membership_ring::MembershipOutput output) {
   for (auto& send : output.sends) {
     messages::Envelope envelope;
     *envelope.mutable_membership() = std::move(send.message);
@@ -143,7 +143,7 @@
   if (output.changed) MembersChanged(host_->Now());
 }
 
-void ControlNode::Carry(registry::RegistryOutput output) {
+void ControlNode::Execute(registry::RegistryOutput output) {
   for (auto& send : output.sends) {
     messages::Envelope envelope;
     *envelope.mutable_registry() = std::move(send.message);
@@ -155,7 +155,7 @@
   snapshot_changed_ = true;
 }
 
-void ControlNode::Carry(configuration::FollowerOutput output) {
+void ControlNode::Execute(configuration::FollowerOutput output) {
   for (auto& send : output.sends) {
     messages::Envelope envelope;
     *envelope.mutable_distribution() = std::move(send.message);
@@ -177,16 +177,16 @@
   for (const Member& member : live_) {
     if (member.name != settings_.name) others.push_back(member);
   }
-  const auto lives = [&](const std::string& address) {
+  const auto is_live = [&](const std::string& address) {
     return std::any_of(live_.begin(), live_.end(), [&](const Member& m) { return m.address == address; });
   };
   for (const Member& member : before) {
-    if (!lives(member.address)) host_->Forget(member.address);
+    if (!is_live(member.address)) host_->Forget(member.address);
   }
   follower_.SetMembers(now, others);
   registry::RegistryOutput output;
   registry_.SetMembers(now, others, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
   duties_.SetMembers(now, live_);
   if (before.size() != live_.size()) LOG(INFO) << "members: " << live_.size() << " live";
   snapshot_changed_ = true;
@@ -219,7 +219,7 @@
   input.runners = runners_.get();
   input.version = follower_.Current();
   input.distribution = follower_.statistics();
-  input.holdings = duties_.Holdings(host_->Now());
+  input.ownership_statuses = duties_.OwnershipStatuses(host_->Now());
   input.placement = duties_.Explain(host_->Now());
   input.requests = host_->TakeReport();
   for (const std::string& name : AllRegisters()) input.groups.emplace_back(name, registers_.KnownGroup(name));
@@ -236,23 +236,23 @@
   if (due(membership_.NextTimer())) {
     membership_ring::MembershipOutput output;
     membership_.Tick(now, &output);
-    Carry(std::move(output));
+    Execute(std::move(output));
   }
   if (due(registry_.NextTimer())) {
     registry::RegistryOutput output;
     registry_.Tick(now, &output);
-    Carry(std::move(output));
+    Execute(std::move(output));
   }
   if (due(follower_.NextTimer())) {
     configuration::FollowerOutput output;
     follower_.Tick(now, &output);
-    Carry(std::move(output));
+    Execute(std::move(output));
   }
   if (due(registers_.NextTimer())) registers_.Tick(now);
   if (due(runner_api_.NextTimer())) runner_api_.CheckEnds(now);
   if (now >= next_report_) ReportDataPlane(now);
   if (due(duties_.NextTimer())) duties_.Tick(now, WallNow());
-  configuration_source_.ReadInTime(now, !replica_id_.empty());
+  configuration_source_.ReadIfDue(now, !replica_id_.empty());
   const bool is_draining = lifecycle_.is_draining();
   if (now >= groups_.NextTimer()) groups_.Tick(now, live_, is_draining ? std::string() : replica_id_);
   if (is_draining) ExitIfDrained(now);
@@ -285,7 +285,7 @@
   configuration_source_.Confirmed();
   configuration::FollowerOutput output;
   follower_.Learn(host_->Now(), state, push, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 // ---- Data plane ----------------------------------------------------------------------------------------
@@ -310,15 +310,15 @@
 
 void ControlNode::UpdateReadiness(Time now) {
   if (lifecycle_.has_started()) return;
-  const Lifecycle::Knowledge known{configuration_source_.confirmed(), follower_.Current() != nullptr,
-                                   registry_.Settled(now)};
-  if (!lifecycle_.BecomesReady(known)) return;
+  const Lifecycle::ReadinessConditions conditions{configuration_source_.confirmed(),
+                                                  follower_.Current() != nullptr, registry_.Settled(now)};
+  if (!lifecycle_.BecomesReady(conditions)) return;
   snapshot_changed_ = true;  // the snapshot now reports that the runners are known
   LOG(INFO) << "ready: edition " << follower_.Current()->edition << ", " << runners_->size() << " runners, "
             << live_.size() << " members";
   membership_ring::MembershipOutput output;
   membership_.UpdateSelf(now, /*ready=*/true, replica_id_, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 void ControlNode::BeginDrain() {
@@ -332,12 +332,12 @@
   // can.
   membership_ring::MembershipOutput output;
   membership_.UpdateSelf(now, /*ready=*/false, /*replica_id=*/"", &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 // Whether this store is still a voter of some register although enough other live members could replace it.
-bool ControlNode::VotesWhereOthersCould() const {
-  if (!CanLeaveVotes(live_, settings_.name, settings_.tolerated_machines)) return false;
+bool ControlNode::HasTransferableVotes() const {
+  if (!CanHandOverVotes(live_, settings_.name, settings_.tolerated_machines)) return false;
   const std::vector<std::string> names = AllRegisters();
   return std::any_of(names.begin(), names.end(), [this](const std::string& name) {
     return IsVoter(registers_.KnownGroup(name), replica_id_);
@@ -346,12 +346,12 @@
 
 // Remains a member, and keeps receiving updates about drained runners, until its last request is answered.
 void ControlNode::ExitIfDrained(Time now) {
-  if (!lifecycle_.MayExit(now, {.requests = !host_->RequestsAreDrained(), .votes = VotesWhereOthersCould()}))
+  if (!lifecycle_.MayExit(now, {.requests = !host_->RequestsAreDrained(), .votes = HasTransferableVotes()}))
     return;
   membership_ring::MembershipOutput output;
   membership_.Leave(now, &output);
   output.changed = false;
-  Carry(std::move(output));
+  Execute(std::move(output));
   host_->Exit();
 }
 
--- a/src/node/control_node.h
+++ b/src/node/control_node.h
@@ -45,9 +45,9 @@
  private:
   // Messages
   void ReceiveGroupHints(Time now, const std::string& from, const messages::GroupHints& hints);
-  void Carry(membership_ring::MembershipOutput output);
-  void Carry(registry::RegistryOutput output);
-  void Carry(configuration::FollowerOutput output);
+  void Execute(membership_ring::MembershipOutput output);
+  void Execute(registry::RegistryOutput output);
+  void Execute(configuration::FollowerOutput output);
   // State and timers
   ControlResponse Status() const;
   void MembersChanged(Time now);
@@ -56,7 +56,7 @@
   void PublishSnapshot(Time now);
   void UpdateReadiness(Time now);
   void ExitIfDrained(Time now);
-  bool VotesWhereOthersCould() const;
+  bool HasTransferableVotes() const;
   Time WallNow() const { return host_->Now() + wall_offset_; }
 
   NodeHost* host_;
--- a/src/node/duty_service.cpp
+++ b/src/node/duty_service.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 constexpr Time kActInterval = 250 * kMillisecond;
-constexpr Time kShortestCall = kMillisecond;
+constexpr Time kMinCallTimeout = kMillisecond;
 
 duties::OwnershipSettings OwnershipSettingsFor(const std::string& register_name, const NodeSettings& settings,
                                                const NodeIdentity& identity) {
-  duties::OwnershipSettings own;
-  own.register_name = register_name;
-  own.self_name = settings.name;
-  own.self_incarnation = identity.incarnation;
-  own.lease = settings.bounds.lease;
-  own.seed = identity.seed;
-  return own;
+  duties::OwnershipSettings ownership_settings;
+  ownership_settings.register_name = register_name;
+  ownership_settings.self_name = settings.name;
+  ownership_settings.self_incarnation = identity.incarnation;
+  ownership_settings.lease = settings.bounds.lease;
+  ownership_settings.seed = identity.seed;
+  return ownership_settings;
 }
 
 }  // namespace
@@ -41,12 +41,12 @@
 duties::Ownership& DutyService::OwnershipOf(const std::string& register_name) {
   auto& ownership = ownerships_[register_name];
   if (!ownership) {
-    auto own = OwnershipSettingsFor(register_name, settings_, identity_);
-    own.recent_loads = [this, register_name](Time now) {
+    auto ownership_settings = OwnershipSettingsFor(register_name, settings_, identity_);
+    ownership_settings.recent_loads = [this, register_name](Time now) {
       return placements_.LoadHistoryForRenewal(now, register_name, OwnershipOf(register_name).epoch(),
                                                resigned_);
     };
-    ownership = std::make_unique<duties::Ownership>(std::move(own));
+    ownership = std::make_unique<duties::Ownership>(std::move(ownership_settings));
   }
   return *ownership;
 }
@@ -87,7 +87,7 @@
   runners_ = std::move(runners);
 }
 
-void DutyService::Tell(const messages::DutiesMessage& message) {
+void DutyService::SendToStores(const messages::DutiesMessage& message) {
   for (const Member& member : live_) {
     if (member.replica_id.empty() || member.name == settings_.name) continue;
     messages::Envelope envelope;
@@ -104,9 +104,9 @@
     messages::WindowCount* count = usage.mutable_usage()->add_windows();
     count->set_window(window);
     for (const auto& [tenant, number] : counts) {
-      messages::TenantCount* of_tenant = count->add_counts();
-      of_tenant->set_tenant(tenant);
-      of_tenant->set_count(number);
+      messages::TenantCount* tenant_count = count->add_counts();
+      tenant_count->set_tenant(tenant);
+      tenant_count->set_count(number);
     }
   }
   usage_.Merge(wall_now, usage.usage());
@@ -130,7 +130,7 @@
     model->set_unserved(item.unserved);
   }
   MergeDemand(now, demand.demand());
-  Tell(demand);
+  SendToStores(demand);
 }
 
 void DutyService::Receive(Time wall_now, const messages::DutiesMessage& message) {
@@ -143,7 +143,7 @@
   if (lacks_runners) next_act_ = std::min(next_act_, now);
 }
 
-void DutyService::Carry(const std::string& register_name, duties::OwnershipOutput output) {
+void DutyService::Execute(const std::string& register_name, duties::OwnershipOutput output) {
   for (duties::RegisterOperation& operation : output.operations) {
     registers_->Submit(operation.register_name, std::move(operation.change), operation.deadline,
                        [this, register_name, tag = operation.tag](const consensus::Completion& completion) {
@@ -153,7 +153,7 @@
                              << register_name << ": no majority of its replicas answered in time";
                          duties::OwnershipOutput next;
                          OwnershipOf(register_name).Completed(host_->Now(), tag, completion, &next);
-                         Carry(register_name, std::move(next));
+                         Execute(register_name, std::move(next));
                        });
   }
   if (!output.changed) return;
@@ -162,7 +162,7 @@
             << ownership.state().epoch() << (ownership.Holds(host_->Now()) ? ", held here" : "");
 }
 
-void DutyService::Accepting(Time now, const std::string& register_name, const std::string& payload) {
+void DutyService::OnAcceptRequest(Time now, const std::string& register_name, const std::string& payload) {
   const auto ownership = ownerships_.find(register_name);
   if (ownership == ownerships_.end()) return;
   if (const auto state = duties::ReadState(payload)) ownership->second->Accepting(now, *state);
@@ -172,14 +172,14 @@
   for (auto& [name, ownership] : ownerships_) {
     duties::OwnershipOutput output;
     ownership->Tick(now, &output);
-    Carry(name, std::move(output));
+    Execute(name, std::move(output));
   }
   if (now < next_act_) return;
   next_act_ = now + kActInterval;
   if (resigned_) return;
   ActOnUsage(now, wall_now);
   ActOnPlacement(now);
-  ActBy(placements_.NextTimer());
+  ScheduleActBy(placements_.NextTimer());
 }
 
 std::optional<Time> DutyService::NextTimer() const {
@@ -195,30 +195,30 @@
   if (found == ownerships_.end() || !found->second->Holds(now)) return;
   duties::UsageDuty::Output output;
   usage_.Act(now, wall_now, found->second->epoch(), found->second->state(), &output);
-  CarryUsage(std::move(output));
+  ExecuteUsage(std::move(output));
 }
 
 // The call times out before another dispatcher can become owner and act in place of this one.
 void DutyService::CallAsOwner(const std::string& register_name, duties::HttpCall call,
                               NodeHost::CallDone done) {
   if (const std::optional<Time> end = OwnershipOf(register_name).CallDeadline()) {
-    const Time left = std::max(*end - host_->Now(), kShortestCall);
+    const Time left = std::max(*end - host_->Now(), kMinCallTimeout);
     call.timeout = std::min(call.timeout, left);
   }
   host_->Call(call, std::move(done));
 }
 
-void DutyService::CarryUsage(duties::UsageDuty::Output output) {
+void DutyService::ExecuteUsage(duties::UsageDuty::Output output) {
   for (const messages::WindowCount& tally : output.choose) {
     duties::OwnershipOutput chosen;
     OwnershipOf(UsageRegister()).ChooseTally(host_->Now(), tally, &chosen);
-    Carry(UsageRegister(), std::move(chosen));
+    Execute(UsageRegister(), std::move(chosen));
   }
   for (const duties::HttpCall& call : output.calls) {
     CallAsOwner(UsageRegister(), call, [this, tag = call.tag](const duties::HttpResult& result) {
       duties::UsageDuty::Output next;
       usage_.Completed(host_->Now(), tag, result, &next);
-      CarryUsage(std::move(next));
+      ExecuteUsage(std::move(next));
     });
   }
 }
@@ -236,13 +236,13 @@
   for (ServicePlacements::Call& call : placements_.Act(now, facts)) {
     const auto done = [this, service = call.service, tag = call.call.tag](const duties::HttpResult& result) {
       placements_.Completed(host_->Now(), service, tag, result);
-      ActBy(placements_.NextTimer());
+      ScheduleActBy(placements_.NextTimer());
     };
     CallAsOwner(ShardRegister(call.service), std::move(call.call), done);
   }
 }
 
-void DutyService::ActBy(std::optional<Time> time) {
+void DutyService::ScheduleActBy(std::optional<Time> time) {
   if (time) next_act_ = std::min(next_act_, *time);
 }
 
@@ -251,15 +251,16 @@
   for (auto& [name, ownership] : ownerships_) {
     duties::OwnershipOutput output;
     ownership->Resign(now, &output);
-    Carry(name, std::move(output));
+    Execute(name, std::move(output));
   }
 }
 
-std::vector<DutyService::Holding> DutyService::Holdings(Time now) const {
-  std::vector<Holding> holdings;
+std::vector<DutyService::OwnershipStatus> DutyService::OwnershipStatuses(Time now) const {
+  std::vector<OwnershipStatus> ownership_statuses;
   for (const auto& [name, ownership] : ownerships_)
-    holdings.push_back({name, ownership->state().owner(), ownership->state().epoch(), ownership->Holds(now)});
-  return holdings;
+    ownership_statuses.push_back(
+        {name, ownership->state().owner(), ownership->state().epoch(), ownership->Holds(now)});
+  return ownership_statuses;
 }
 
 }  // namespace lichenlug::node
--- a/src/node/duty_service.h
+++ b/src/node/duty_service.h
@@ -34,32 +34,32 @@
   void Report(Time now, Time wall_now, const dataplane::Report& report);
   void Receive(Time wall_now, const messages::DutiesMessage& message);
   // The local replica was asked to accept this payload of a register.
-  void Accepting(Time now, const std::string& register_name, const std::string& payload);
+  void OnAcceptRequest(Time now, const std::string& register_name, const std::string& payload);
   void Tick(Time now, Time wall_now);
   std::optional<Time> NextTimer() const;
   void Resign(Time now);  // SIGTERM
 
-  struct Holding {
+  struct OwnershipStatus {
     std::string register_name;
     std::string owner;
     std::uint64_t epoch = 0;
-    bool held_here = false;
+    bool owned_here = false;
   };
-  std::vector<Holding> Holdings(Time now) const;
+  std::vector<OwnershipStatus> OwnershipStatuses(Time now) const;
   std::vector<std::string> Explain(Time now) const { return placements_.Explain(now); }
 
  private:
   duties::Ownership& OwnershipOf(const std::string& register_name);
   bool IsWanted(const std::string& register_name) const;
-  void Carry(const std::string& register_name, duties::OwnershipOutput output);
+  void Execute(const std::string& register_name, duties::OwnershipOutput output);
   void ActOnUsage(Time now, Time wall_now);
   void ActOnPlacement(Time now);
-  void ActBy(std::optional<Time> time);  // schedules the next action at `time` or earlier
+  void ScheduleActBy(std::optional<Time> time);  // schedules the next action at `time` or earlier
   void HandOverUsage();
-  void CarryUsage(duties::UsageDuty::Output output);
+  void ExecuteUsage(duties::UsageDuty::Output output);
   void CallAsOwner(const std::string& register_name, duties::HttpCall call, NodeHost::CallDone done);
   void MergeDemand(Time now, const messages::DemandReport& report);
-  void Tell(const messages::DutiesMessage& message);
+  void SendToStores(const messages::DutiesMessage& message);
 
   NodeHost* host_;
   NodeSettings settings_;
--- a/src/node/end_acknowledgements.cpp
+++ b/src/node/end_acknowledgements.cpp
@@ -17,13 +17,13 @@
 
 void EndAcknowledgements::Add(Time now, const std::string& runner_id, ControlResponse response,
                               Respond respond) {
-  if (waiting_.size() >= kMaxWaitingEnds) return respond(Refusal());
-  waiting_.push_back({runner_id, now + kEndAcknowledgedWithin, std::move(response), std::move(respond)});
+  if (pending_.size() >= kMaxPendingEnds) return respond(Refusal());
+  pending_.push_back({runner_id, now + kEndAcknowledgementTimeout, std::move(response), std::move(respond)});
 }
 
 int EndAcknowledgements::Check(Time now, const IsKnown& is_known) {
   int refused = 0;
-  for (auto entry = waiting_.begin(); entry != waiting_.end();) {
+  for (auto entry = pending_.begin(); entry != pending_.end();) {
     // A process that was frozen would respond late: its knowledge may be stale by then, and the caller has
     // given up.
     const bool is_over = now >= entry->until;
@@ -31,8 +31,8 @@
       ++entry;
       continue;
     }
-    Waiting done = std::move(*entry);
-    entry = waiting_.erase(entry);
+    Pending done = std::move(*entry);
+    entry = pending_.erase(entry);
     refused += is_over ? 1 : 0;
     done.respond(is_over ? Refusal() : std::move(done.response));
   }
@@ -40,7 +40,7 @@
 }
 
 std::optional<Time> EndAcknowledgements::NextTimer() const {
-  return waiting_.empty() ? std::nullopt : std::optional(waiting_.front().until);
+  return pending_.empty() ? std::nullopt : std::optional(pending_.front().until);
 }
 
 }  // namespace lichenlug::node
--- a/src/node/end_acknowledgements.h
+++ b/src/node/end_acknowledgements.h
@@ -13,9 +13,9 @@
 
 namespace lichenlug::node {
 
-inline constexpr Time kEndAcknowledgedWithin =
+inline constexpr Time kEndAcknowledgementTimeout =
     700 * kMillisecond;  // runners try another dispatcher after 1 s
-inline constexpr std::size_t kMaxWaitingEnds = 4096;
+inline constexpr std::size_t kMaxPendingEnds = 4096;
 
 class EndAcknowledgements {
  public:
@@ -28,13 +28,13 @@
   std::optional<Time> NextTimer() const;
 
  private:
-  struct Waiting {
+  struct Pending {
     std::string runner_id;
     Time until = 0;
     ControlResponse response;
     Respond respond;
   };
-  std::list<Waiting> waiting_;  // ordered by deadline
+  std::list<Pending> pending_;  // ordered by deadline
 };
 
 }  // namespace lichenlug::node
--- a/src/node/founding_records.cpp
+++ b/src/node/founding_records.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-messages::FoundingRecord TakeFoundingRecord(std::vector<std::pair<std::string, std::string>>* records) {
+messages::FoundingRecord ExtractFoundingRecord(std::vector<std::pair<std::string, std::string>>* records) {
   messages::FoundingRecord found;
   std::erase_if(*records, [&](const auto& entry) {
     const bool is_founding = entry.first == kFoundingKey || entry.first == kFoundingGroupKey;
--- a/src/node/founding_records.h
+++ b/src/node/founding_records.h
@@ -13,6 +13,6 @@
 
 // Removes the founding records from the records of a store (pairs of key and value) and returns the newest.
 // The result has no founding if there is no such record, or none that can be parsed.
-messages::FoundingRecord TakeFoundingRecord(std::vector<std::pair<std::string, std::string>>* records);
+messages::FoundingRecord ExtractFoundingRecord(std::vector<std::pair<std::string, std::string>>* records);
 
 }  // namespace lichenlug::node
--- a/src/node/group_keeper.cpp
+++ b/src/node/group_keeper.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Time kKeepInterval = 300 * kMillisecond;
+constexpr Time kCheckInterval = 300 * kMillisecond;
 constexpr Time kHintInterval = 500 * kMillisecond;
 constexpr Time kPollInterval = 100 * kMillisecond;  // while the founding group is unknown
 constexpr Time kProofPollInterval = 400 * kMillisecond;
@@ -27,21 +27,21 @@
 }
 
 Time GroupKeeper::NextTimer() const {
-  return registers_->FoundingIsProven() ? next_keep_ : std::min(next_keep_, next_ask_);
+  return registers_->FoundingIsProven() ? next_check_ : std::min(next_check_, next_query_);
 }
 
 void GroupKeeper::Tick(Time now, const std::vector<Member>& live, const std::string& replica_id) {
-  if (!registers_->FoundingIsProven() && now >= next_ask_) Ask(now, live);
-  if (now < next_keep_) return;
-  next_keep_ = now + kKeepInterval;
-  if (IsGroupKeeper(live, settings_.name)) TellInTurn(now, live);
+  if (!registers_->FoundingIsProven() && now >= next_query_) QueryGroups(now, live);
+  if (now < next_check_) return;
+  next_check_ = now + kCheckInterval;
+  if (IsGroupKeeper(live, settings_.name)) SendNextHint(now, live);
   ChangeGroups(now, live, !replica_id.empty());
 }
 
-void GroupKeeper::TellInTurn(Time now, const std::vector<Member>& live) {
+void GroupKeeper::SendNextHint(Time now, const std::vector<Member>& live) {
   if (now < next_hint_) return;
   next_hint_ = now + kHintInterval;
-  SendHints(live[turn_++ % live.size()].address);
+  SendHints(live[next_hint_index_++ % live.size()].address);
 }
 
 void GroupKeeper::ChangeGroups(Time now, const std::vector<Member>& live, bool may_change) {
@@ -75,9 +75,9 @@
 
 // A process that is not on its first start and has no store, or an empty one, queries others for the groups.
 // A process that only assumes the founding group queries whether another one was agreed on.
-void GroupKeeper::Ask(Time now, const std::vector<Member>& live) {
-  next_ask_ = now + (registers_->KnowsFounding() ? kProofPollInterval : kPollInterval);
-  for (const std::string& address : asking_.Next(live, settings_.internal_address)) {
+void GroupKeeper::QueryGroups(Time now, const std::vector<Member>& live) {
+  next_query_ = now + (registers_->KnowsFounding() ? kProofPollInterval : kPollInterval);
+  for (const std::string& address : query_targets_.Next(live, settings_.internal_address)) {
     messages::Envelope envelope;
     envelope.mutable_group_hints()->set_wants_reply(true);
     host_->Send(address, std::move(envelope));
--- a/src/node/group_keeper.h
+++ b/src/node/group_keeper.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "cluster/member.h"
-#include "node/group_asking.h"
 #include "node/group_mover.h"
+#include "node/group_query_targets.h"
 #include "node/node_settings.h"
 #include "node/register_service.h"
 
@@ -36,19 +36,19 @@
   void Receive(const std::string& from_address, const messages::GroupHints& hints);
 
  private:
-  void TellInTurn(Time now, const std::vector<Member>& live);
+  void SendNextHint(Time now, const std::vector<Member>& live);
   void ChangeGroups(Time now, const std::vector<Member>& live, bool may_change);
   void Change(GroupMove move);
-  void Ask(Time now, const std::vector<Member>& live);
+  void QueryGroups(Time now, const std::vector<Member>& live);
   void SendHints(const std::string& address);
 
   NodeHost* host_;
   const NodeSettings& settings_;
   RegisterService* registers_;
   GroupMover mover_;
-  Time next_keep_ = 0, next_hint_ = 0, next_ask_ = 0;
-  std::size_t turn_ = 0;  // round-robin position among the members that receive hints
-  GroupAsking asking_;
+  Time next_check_ = 0, next_hint_ = 0, next_query_ = 0;
+  std::size_t next_hint_index_ = 0;  // round-robin position among the members that receive hints
+  GroupQueryTargets query_targets_;
 };
 
 }  // namespace lichenlug::node
--- a/src/node/group_mover.h
+++ b/src/node/group_mover.h
@@ -23,7 +23,7 @@
 
 // An absent member counts as gone once a majority of the group has been visible for this long without
 // interruption: by then all other members have started and are known here.
-inline constexpr Time kStartOfAllTakes = 4 * kSecond;
+inline constexpr Time kFullStartDuration = 4 * kSecond;
 
 struct GroupMove {
   std::string register_name;
@@ -49,21 +49,21 @@
   void Completed(Time now, const std::string& register_name, bool settled);
 
  private:
-  struct Register {
+  struct RegisterState {
     std::optional<Time> majority_seen_since;
-    Time seen_at = 0;  // the last call of Next()
+    Time last_observed_at = 0;  // the last call of Next()
     bool in_flight = false;
     int failures = 0;  // consecutive
     Time not_before = 0;
   };
 
-  static void Look(Time now, const messages::ReplicaGroup& present, const std::vector<Member>& live,
-                   Register* looked_at);
+  static void ObserveMajority(Time now, const messages::ReplicaGroup& present,
+                              const std::vector<Member>& live, RegisterState* state);
 
   std::string self_name_;
   int tolerated_;
   std::mt19937_64 random_;
-  std::map<std::string, Register> registers_;
+  std::map<std::string, RegisterState> registers_;
 };
 
 }  // namespace lichenlug::node
--- a/src/node/group_planner.cpp
+++ b/src/node/group_planner.cpp
@@ -24,7 +24,7 @@
   return identity;
 }
 
-bool Holds(const Identities& identities, const std::string& replica_id) {
+bool Contains(const Identities& identities, const std::string& replica_id) {
   return std::any_of(identities.begin(), identities.end(),
                      [&](const auto& identity) { return identity.replica_id() == replica_id; });
 }
@@ -59,18 +59,19 @@
   const bool keeps_absent = absent_members == AbsentMembers::kMayStart;
   if (keeps_absent) wanted.insert(wanted.end(), absent.begin(), absent.end());
   for (const Member& member : live) {
-    if (!MayReplicate(member) || Holds(wanted, member.replica_id)) continue;
+    if (!MayReplicate(member) || Contains(wanted, member.replica_id)) continue;
     if (wanted.size() < kMaxReplicas) wanted.push_back(IdentityOf(member));
   }
-  const std::size_t least = MinVoters(tolerated);
+  const std::size_t min_voters = MinVoters(tolerated);
   for (const auto& identity : absent) {
-    if (!keeps_absent && wanted.size() < least) wanted.push_back(identity);
+    if (!keeps_absent && wanted.size() < min_voters) wanted.push_back(identity);
   }
   // An even number of voters enlarges the quorum without tolerating another loss.
-  if (wanted.size() > least && wanted.size() % 2 == 0) wanted.pop_back();
-  const bool same = wanted.size() == static_cast<std::size_t>(present.members_size()) &&
-                    std::all_of(present.members().begin(), present.members().end(),
-                                [&](const auto& identity) { return Holds(wanted, identity.replica_id()); });
+  if (wanted.size() > min_voters && wanted.size() % 2 == 0) wanted.pop_back();
+  const bool same =
+      wanted.size() == static_cast<std::size_t>(present.members_size()) &&
+      std::all_of(present.members().begin(), present.members().end(),
+                  [&](const auto& identity) { return Contains(wanted, identity.replica_id()); });
   if (same && present.next_members().empty()) return std::nullopt;
   return wanted;
 }
@@ -80,17 +81,17 @@
       group, [&](const std::string& replica_id) { return FindLive(live, replica_id) != nullptr; });
 }
 
-bool IsGrown(const messages::ReplicaGroup& group, const std::vector<Member>& live, int tolerated,
-             AbsentMembers absent_members) {
+bool IsFaultTolerant(const messages::ReplicaGroup& group, const std::vector<Member>& live, int tolerated,
+                     AbsentMembers absent_members) {
   const auto& voters = IsJoint(group) ? group.next_members() : group.members();
   if (static_cast<std::size_t>(voters.size()) >= MinVoters(tolerated)) return true;
   if (absent_members == AbsentMembers::kMayStart) return false;
   return std::none_of(live.begin(), live.end(), [&](const Member& member) {
-    return MayReplicate(member) && !Holds({voters.begin(), voters.end()}, member.replica_id);
+    return MayReplicate(member) && !Contains({voters.begin(), voters.end()}, member.replica_id);
   });
 }
 
-bool CanLeaveVotes(const std::vector<Member>& live, const std::string& self_name, int tolerated) {
+bool CanHandOverVotes(const std::vector<Member>& live, const std::string& self_name, int tolerated) {
   const auto others = std::count_if(live.begin(), live.end(), [&](const Member& member) {
     return MayReplicate(member) && member.name != self_name;
   });
@@ -98,7 +99,7 @@
 }
 
 bool IsVoter(const messages::ReplicaGroup& group, const std::string& replica_id) {
-  return !replica_id.empty() && Holds(consensus::AllMembers(group), replica_id);
+  return !replica_id.empty() && Contains(consensus::AllMembers(group), replica_id);
 }
 
 bool IsGroupKeeper(const std::vector<Member>& live, const std::string& self_name) {
--- a/src/node/group_planner.h
+++ b/src/node/group_planner.h
@@ -31,12 +31,12 @@
 
 // Whether a value chosen in this group survives the loss of `tolerated` disks, as far as the live machines
 // allow: false while the group is smaller than required and a machine has yet to join it, or may start.
-bool IsGrown(const messages::ReplicaGroup& group, const std::vector<Member>& live, int tolerated,
-             AbsentMembers absent_members);
+bool IsFaultTolerant(const messages::ReplicaGroup& group, const std::vector<Member>& live, int tolerated,
+                     AbsentMembers absent_members);
 
 // Whether enough other live members count for the quorum and have a store, so that this one can hand its
 // votes over.
-bool CanLeaveVotes(const std::vector<Member>& live, const std::string& self_name, int tolerated);
+bool CanHandOverVotes(const std::vector<Member>& live, const std::string& self_name, int tolerated);
 
 // Whether this replica is a voter of the group, or of the next group during a move.
 bool IsVoter(const messages::ReplicaGroup& group, const std::string& replica_id);
--- a/src/node/group_asking.h
+++ b/src/node/group_query_targets.h
@@ -11,9 +11,9 @@
 namespace lichenlug::node {
 
 // The number of members queried at a time.
-inline constexpr std::size_t kAskedForGroups = 3;
+inline constexpr std::size_t kMaxGroupQueries = 3;
 
-class GroupAsking {
+class GroupQueryTargets {
  public:
   // The addresses to query now, excluding this dispatcher's own. Members with a store know the groups, so all
   // but one of the queries go to them, round robin; the last one goes to the next of all members, because
@@ -22,7 +22,7 @@
   std::vector<std::string> Next(const std::vector<Member>& live, const std::string& own_address);
 
  private:
-  std::size_t store_turn_ = 0, any_turn_ = 0;
+  std::size_t next_store_ = 0, next_member_ = 0;
 };
 
 }  // namespace lichenlug::node
--- a/src/node/lifecycle.h
+++ b/src/node/lifecycle.h
@@ -8,13 +8,13 @@
 class Lifecycle {
  public:
   // What must be known before requests are accepted.
-  struct Knowledge {
+  struct ReadinessConditions {
     bool configuration_confirmed = false;  // by a majority, since the process started
     bool configuration_in_force = false;
     bool runners_settled = false;
   };
   // Work that is still pending during a drain.
-  struct Owed {
+  struct PendingWork {
     bool requests = false;  // in flight
     bool votes = false;     // of the local store that other members could take over
   };
@@ -23,11 +23,11 @@
   explicit Lifecycle(Time grace) : grace_(grace) {}
 
   // Returns true once, when the process becomes ready.
-  bool BecomesReady(const Knowledge& known);
+  bool BecomesReady(const ReadinessConditions& conditions);
   // SIGTERM. Returns false if the process is already draining.
   bool BeginDrain(Time now);
   // Poll every kDrainPoll while draining.
-  bool MayExit(Time now, const Owed& owed) const;
+  bool MayExit(Time now, const PendingWork& pending) const;
 
   bool is_ready() const { return phase_ == Phase::kReady; }
   bool is_draining() const { return phase_ == Phase::kDraining; }
--- a/src/node/node_roles.cpp
+++ b/src/node/node_roles.cpp
@@ -19,7 +19,7 @@
 
 std::vector<NamedRole> AllRoles(const NodeRoles& roles) {
   return {{kClients, roles.serves_clients},
-          {kReadiness, roles.tells_readiness},
+          {kReadiness, roles.serves_readiness},
           {kControl, roles.serves_control},
           {kStore, roles.keeps_store},
           {kQuorum, roles.counts_for_quorum}};
@@ -35,7 +35,7 @@
 
 NodeRoles RolesOf(const NodeSettings& settings) {
   return {.serves_clients = !settings.front_address.empty(),
-          .tells_readiness = !settings.ready_address.empty(),
+          .serves_readiness = !settings.ready_address.empty(),
           .serves_control = !settings.control_address.empty(),
           .keeps_store = !settings.store_folder.empty(),
           .counts_for_quorum = settings.counts_for_quorum};
--- a/src/node/node_roles.h
+++ b/src/node/node_roles.h
@@ -10,10 +10,10 @@
 namespace lichenlug::node {
 
 struct NodeRoles {
-  bool serves_clients = false;   // has an address for clients
-  bool tells_readiness = false;  // has an address for the platform's readiness checks
-  bool serves_control = false;   // has an address for runners and the operator
-  bool keeps_store = false;      // has a disk: may hold replicas and duties
+  bool serves_clients = false;    // has an address for clients
+  bool serves_readiness = false;  // has an address for the platform's readiness checks
+  bool serves_control = false;    // has an address for runners and the operator
+  bool keeps_store = false;       // has a disk: may hold replicas and duties
   bool counts_for_quorum = false;
 };
 
--- a/src/node/node_settings.cpp
+++ b/src/node/node_settings.cpp
@@ -23,56 +23,56 @@
   std::string key_;
 };
 
-[[noreturn]] void Refuse(const std::string& key, const std::string& remedy) {
+[[noreturn]] void ThrowSettingsError(const std::string& key, const std::string& remedy) {
   throw SettingsError(key, remedy);
 }
 
 std::string RequiredText(const Json& object, const std::string& key) {
   const auto found = object.find(key);
   if (found == object.end() || !found->is_string() || found->get_ref<const std::string&>().empty())
-    Refuse(key, "give a non-empty string");
+    ThrowSettingsError(key, "give a non-empty string");
   return found->get<std::string>();
 }
 
 std::string OptionalText(const Json& object, const std::string& key) {
   const auto found = object.find(key);
   if (found == object.end() || found->is_null()) return "";
-  if (!found->is_string()) Refuse(key, "give a string");
+  if (!found->is_string()) ThrowSettingsError(key, "give a string");
   return found->get<std::string>();
 }
 
-double Number(const Json& object, const std::string& key, double otherwise) {
+double Number(const Json& object, const std::string& key, double default_value) {
   const auto found = object.find(key);
-  if (found == object.end() || found->is_null()) return otherwise;
-  if (!found->is_number() || found->get<double>() < 0) Refuse(key, "give a number of 0 or more");
+  if (found == object.end() || found->is_null()) return default_value;
+  if (!found->is_number() || found->get<double>() < 0) ThrowSettingsError(key, "give a number of 0 or more");
   return found->get<double>();
 }
 
-Time Milliseconds(const Json& object, const std::string& key, Time otherwise) {
-  const double fallback = static_cast<double>(otherwise) / kMillisecond;
+Time Milliseconds(const Json& object, const std::string& key, Time default_value) {
+  const double fallback = static_cast<double>(default_value) / kMillisecond;
   return static_cast<Time>(Number(object, key, fallback) * kMillisecond);
 }
 
-Time Seconds(const Json& object, const std::string& key, Time otherwise) {
-  const double fallback = static_cast<double>(otherwise) / kSecond;
+Time Seconds(const Json& object, const std::string& key, Time default_value) {
+  const double fallback = static_cast<double>(default_value) / kSecond;
   return static_cast<Time>(Number(object, key, fallback) * kSecond);
 }
 
-bool Flag(const Json& object, const std::string& key, bool otherwise) {
+bool Flag(const Json& object, const std::string& key, bool default_value) {
   const auto found = object.find(key);
-  if (found == object.end() || found->is_null()) return otherwise;
-  if (!found->is_boolean()) Refuse(key, "give true or false");
+  if (found == object.end() || found->is_null()) return default_value;
+  if (!found->is_boolean()) ThrowSettingsError(key, "give true or false");
   return found->get<bool>();
 }
 
 Json Object(const Json& object, const std::string& key) {
   const auto found = object.find(key);
   if (found == object.end() || found->is_null()) return Json::object();
-  if (!found->is_object()) Refuse(key, "give an object");
+  if (!found->is_object()) ThrowSettingsError(key, "give an object");
   return *found;
 }
 
-bool ListHolds(const Json& object, const std::string& key, const std::string& word) {
+bool ListContains(const Json& object, const std::string& key, const std::string& word) {
   const auto found = object.find(key);
   if (found == object.end() || !found->is_array()) return false;
   return std::any_of(found->begin(), found->end(), [&](const Json& item) { return item == word; });
@@ -102,15 +102,17 @@
 std::string InternalPort(const Json& object) {
   const auto ports = object.find("internal_ports");
   if (ports == object.end() || !ports->is_array() || ports->empty() || !ports->front().is_number_integer())
-    Refuse("internal_ports", "give a list of two port numbers");
+    ThrowSettingsError("internal_ports", "give a list of two port numbers");
   return std::to_string(ports->front().get<int>());
 }
 
 void ReadSeeds(const Json& object, const std::string& port, NodeSettings* settings) {
   const auto seeds = object.find("seed_stations");
-  if (seeds == object.end() || !seeds->is_array()) Refuse("seed_stations", "give a list of addresses");
+  if (seeds == object.end() || !seeds->is_array())
+    ThrowSettingsError("seed_stations", "give a list of addresses");
   for (const Json& seed : *seeds) {
-    if (!seed.is_string()) Refuse("seed_stations", "give addresses as strings of the form IP:PORT");
+    if (!seed.is_string())
+      ThrowSettingsError("seed_stations", "give addresses as strings of the form IP:PORT");
     settings->seed_addresses.push_back(IpOf(seed.get<std::string>()) + ":" + port);
   }
 }
@@ -118,8 +120,8 @@
 void ReadPlatform(const Json& object, NodeSettings* settings) {
   const Json platform = Object(object, "carrier_api");
   settings->platform_address = OptionalText(platform, "address");
-  settings->duty_usage = ListHolds(platform, "duties", "usage");
-  settings->duty_fleet = ListHolds(platform, "duties", "fleet");
+  settings->duty_usage = ListContains(platform, "duties", "usage");
+  settings->duty_fleet = ListContains(platform, "duties", "fleet");
 }
 
 void ReadAddresses(const Json& object, NodeSettings* settings) {
@@ -131,17 +133,17 @@
 
 // A machine may lack an address, a disk or both; only what its required roles need must be present.
 void ReadRoles(const Json& object, NodeSettings* settings) {
-  settings->asked.clients = ListHolds(object, "serves", "front");
-  settings->asked.control = ListHolds(object, "serves", "control");
-  if (settings->asked.clients && settings->front_address.empty())
-    Refuse("docks.front_dock", "give IP:PORT for clients, or take \"front\" out of `serves`");
-  if (settings->asked.control && settings->control_address.empty())
-    Refuse("docks.control_dock",
-           "give IP:PORT for runners and operators, or take \"control\" out of `serves`");
+  settings->required_roles.clients = ListContains(object, "serves", "front");
+  settings->required_roles.control = ListContains(object, "serves", "control");
+  if (settings->required_roles.clients && settings->front_address.empty())
+    ThrowSettingsError("docks.front_dock", "give IP:PORT for clients, or take \"front\" out of `serves`");
+  if (settings->required_roles.control && settings->control_address.empty())
+    ThrowSettingsError("docks.control_dock",
+                       "give IP:PORT for runners and operators, or take \"control\" out of `serves`");
 }
 
 NodeSettings Read(const Json& object) {
-  if (!object.is_object()) Refuse("the whole file", "give a JSON object");
+  if (!object.is_object()) ThrowSettingsError("the whole file", "give a JSON object");
   NodeSettings settings;
   settings.name = RequiredText(object, "station");
   settings.ip = RequiredText(object, "ip");
@@ -161,7 +163,7 @@
   settings.descriptors = static_cast<int>(Number(limits, "file_handles", settings.descriptors));
   settings.memory_mb = Number(limits, "memory_mb", settings.memory_mb);
   settings.heartbeat_interval = Milliseconds(object, "report_ms", settings.heartbeat_interval);
-  settings.retry_budget = ListHolds(object, "regulations_in_force", "retry");
+  settings.retry_budget = ListContains(object, "regulations_in_force", "retry");
   settings.bounds = ReadBounds(Object(object, "timetable"));
   ReadPlatform(object, &settings);
   return settings;
--- a/src/node/node_settings.h
+++ b/src/node/node_settings.h
@@ -30,7 +30,7 @@
 };
 
 // The roles that the deployment requires of a process.
-struct AskedRoles {
+struct RequiredRoles {
   bool clients = false;  // `serves` lists "front"
   bool control = false;  // `serves` lists "control"
 };
@@ -40,7 +40,7 @@
   std::string ip;
   std::string zone;
   std::string region;
-  AskedRoles asked;
+  RequiredRoles required_roles;
   std::string front_address;                // "ip:port" of the client listener; empty: clients are not served
   std::string ready_address;                // empty: readiness checks are not served
   std::string control_address;              // empty: runners and the operator are not served
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Callers try another dispatcher after 1 s without a response, so an operation times out just before that.
-constexpr Time kGiveUpAfter = 900 * kMillisecond;
+constexpr Time kOperationTimeout = 900 * kMillisecond;
 
 enum Reason { kAlreadyAccepted = 1, kConflict, kInvalid, kRead };
 
@@ -72,8 +72,12 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(NodeHost* host, RegisterService* registers, Learned learned, IsSafeIn is_safe_in)
-    : host_(host), registers_(registers), learned_(std::move(learned)), is_safe_in_(std::move(is_safe_in)) {}
+OperatorApi::OperatorApi(NodeHost* host, RegisterService* registers, Learned learned,
+                         IsDurableIn is_durable_in)
+    : host_(host),
+      registers_(registers),
+      learned_(std::move(learned)),
+      is_durable_in_(std::move(is_durable_in)) {}
 
 void OperatorApi::Change(configuration::ChangeRequest::Method method, const ControlRequest& request,
                          Respond respond) {
@@ -88,7 +92,7 @@
   registers_->Submit(
       std::string(configuration::kRegisterName),
       [pending](const std::string& payload) { return Apply(pending.get(), payload); },
-      host_->Now() + kGiveUpAfter,
+      host_->Now() + kOperationTimeout,
       [this, pending, respond = std::move(respond)](const consensus::Completion& completion) {
         const bool chosen = completion.outcome == consensus::Outcome::kChosen;
         if (!chosen && completion.outcome != consensus::Outcome::kKept)
@@ -96,7 +100,7 @@
         const auto state = configuration::ReadState(completion.payload);
         if (state) learned_(*state, chosen);
         const bool acknowledges = chosen || completion.reason == kAlreadyAccepted;
-        if (acknowledges && !is_safe_in_(completion.group))
+        if (acknowledges && !is_durable_in_(completion.group))
           return respond(ErrorResponse(503, "taken, but not yet on enough disks; send the same call again"));
         if (!chosen) return respond(KeptResponse(*pending, completion.reason));
         LOG(INFO) << "configuration: edition " << state->edition() << " taken, revision " << state->revision()
@@ -108,7 +112,7 @@
 void OperatorApi::Get(Respond respond) {
   registers_->Submit(
       std::string(configuration::kRegisterName),
-      [](const std::string&) { return consensus::KeepPayload{kRead}; }, host_->Now() + kGiveUpAfter,
+      [](const std::string&) { return consensus::KeepPayload{kRead}; }, host_->Now() + kOperationTimeout,
       [this, respond = std::move(respond)](const consensus::Completion& completion) {
         if (completion.outcome != consensus::Outcome::kKept)
           return respond(ErrorResponse(503, "no majority of replicas answers; ask again"));
--- a/src/node/operator_api.h
+++ b/src/node/operator_api.h
@@ -14,11 +14,11 @@
 class OperatorApi {
  public:
   // Whether a value chosen in this group survives the losses that the deployment must tolerate.
-  using IsSafeIn = std::function<bool(const messages::ReplicaGroup& group)>;
+  using IsDurableIn = std::function<bool(const messages::ReplicaGroup& group)>;
   using Learned = std::function<void(const messages::ConfigurationState& state, bool changed)>;
 
   // `learned` is called with each version known to be chosen, before the response to the operator.
-  OperatorApi(NodeHost* host, RegisterService* registers, Learned learned, IsSafeIn is_safe_in);
+  OperatorApi(NodeHost* host, RegisterService* registers, Learned learned, IsDurableIn is_durable_in);
 
   void Change(configuration::ChangeRequest::Method method, const ControlRequest& request, Respond respond);
   void Get(Respond respond);
@@ -27,7 +27,7 @@
   NodeHost* host_;
   RegisterService* registers_;
   Learned learned_;
-  IsSafeIn is_safe_in_;
+  IsDurableIn is_durable_in_;
 };
 
 }  // namespace lichenlug::node
--- a/src/node/register_service.cpp
+++ b/src/node/register_service.cpp
@@ -14,15 +14,17 @@
 namespace {
 
 constexpr std::size_t kMaxHints = 64;
-constexpr Time kDiskAgainAfter = 300 * kMillisecond;  // a full disk may have free space by then
+constexpr Time kStoreRetryInterval = 300 * kMillisecond;  // a full disk may have free space by then
 
 // Long enough to learn the founding group from peers that know it, which takes about 100 ms. If two disks may
 // be lost at once, dispatchers that are not seats may be the only ones that know it.
-constexpr Time kFoundingRoundAfter = 500 * kMillisecond;
-constexpr Time kFoundingRoundAfterMoreLosses = 1500 * kMillisecond;
+constexpr Time kFoundingRoundDelay = 500 * kMillisecond;
+constexpr Time kFoundingRoundDelayMoreLosses = 1500 * kMillisecond;
 
 // Unique to one run of a process, as its seed is.
-std::string DrawnIdentity(std::uint64_t seed) { return "replica:" + std::to_string(std::mt19937_64(seed)()); }
+std::string RandomIdentity(std::uint64_t seed) {
+  return "replica:" + std::to_string(std::mt19937_64(seed)());
+}
 
 }  // namespace
 
@@ -52,21 +54,21 @@
 
 void RegisterService::LearnFounding(const messages::Founding& founding, bool proven) {
   if (founding.group().members_size() == 0) return;
-  const bool is_held = founding_ && consensus::Equal(founding_->ballot(), founding.ballot());
-  if (!is_held && founding_ && !consensus::Less(founding_->ballot(), founding.ballot())) return;
-  const bool tells_more = !is_held || (proven && !founding_proven_);
-  if (!is_held) AdoptFounding(founding);
-  founding_proven_ = proven || (is_held && founding_proven_);
-  if (!agreement_ || !tells_more) return;
+  const bool is_current = founding_ && consensus::Equal(founding_->ballot(), founding.ballot());
+  if (!is_current && founding_ && !consensus::Less(founding_->ballot(), founding.ballot())) return;
+  const bool has_new_information = !is_current || (proven && !founding_proven_);
+  if (!is_current) AdoptFounding(founding);
+  founding_proven_ = proven || (is_current && founding_proven_);
+  if (!agreement_ || !has_new_information) return;
   consensus::FoundingOutput output;
   agreement_->Learn(*founding_, founding_proven_, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 void RegisterService::AdoptFounding(const messages::Founding& founding) {
-  const bool moves = founding_.has_value();
+  const bool replaces = founding_.has_value();
   founding_ = founding;
-  if (!moves) {
+  if (!replaces) {
     node_ = std::make_unique<consensus::RegisterNode>(NodeSettingsFor("proposer", ""));
     return StartReplica();
   }
@@ -75,43 +77,43 @@
   const auto& members = founding_->group().members();
   node_->ReplaceFoundingGroup({members.begin(), members.end()},
                               ProposerName(replicates_ ? "replica" : "proposer"));
-  EndOperations();
+  FailPendingOperations();
 }
 
 void RegisterService::OpenStore(std::function<void(const std::string& replica_id)> started) {
   if (settings_.store_folder.empty()) return;
   replica_started_ = std::move(started);
-  AskStoreToOpen();
+  TryOpenStore();
 }
 
-void RegisterService::AskStoreToOpen() {
+void RegisterService::TryOpenStore() {
   reopen_store_at_.reset();
   const std::string identity = settings_.first_run ? consensus::FounderIdentity(settings_.internal_address)
-                                                   : DrawnIdentity(identity_.seed);
+                                                   : RandomIdentity(identity_.seed);
   host_->OpenStore(identity, [this](StoreContents contents) { StoreOpened(std::move(contents)); });
 }
 
 void RegisterService::StoreOpened(StoreContents contents) {
   if (!contents.opened) {
     LOG_EVERY_N(ERROR, 20) << "store: " << contents.error;
-    reopen_store_at_ = host_->Now() + kDiskAgainAfter;
+    reopen_store_at_ = host_->Now() + kStoreRetryInterval;
     return;
   }
   LOG(INFO) << "store: opened as " << contents.replica_id << (contents.created ? " (new)" : "");
-  messages::FoundingRecord record = TakeFoundingRecord(&contents.records);
+  messages::FoundingRecord record = ExtractFoundingRecord(&contents.records);
   opened_store_ = std::move(contents);
-  BeginFounding(std::move(record));
+  StartFoundingAgreement(std::move(record));
   StartReplica();
 }
 
-void RegisterService::BeginFounding(messages::FoundingRecord record) {
+void RegisterService::StartFoundingAgreement(messages::FoundingRecord record) {
   consensus::FoundingSettings founding;
   founding.proposer = ProposerName("founding");
   founding.self_address = settings_.internal_address;
   founding.replica_id = opened_store_->replica_id;
   founding.seats = settings_.seed_addresses;
   founding.begin_at =
-      host_->Now() + (settings_.tolerated_machines > 1 ? kFoundingRoundAfterMoreLosses : kFoundingRoundAfter);
+      host_->Now() + (settings_.tolerated_machines > 1 ? kFoundingRoundDelayMoreLosses : kFoundingRoundDelay);
   const bool established = record.established();
   const messages::Founding kept = record.founding();
   agreement_.emplace(std::move(founding), std::move(record));
@@ -119,7 +121,7 @@
   if (!founding_) return;
   consensus::FoundingOutput output;
   agreement_->Learn(*founding_, founding_proven_, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 // Requires the store and the founding group, which is written to the store before the replica votes.
@@ -137,7 +139,7 @@
   for (const auto& [name, group] : hints_) replica->LearnGroup(name, group);
   node_ = std::move(replica);
   replicates_ = true;
-  EndOperations();
+  FailPendingOperations();
   replica_started_(replica_id);
   if (node_->HoldsValues()) LearnFounding(*founding_, /*proven=*/true);
 }
@@ -149,10 +151,10 @@
   if (!agreement_) return;
   consensus::FoundingOutput output;
   agreement_->Receive(host_->Now(), from_address, message, HoldsValues(), &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
-void RegisterService::Carry(consensus::FoundingOutput output) {
+void RegisterService::Execute(consensus::FoundingOutput output) {
   for (consensus::FoundingSend& send : output.sends) {
     messages::Envelope envelope;
     *envelope.mutable_founding() = std::move(send.message);
@@ -162,7 +164,7 @@
     host_->Write(kFoundingKey, write.record.SerializeAsString(), [this, token = write.token](bool written) {
       consensus::FoundingOutput done;
       agreement_->StoreDone(host_->Now(), token, written, HoldsValues(), &done);
-      Carry(std::move(done));
+      Execute(std::move(done));
     });
   }
   if (replicates_) node_->SetVoting(agreement_->MayVoteInRegisters());
@@ -171,7 +173,7 @@
 }
 
 // A chosen value proves the founding group, because its group is the founding group or a successor of it.
-void RegisterService::NoteProven(const consensus::Completion& completion) {
+void RegisterService::UpdateFoundingProof(const consensus::Completion& completion) {
   if (founding_proven_ || !founding_) return;
   const bool chosen = completion.outcome == consensus::Outcome::kChosen ||
                       (completion.outcome == consensus::Outcome::kKept && !completion.payload.empty());
@@ -183,21 +185,21 @@
   if (!node_) return host_->Post([done = std::move(done)] { done({}); });
   consensus::RegisterOutput output;
   const auto operation = node_->Submit(host_->Now(), register_name, std::move(change), deadline, &output);
-  waiting_.emplace(operation, std::move(done));
-  Carry(std::move(output));
+  pending_operations_.emplace(operation, std::move(done));
+  Execute(std::move(output));
 }
 
 void RegisterService::Read(const std::string& register_name, Time deadline, Done done) {
   if (!node_) return host_->Post([done = std::move(done)] { done({}); });
   consensus::RegisterOutput output;
   const auto operation = node_->Read(host_->Now(), register_name, deadline, &output);
-  waiting_.emplace(operation, std::move(done));
-  Carry(std::move(output));
+  pending_operations_.emplace(operation, std::move(done));
+  Execute(std::move(output));
 }
 
-void RegisterService::EndOperations() {
-  const auto waiting = std::exchange(waiting_, {});
-  for (const auto& [operation, done] : waiting) {
+void RegisterService::FailPendingOperations() {
+  const auto operations = std::exchange(pending_operations_, {});
+  for (const auto& [operation, done] : operations) {
     consensus::Completion completion;
     completion.outcome = consensus::Outcome::kUnknown;
     done(completion);
@@ -208,21 +210,21 @@
   if (!node_) return;
   consensus::RegisterOutput output;
   node_->Receive(host_->Now(), from_address, message, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 void RegisterService::Tick(Time now) {
-  if (reopen_store_at_ && *reopen_store_at_ <= now) AskStoreToOpen();
+  if (reopen_store_at_ && *reopen_store_at_ <= now) TryOpenStore();
   if (replicates_ && !founding_proven_ && HoldsValues()) LearnFounding(*founding_, /*proven=*/true);
   if (agreement_) {
     consensus::FoundingOutput output;
     agreement_->Tick(now, HoldsValues(), &output);
-    Carry(std::move(output));
+    Execute(std::move(output));
   }
   if (!node_) return;
   consensus::RegisterOutput output;
   node_->Tick(now, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 std::optional<Time> RegisterService::NextTimer() const {
@@ -245,7 +247,7 @@
   return node_ ? node_->KnownGroup(register_name) : messages::ReplicaGroup();
 }
 
-void RegisterService::Carry(consensus::RegisterOutput output) {
+void RegisterService::Execute(consensus::RegisterOutput output) {
   for (consensus::RegisterSend& send : output.sends) {
     messages::Envelope envelope;
     *envelope.mutable_consensus() = std::move(send.message);
@@ -256,14 +258,14 @@
                  [this, token = write.token](bool written) { WriteDone(token, written); });
   }
   for (const consensus::RegisterProposal& proposal : output.proposals) {
-    if (accepting_) accepting_(proposal.register_name, proposal.value->payload());
+    if (accept_callback_) accept_callback_(proposal.register_name, proposal.value->payload());
   }
   for (const consensus::Completion& completion : output.completions) {
-    NoteProven(completion);
-    const auto found = waiting_.find(completion.operation);
-    if (found == waiting_.end()) continue;
+    UpdateFoundingProof(completion);
+    const auto found = pending_operations_.find(completion.operation);
+    if (found == pending_operations_.end()) continue;
     const Done done = std::move(found->second);
-    waiting_.erase(found);
+    pending_operations_.erase(found);
     done(completion);
   }
 }
@@ -274,7 +276,7 @@
   }
   consensus::RegisterOutput output;
   node_->StoreDone(host_->Now(), token, written, &output);
-  Carry(std::move(output));
+  Execute(std::move(output));
 }
 
 }  // namespace lichenlug::node
--- a/src/node/register_service.h
+++ b/src/node/register_service.h
@@ -43,8 +43,8 @@
   std::optional<Time> NextTimer() const;
 
   // Called with the payload whenever another dispatcher asks the local replica to accept a value.
-  using Accepting = std::function<void(const std::string& register_name, const std::string& payload)>;
-  void OnAccepting(Accepting accepting) { accepting_ = std::move(accepting); }
+  using AcceptCallback = std::function<void(const std::string& register_name, const std::string& payload)>;
+  void SetAcceptCallback(AcceptCallback accept_callback) { accept_callback_ = std::move(accept_callback); }
 
   bool KnowsFounding() const { return founding_.has_value(); }
   const messages::Founding& founding() const { return *founding_; }
@@ -57,15 +57,15 @@
 
  private:
   void StoreOpened(StoreContents contents);
-  void AskStoreToOpen();
-  void BeginFounding(messages::FoundingRecord record);
+  void TryOpenStore();
+  void StartFoundingAgreement(messages::FoundingRecord record);
   void StartReplica();
   void AdoptFounding(const messages::Founding& founding);
-  void NoteProven(const consensus::Completion& completion);
+  void UpdateFoundingProof(const consensus::Completion& completion);
   bool HoldsValues() const;
-  void EndOperations();
-  void Carry(consensus::FoundingOutput output);
-  void Carry(consensus::RegisterOutput output);
+  void FailPendingOperations();
+  void Execute(consensus::FoundingOutput output);
+  void Execute(consensus::RegisterOutput output);
   void WriteDone(std::uint64_t token, bool written);
   std::string ProposerName(const std::string& role) const;
   consensus::RegisterNodeSettings NodeSettingsFor(const std::string& role,
@@ -83,8 +83,8 @@
   std::unique_ptr<consensus::RegisterNode> node_;                  // null until the founding group is known
   bool replicates_ = false;                                        // node_ has a replica
   std::unordered_map<std::string, messages::ReplicaGroup> hints_;  // by register, to initialize the next node
-  std::unordered_map<consensus::OperationId, Done> waiting_;
-  Accepting accepting_;
+  std::unordered_map<consensus::OperationId, Done> pending_operations_;
+  AcceptCallback accept_callback_;
 };
 
 }  // namespace lichenlug::node
--- a/src/node/runner_api.cpp
+++ b/src/node/runner_api.cpp
@@ -16,24 +16,24 @@
 
 namespace {
 
-constexpr Time kReadGiveUp = 800 * kMillisecond;
+constexpr Time kReadTimeout = 800 * kMillisecond;
 
 }  // namespace
 
 RunnerApi::RunnerApi(NodeHost* host, std::string own_address, registry::Registry* registry,
-                     RegisterService* registers, Carry carry)
+                     RegisterService* registers, Execute execute)
     : host_(host),
       own_address_(std::move(own_address)),
       registry_(registry),
       registers_(registers),
-      carry_(std::move(carry)) {}
+      execute_(std::move(execute)) {}
 
 void RunnerApi::Handle(const std::string& runner_id, const ControlRequest& request, Respond respond) {
   if (request.method == "PUT") return HandleHeartbeat(runner_id, request.body, std::move(respond));
   if (request.method != "DELETE") return respond(PlainStatus(405));
   registry::RegistryOutput output;
   registry_->Delete(host_->Now(), runner_id, &output);
-  carry_(std::move(output));
+  execute_(std::move(output));
   AcknowledgeEnd(runner_id, PlainStatus(200), std::move(respond));
 }
 
@@ -49,7 +49,7 @@
   registry::RegistryOutput output;
   const auto answer =
       registry_->Heartbeat(host_->Now(), std::get<messages::RunnerRecord>(heartbeat), &output);
-  carry_(std::move(output));
+  execute_(std::move(output));
   ControlResponse response = PlainStatus(answer.taken ? 200 : 503);
   if (answer.taken) response.body = HeartbeatAnswer(answer.report_to);
   if (answer.taken && answer.is_end)
@@ -69,7 +69,7 @@
   ends_.Add(now, runner_id, std::move(response), std::move(respond));
   registry::RegistryOutput output;
   registry_->SendEnd(now, runner_id, core, &output);
-  carry_(std::move(output));
+  execute_(std::move(output));
   CheckEnds(now);
 }
 
@@ -80,7 +80,7 @@
   LOG_EVERY_N(WARNING, 20)
       << "runners: an end is not acknowledged, because no majority of the core has recorded it";
   // The group may have changed; a read updates the known one.
-  registers_->Read(std::string(configuration::kRegisterName), now + kReadGiveUp,
+  registers_->Read(std::string(configuration::kRegisterName), now + kReadTimeout,
                    [](const consensus::Completion&) {});
 }
 
--- a/src/node/runner_api.h
+++ b/src/node/runner_api.h
@@ -14,12 +14,12 @@
 
 class RunnerApi {
  public:
-  using Carry = std::function<void(registry::RegistryOutput output)>;
+  using Execute = std::function<void(registry::RegistryOutput output)>;
 
   // `host`, `registry` and `registers` must outlive this object. `own_address`: where other dispatchers reach
   // this one.
   RunnerApi(NodeHost* host, std::string own_address, registry::Registry* registry, RegisterService* registers,
-            Carry carry);
+            Execute execute);
 
   // PUT: a heartbeat; DELETE: the runner ends.
   void Handle(const std::string& runner_id, const ControlRequest& request, Respond respond);
@@ -37,7 +37,7 @@
   const std::string own_address_;
   registry::Registry* registry_;
   RegisterService* registers_;
-  const Carry carry_;
+  const Execute execute_;
   EndAcknowledgements ends_;
 };
 
--- a/src/node/snapshot.h
+++ b/src/node/snapshot.h
@@ -11,7 +11,7 @@
 
 namespace lichenlug::node {
 
-struct SnapshotFacts {
+struct SnapshotInput {
   bool runners_known = false;
   std::size_t members = 0;  // live, including this dispatcher
   Time wall_offset = 0;     // true Unix time minus the steady clock
@@ -20,6 +20,6 @@
 // `version` is null while no configuration is in force.
 std::shared_ptr<const routing::Snapshot> SnapshotOf(
     const NodeSettings& settings, const configuration::Follower::Version* version,
-    std::shared_ptr<const std::vector<messages::RunnerRecord>> runners, const SnapshotFacts& facts);
+    std::shared_ptr<const std::vector<messages::RunnerRecord>> runners, const SnapshotInput& facts);
 
 }  // namespace lichenlug::node
--- a/src/node/status.cpp
+++ b/src/node/status.cpp
@@ -73,11 +73,11 @@
   }
   for (const Member& member : input.live) status["members"].push_back(MemberJson(member));
   for (const auto& runner : *input.runners) status["runners"].push_back(RunnerJson(runner));
-  for (const auto& holding : input.holdings)
-    status["duties"].push_back({{"register", holding.register_name},
-                                {"owner", holding.owner},
-                                {"epoch", holding.epoch},
-                                {"held_here", holding.held_here}});
+  for (const auto& ownership_status : input.ownership_statuses)
+    status["duties"].push_back({{"register", ownership_status.register_name},
+                                {"owner", ownership_status.owner},
+                                {"epoch", ownership_status.epoch},
+                                {"held_here", ownership_status.owned_here}});
   for (const auto& [name, group] : input.groups) status["registers"][name] = GroupJson(group);
   return status.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
--- a/src/node/status.h
+++ b/src/node/status.h
@@ -20,7 +20,7 @@
   const std::vector<messages::RunnerRecord>* runners = nullptr;
   const configuration::Follower::Version* version = nullptr;
   configuration::FollowerStatistics distribution;
-  std::vector<DutyService::Holding> holdings;
+  std::vector<DutyService::OwnershipStatus> ownership_statuses;
   std::vector<std::string> placement;
   dataplane::Report requests;
   std::vector<std::pair<std::string, messages::ReplicaGroup>> groups;
--- a/tests/system/node/configuration_reader_test.cpp
+++ b/tests/system/node/configuration_reader_test.cpp
@@ -14,7 +14,7 @@
 constexpr Time kLongest = 10 * kSecond;  // any wait of the reader is shorter
 
 // The start of the next read, if the host wakes at NextTimer().
-std::optional<Time> BeginsNext(ConfigurationReader* reader, Time now, bool push) {
+std::optional<Time> BeginNext(ConfigurationReader* reader, Time now, bool push) {
   const std::optional<Time> timer = reader->NextTimer();
   if (!timer) return std::nullopt;
   const Time at = std::max(now, *timer);
@@ -37,7 +37,7 @@
   ConfigurationReader reader(kSeed);
   Time now = kStart;
   for (int round = 0; round < 5; ++round) {
-    const std::optional<Time> begun = BeginsNext(&reader, now, /*push=*/false);
+    const std::optional<Time> begun = BeginNext(&reader, now, /*push=*/false);
     REQUIRE(begun);
     CHECK(*begun - now < kSecond);
     CHECK_FALSE(reader.confirmed());
@@ -45,7 +45,7 @@
     now = *begun + 50 * kMillisecond;
     reader.Completed(now, round == 4);  // the last read finds an empty register, so another read follows
   }
-  REQUIRE(BeginsNext(&reader, now, /*push=*/false));
+  REQUIRE(BeginNext(&reader, now, /*push=*/false));
   reader.Confirmed();
   reader.Completed(now, /*answered=*/true);
   CHECK(reader.confirmed());
@@ -64,10 +64,10 @@
 
 TEST_CASE("a configuration that was accepted here and distributed by nobody is read and distributed") {
   ConfigurationReader reader = ConfirmedReader();
-  reader.Accepting(kStart, kBytes);
+  reader.OnAcceptRequest(kStart, kBytes);
   CHECK_FALSE(reader.Next(kStart));  // its proposer has some time to distribute it
-  reader.Accepting(kStart + 200 * kMillisecond, kBytes);
-  const std::optional<Time> begun = BeginsNext(&reader, kStart, /*push=*/true);
+  reader.OnAcceptRequest(kStart + 200 * kMillisecond, kBytes);
+  const std::optional<Time> begun = BeginNext(&reader, kStart, /*push=*/true);
   REQUIRE(begun);
   CHECK(*begun - kStart > 600 * kMillisecond);  // the later accept came from a live proposer
   CHECK(*begun - kStart < 1200 * kMillisecond);
@@ -77,10 +77,10 @@
 
 TEST_CASE("a read after an accept that no majority answers is retried") {
   ConfigurationReader reader = ConfirmedReader();
-  reader.Accepting(kStart, kBytes);
+  reader.OnAcceptRequest(kStart, kBytes);
   Time now = kStart;
   for (int round = 0; round < 3; ++round) {
-    const std::optional<Time> begun = BeginsNext(&reader, now, /*push=*/true);
+    const std::optional<Time> begun = BeginNext(&reader, now, /*push=*/true);
     REQUIRE(begun);
     reader.Completed(*begun, /*answered=*/false);
     now = *begun;
@@ -89,7 +89,7 @@
 
 TEST_CASE("an accepted configuration that is distributed in time is not read") {
   ConfigurationReader reader = ConfirmedReader();
-  reader.Accepting(kStart, kBytes);
+  reader.OnAcceptRequest(kStart, kBytes);
   reader.Installed();
   CHECK_FALSE(reader.NextTimer());
   CHECK_FALSE(reader.Next(kStart + kLongest));
@@ -98,21 +98,21 @@
 TEST_CASE("no timer is set while a read is in flight, even if the next one is overdue") {
   ConfigurationReader reader(kSeed);
   REQUIRE(reader.Next(kStart));
-  reader.Accepting(kStart, kBytes);
+  reader.OnAcceptRequest(kStart, kBytes);
   CHECK_FALSE(reader.NextTimer());
   CHECK_FALSE(reader.Next(kStart + kLongest));
   reader.Completed(kStart + kLongest, /*answered=*/false);
-  CHECK(BeginsNext(&reader, kStart + kLongest, /*push=*/true) == kStart + kLongest);
+  CHECK(BeginNext(&reader, kStart + kLongest, /*push=*/true) == kStart + kLongest);
 }
 
 TEST_CASE("an accepted configuration is read within 2 s of the first accept, however many follow") {
   ConfigurationReader reader = ConfirmedReader();
   Time now = kStart;
   for (; now < kStart + 1900 * kMillisecond; now += 100 * kMillisecond) {
-    reader.Accepting(now, kBytes);
+    reader.OnAcceptRequest(now, kBytes);
     REQUIRE_FALSE(reader.Next(now));
   }
-  const std::optional<Time> begun = BeginsNext(&reader, now, /*push=*/true);
+  const std::optional<Time> begun = BeginNext(&reader, now, /*push=*/true);
   REQUIRE(begun);
   CHECK(*begun - kStart <= 2 * kSecond);
 }
@@ -125,7 +125,7 @@
       REQUIRE(reader.Next(kStart));
       reader.Confirmed();
       reader.Completed(kStart, /*answered=*/true);
-      reader.Accepting(kStart, bytes);
+      reader.OnAcceptRequest(kStart, bytes);
       all.push_back(*reader.NextTimer() - kStart);
     }
     std::sort(all.begin(), all.end());
--- a/tests/system/node/end_acknowledgements_test.cpp
+++ b/tests/system/node/end_acknowledgements_test.cpp
@@ -41,8 +41,8 @@
 TEST_CASE("an end that reaches no majority is refused before runners time out") {
   Fixture fixture;
   fixture.Add("i-1");
-  CHECK(fixture.ends.NextTimer() == kStart + kEndAcknowledgedWithin);
-  CHECK(fixture.Check(kStart + kEndAcknowledgedWithin) == 1);
+  CHECK(fixture.ends.NextTimer() == kStart + kEndAcknowledgementTimeout);
+  CHECK(fixture.Check(kStart + kEndAcknowledgementTimeout) == 1);
   CHECK(fixture.answers == std::vector{503});
 }
 
@@ -56,7 +56,7 @@
 
 TEST_CASE("the number of pending ends is bounded") {
   Fixture fixture;
-  for (std::size_t i = 0; i <= kMaxWaitingEnds; ++i) fixture.Add("i-" + std::to_string(i));
+  for (std::size_t i = 0; i <= kMaxPendingEnds; ++i) fixture.Add("i-" + std::to_string(i));
   CHECK(fixture.answers == std::vector{503});
 }
 
--- a/tests/system/node/group_planner_test.cpp
+++ b/tests/system/node/group_planner_test.cpp
@@ -6,9 +6,9 @@
 
 using lichenlug::Member;
 using lichenlug::node::AbsentMembers;
-using lichenlug::node::CanLeaveVotes;
+using lichenlug::node::CanHandOverVotes;
+using lichenlug::node::IsFaultTolerant;
 using lichenlug::node::IsGroupKeeper;
-using lichenlug::node::IsGrown;
 using lichenlug::node::IsVoter;
 using lichenlug::node::PlanGroup;
 using lichenlug::node::SeesMajority;
@@ -94,15 +94,16 @@
 }
 
 TEST_CASE("A group is grown when it tolerates the losses, or no machine is left to join") {
-  CHECK(IsGrown(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour}, 1, AbsentMembers::kAreGone));
-  CHECK_FALSE(
-      IsGrown(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour, kFive}, 2, AbsentMembers::kAreGone));
-  CHECK(IsGrown(Group({kOne, kTwo, kThree, kFour, kFive}), {kOne, kTwo, kThree, kFour, kFive}, 2,
-                AbsentMembers::kAreGone));
-  CHECK(IsGrown(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree}, 2, AbsentMembers::kAreGone));
+  CHECK(
+      IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour}, 1, AbsentMembers::kAreGone));
+  CHECK_FALSE(IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour, kFive}, 2,
+                              AbsentMembers::kAreGone));
+  CHECK(IsFaultTolerant(Group({kOne, kTwo, kThree, kFour, kFive}), {kOne, kTwo, kThree, kFour, kFive}, 2,
+                        AbsentMembers::kAreGone));
+  CHECK(IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree}, 2, AbsentMembers::kAreGone));
   // A process that has just started knows too few of the live members.
-  CHECK_FALSE(IsGrown(Group({kOne, kTwo, kThree}), {kOne}, 2, AbsentMembers::kMayStart));
-  CHECK(IsGrown(Group({kOne, kTwo, kThree}), {kOne}, 1, AbsentMembers::kMayStart));
+  CHECK_FALSE(IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne}, 2, AbsentMembers::kMayStart));
+  CHECK(IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne}, 1, AbsentMembers::kMayStart));
 }
 
 TEST_CASE("An absent member is dropped if enough others are live") {
@@ -163,10 +164,10 @@
   const Member diskless = Replica("4", "");
   Member other = Replica("6", "f");
   other.counts_for_quorum = false;
-  CHECK(CanLeaveVotes({kOne, kTwo, kThree, Replica("5", "e")}, "1", 1));
-  CHECK_FALSE(CanLeaveVotes({kOne, kTwo, kThree, diskless, other}, "1", 1));
-  CHECK(CanLeaveVotes({kTwo, kThree, Replica("5", "e")}, "1", 1));
-  CHECK_FALSE(CanLeaveVotes({kOne, kTwo, kThree, Replica("5", "e")}, "1", 2));
+  CHECK(CanHandOverVotes({kOne, kTwo, kThree, Replica("5", "e")}, "1", 1));
+  CHECK_FALSE(CanHandOverVotes({kOne, kTwo, kThree, diskless, other}, "1", 1));
+  CHECK(CanHandOverVotes({kTwo, kThree, Replica("5", "e")}, "1", 1));
+  CHECK_FALSE(CanHandOverVotes({kOne, kTwo, kThree, Replica("5", "e")}, "1", 2));
 }
 
 TEST_CASE("A replica is a voter in the present group and in the next one during a move") {
--- a/tests/system/node/group_asking_test.cpp
+++ b/tests/system/node/group_query_targets_test.cpp
@@ -1,5 +1,5 @@
 // A dispatcher queries members with a store for the replica groups, however many members have none.
-#include "node/group_asking.h"
+#include "node/group_query_targets.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -29,11 +29,11 @@
   for (const int count : {10, 73, 300}) {
     const std::set<int> stores = {2, count / 2, count};
     const std::vector<Member> live = Machines(count, stores);
-    GroupAsking asking;
+    GroupQueryTargets query_targets;
     std::set<std::string> stores_asked;
     for (int round = 0; round < 3; ++round) {
-      const auto asked = asking.Next(live, kOwn);
-      CHECK(asked.size() <= kAskedForGroups);
+      const auto asked = query_targets.Next(live, kOwn);
+      CHECK(asked.size() <= kMaxGroupQueries);
       CHECK(std::set<std::string>(asked.begin(), asked.end()).size() == asked.size());
       int with_store = 0;
       for (const Member& member : live) {
@@ -51,19 +51,19 @@
 
 TEST_CASE("all members are queried in turn, because those with a store may be unreachable") {
   const std::vector<Member> live = Machines(8, {2, 3});
-  GroupAsking asking;
+  GroupQueryTargets query_targets;
   std::set<std::string> asked;
   for (int round = 0; round < 8; ++round)
-    for (const std::string& address : asking.Next(live, kOwn)) asked.insert(address);
+    for (const std::string& address : query_targets.Next(live, kOwn)) asked.insert(address);
   CHECK(asked.size() == 7);
   CHECK_FALSE(asked.contains(kOwn));
 }
 
 TEST_CASE("without a member with a store any member is queried, and a lone dispatcher queries nobody") {
-  GroupAsking asking;
-  CHECK(asking.Next(Machines(5, {}), kOwn).size() == kAskedForGroups);
-  CHECK(asking.Next(Machines(1, {}), kOwn).empty());
-  CHECK(asking.Next({}, kOwn).empty());
+  GroupQueryTargets query_targets;
+  CHECK(query_targets.Next(Machines(5, {}), kOwn).size() == kMaxGroupQueries);
+  CHECK(query_targets.Next(Machines(1, {}), kOwn).empty());
+  CHECK(query_targets.Next({}, kOwn).empty());
 }
 
 }  // namespace
--- a/tests/system/node/lifecycle_test.cpp
+++ b/tests/system/node/lifecycle_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr Time kGrace = 12 * kSecond;
 constexpr Time kStart = 100 * kSecond;
-constexpr Lifecycle::Knowledge kAll{true, true, true};
+constexpr Lifecycle::ReadinessConditions kAll{true, true, true};
 
 TEST_CASE("a dispatcher becomes ready once, when configuration and runners are known") {
   Lifecycle lifecycle(kGrace);
--- a/tests/system/node/linked_dispatchers.h
+++ b/tests/system/node/linked_dispatchers.h
@@ -65,14 +65,14 @@
     REQUIRE(nodes_[index]->Restore({{"accepted/" + consensus::kName, record.SerializeAsString()}}));
   }
 
-  void Carry(std::size_t index, consensus::RegisterOutput output) {
+  void Execute(std::size_t index, consensus::RegisterOutput output) {
     for (const consensus::RegisterSend& send : output.sends) SendOver(index, send);
     for (const consensus::RegisterWrite& write : output.writes) {
       network_.At(network_.now() + kMillisecond, [this, index, token = write.token] {
         if (!nodes_[index]) return;
         consensus::RegisterOutput done;
         nodes_[index]->StoreDone(network_.now(), token, true, &done);
-        Carry(index, std::move(done));
+        Execute(index, std::move(done));
       });
     }
     for (const consensus::Completion& completion : output.completions) Completed(index, completion);
@@ -84,7 +84,7 @@
     if (!nodes_[index]) return;  // not started, or its store is not open yet
     consensus::RegisterOutput output;
     nodes_[index]->Receive(network_.now(), addresses_[from], message, &output);
-    Carry(index, std::move(output));
+    Execute(index, std::move(output));
   }
 
   consensus::LinkedNetwork network_{kDelay};
@@ -98,7 +98,7 @@
     if (!due || *due > network_.now()) return;
     consensus::RegisterOutput output;
     nodes_[index]->Tick(network_.now(), &output);
-    Carry(index, std::move(output));
+    Execute(index, std::move(output));
   }
 
   void SendOver(std::size_t from, const consensus::RegisterSend& send) {
--- a/tests/system/node/recovery_test.cpp
+++ b/tests/system/node/recovery_test.cpp
@@ -11,8 +11,8 @@
 
 #include "linked_dispatchers.h"
 #include "node/configuration_reader.h"
-#include "node/group_asking.h"
 #include "node/group_keeper.h"
+#include "node/group_query_targets.h"
 
 namespace lichenlug::node {
 namespace {
@@ -31,7 +31,7 @@
 // machine has a register node once it knows the founding group.
 struct Dispatcher {
   std::vector<Member> live;
-  GroupAsking asking;
+  GroupQueryTargets query_targets;
   ConfigurationReader reader{0};
   bool knows = false;  // the configuration is known
 };
@@ -41,9 +41,9 @@
   Recovery(std::size_t others, std::uint64_t seed) : LinkedDispatchers(kCore, others), random_(seed) {
     dispatchers_.resize(kCore + others);
     for (std::size_t i = 0; i < dispatchers_.size(); ++i) {
-      const Time started = Draw(kStartSpread);
-      if (i < kCore) network_.At(started + Draw(kOpenSpread), [this, i] { Open(i); });
-      network_.At(started + Draw(kJoinSpread), [this, i] { Join(i); });
+      const Time started = RandomTime(kStartSpread);
+      if (i < kCore) network_.At(started + RandomTime(kOpenSpread), [this, i] { Open(i); });
+      network_.At(started + RandomTime(kJoinSpread), [this, i] { Join(i); });
     }
   }
 
@@ -56,14 +56,14 @@
   double megabytes() const { return static_cast<double>(network_.bytes()) / 1e6; }
 
  private:
-  Time Draw(Time most) { return std::uniform_int_distribution<Time>(0, most)(random_); }
+  Time RandomTime(Time max) { return std::uniform_int_distribution<Time>(0, max)(random_); }
 
   void Open(std::size_t index) {
     OpenStore(index, std::string(kConfigurationBytes, 'c'), random_());
     dispatchers_[index].reader.Completed(
         network_.now(),
         /*answered=*/false);  // a read started without the store ends when it opens
-    ReadInTime(index);
+    ReadIfDue(index);
   }
 
   void Join(std::size_t index) {
@@ -80,7 +80,7 @@
   void Ask(std::size_t index) {
     Dispatcher& asker = dispatchers_[index];
     if (nodes_[index]) return;
-    for (const std::string& address : asker.asking.Next(asker.live, addresses_[index])) {
+    for (const std::string& address : asker.query_targets.Next(asker.live, addresses_[index])) {
       messages::GroupHints question;
       question.set_wants_reply(true);
       const std::size_t asked = std::stoul(address);
@@ -105,10 +105,10 @@
     if (nodes_[index]) return;
     nodes_[index] = std::make_unique<consensus::RegisterNode>(SettingsOf(index, random_()));
     dispatchers_[index].reader.RegistersKnown(network_.now());
-    ReadInTime(index);
+    ReadIfDue(index);
   }
 
-  void ReadInTime(std::size_t index) {
+  void ReadIfDue(std::size_t index) {
     const auto timer = dispatchers_[index].reader.NextTimer();
     if (timer) network_.At(std::max(*timer, network_.now()), [this, index] { Read(index); });
   }
@@ -121,7 +121,7 @@
       nodes_[index]->Submit(network_.now(), consensus::kName, consensus::Reads(), read->deadline, &output);
     else
       nodes_[index]->Read(network_.now(), consensus::kName, read->deadline, &output);
-    Carry(index, std::move(output));
+    Execute(index, std::move(output));
   }
 
   void Completed(std::size_t index, const consensus::Completion& completion) override {
@@ -132,7 +132,7 @@
       done.reader.Confirmed();
       if (!std::exchange(done.knows, true)) ++knowing_;
     }
-    ReadInTime(index);
+    ReadIfDue(index);
   }
 
   std::mt19937_64 random_;
--- a/tests/system/node/register_service_test.cpp
+++ b/tests/system/node/register_service_test.cpp
@@ -24,8 +24,8 @@
 using host::EventLoop;
 
 constexpr Time kRound = 20 * kMillisecond;
-constexpr Time kLongEnough = 5 * kSecond;
-constexpr Time kRefusing = 500 * kMillisecond;
+constexpr Time kMaxRunTime = 5 * kSecond;
+constexpr Time kOutage = 500 * kMillisecond;
 
 class Folder {
  public:
@@ -78,9 +78,9 @@
 }
 
 // One run of a process: the event loop, the disk and the service that uses them. There are no peers.
-class Life : NodeHost {
+class ProcessRun : NodeHost {
  public:
-  Life(const fs::path& store_folder, bool first_run)
+  ProcessRun(const fs::path& store_folder, bool first_run)
       : service_(this, SettingsWith(store_folder, first_run), {1, std::random_device()()}),
         store_(&loop_, store_folder.string()) {
     service_.OpenStore([this](const std::string& replica_id) { started_as_ = replica_id; });
@@ -91,7 +91,7 @@
 
   void DoAfter(Time span, std::function<void()> step) { steps_.emplace_back(span, std::move(step)); }
 
-  // Call once per instance: runs until the replica has started and all steps are done, or until kLongEnough.
+  // Call once per instance: runs until the replica has started and all steps are done, or until kMaxRunTime.
   void Run() {
     const Time begin = EventLoop::Now();
     loop_.OnIdle([this, begin] {
@@ -102,7 +102,7 @@
         steps_.erase(steps_.begin());
       }
       const bool done = steps_.empty() && !started_as_.empty();
-      if (done || now >= begin + kLongEnough) return loop_.Stop();
+      if (done || now >= begin + kMaxRunTime) return loop_.Stop();
       loop_.SetTimer(now + kRound, [] {});
     });
     loop_.SetTimer(begin + kRound, [] {});
@@ -141,28 +141,28 @@
 TEST_CASE("a store that can't be opened at the start is opened later") {
   const Folder folder;
   const fs::path store = folder.path() / "store";
-  Life life(store, true);
-  life.DoAfter(kRefusing, [&] { fs::create_directory(store); });  // the first attempt has failed
-  life.Run();
-  CHECK(life.started_as() == "founder:10.0.0.1:7660");
+  ProcessRun process(store, true);
+  process.DoAfter(kOutage, [&] { fs::create_directory(store); });  // the first attempt has failed
+  process.Run();
+  CHECK(process.started_as() == "founder:10.0.0.1:7660");
 }
 
 TEST_CASE("a founding group whose write failed is written again") {
   const Folder folder;
   {
-    Life life(folder.path(), false);  // not the first start: the group comes from a peer
+    ProcessRun process(folder.path(), false);  // not the first start: the group comes from a peer
     std::optional<FullDisk> full;
-    life.DoAfter(kRefusing, [&] {
-      REQUIRE_FALSE(life.service().KnowsFounding());
+    process.DoAfter(kOutage, [&] {
+      REQUIRE_FALSE(process.service().KnowsFounding());
       full.emplace();
-      life.service().LearnFounding(FirstFounding(), false);
+      process.service().LearnFounding(FirstFounding(), false);
     });
-    life.DoAfter(2 * kRefusing, [&] { full.reset(); });
-    life.DoAfter(5 * kRefusing, [] {});
-    life.Run();
-    REQUIRE_FALSE(life.started_as().empty());
+    process.DoAfter(2 * kOutage, [&] { full.reset(); });
+    process.DoAfter(5 * kOutage, [] {});
+    process.Run();
+    REQUIRE_FALSE(process.started_as().empty());
   }
-  Life next(folder.path(), false);
+  ProcessRun next(folder.path(), false);
   next.Run();
   CHECK(next.service().KnowsFounding());
   CHECK_FALSE(next.started_as().empty());
--- a/tests/system/node/start_of_stores_test.cpp
+++ b/tests/system/node/start_of_stores_test.cpp
@@ -29,10 +29,10 @@
 constexpr Time kOpenSpread = 350 * kMillisecond;
 constexpr Time kJoinSpread = 700 * kMillisecond;
 
-constexpr Time kCallsAt = 800 * kMillisecond;  // operators' calls, while processes are still starting
-constexpr Time kCallGivesUp = 900 * kMillisecond;
-constexpr Time kCallAgainAfter = 200 * kMillisecond;
-constexpr Time kLasts = 15 * kSecond;
+constexpr Time kCallTime = 800 * kMillisecond;  // operators' calls, while processes are still starting
+constexpr Time kCallTimeout = 900 * kMillisecond;
+constexpr Time kCallRetryDelay = 200 * kMillisecond;
+constexpr Time kRunTime = 15 * kSecond;
 
 // The payload of a configuration: a constant text, followed by one letter for each accepted change.
 std::string Payload(const std::string& changes) { return std::string(kConfigurationBytes, 'c') + changes; }
@@ -62,11 +62,12 @@
   explicit StartOfStores(std::uint64_t seed) : LinkedDispatchers(kStores, kOthers), random_(seed) {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Dispatcher& dispatcher = dispatchers_.emplace_back(std::to_string(i), random_());
-      dispatcher.started_at = Draw(kStartSpread);
-      dispatcher.joined_at = dispatcher.started_at + Draw(kJoinSpread);
-      const Time opens_at = i < kStores ? dispatcher.started_at + Draw(kOpenSpread) : dispatcher.joined_at;
+      dispatcher.started_at = RandomTime(kStartSpread);
+      dispatcher.joined_at = dispatcher.started_at + RandomTime(kJoinSpread);
+      const Time opens_at =
+          i < kStores ? dispatcher.started_at + RandomTime(kOpenSpread) : dispatcher.joined_at;
       network_.At(opens_at, [this, i] { Open(i); });
-      network_.At(dispatcher.started_at, [this, i] { Look(i); });
+      network_.At(dispatcher.started_at, [this, i] { CheckGroups(i); });
     }
   }
 
@@ -77,7 +78,7 @@
 
   // This dispatcher crashes after sending its first Accept of a configuration, before distributing the
   // result.
-  void DiesAfterAccept(std::size_t index) { dies_after_accept_ = index; }
+  void CrashesAfterAccept(std::size_t index) { crashes_after_accept_ = index; }
 
   void Run(Time until) {
     network_.At(until, [] {});
@@ -97,12 +98,12 @@
   }
 
   const std::vector<OperatorCall>& calls() const { return calls_; }
-  std::optional<Time> died_at() const { return died_at_; }
+  std::optional<Time> crashed_at() const { return crashed_at_; }
   int group_moves() const { return group_moves_; }
   double megabytes() const { return static_cast<double>(network_.bytes()) / 1e6; }
 
  private:
-  Time Draw(Time most) { return std::uniform_int_distribution<Time>(0, most)(random_); }
+  Time RandomTime(Time max) { return std::uniform_int_distribution<Time>(0, max)(random_); }
 
   void Open(std::size_t index) {
     if (index < kStores)
@@ -110,7 +111,7 @@
     else
       nodes_[index] = std::make_unique<consensus::RegisterNode>(SettingsOf(index, random_()));
     dispatchers_[index].reader.RegistersKnown(network_.now());
-    ReadInTime(index);
+    ReadIfDue(index);
   }
 
   // The members that this dispatcher knows: only itself at first; once joined, all that have started by then.
@@ -118,8 +119,8 @@
     std::vector<Member> live;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       const bool joined = network_.now() >= dispatchers_[index].joined_at;
-      const bool told = network_.now() >= dispatchers_[i].started_at + 100 * kMillisecond;
-      if (i != index && !(joined && told)) continue;
+      const bool is_discovered = network_.now() >= dispatchers_[i].started_at + 100 * kMillisecond;
+      if (i != index && !(joined && is_discovered)) continue;
       Member member;
       member.name = std::to_string(i);
       member.address = addresses_[i];
@@ -131,8 +132,8 @@
     return live;
   }
 
-  void Look(std::size_t index) {
-    network_.At(network_.now() + kCheckInterval, [this, index] { Look(index); });
+  void CheckGroups(std::size_t index) {
+    network_.At(network_.now() + kCheckInterval, [this, index] { CheckGroups(index); });
     if (!nodes_[index]) return;
     auto move = dispatchers_[index].mover.Next(network_.now(), consensus::kName,
                                                nodes_[index]->KnownGroup(consensus::kName), LiveFor(index),
@@ -148,12 +149,12 @@
     OperatorCall& call = calls_[number];
     if (call.acknowledged_at) return;
     if (!nodes_[call.asked])  // not running yet: the connection is refused
-      return network_.At(network_.now() + kCallAgainAfter, [this, number] { Call(number); });
+      return network_.At(network_.now() + kCallRetryDelay, [this, number] { Call(number); });
     const auto change = [letter = call.letter](const std::string& payload) -> consensus::Change {
       if (payload.find(letter, kConfigurationBytes) != std::string::npos) return consensus::KeepPayload{};
       return consensus::NewPayload{payload + letter};
     };
-    call.operation = Submit(call.asked, change, network_.now() + kCallGivesUp);
+    call.operation = Submit(call.asked, change, network_.now() + kCallTimeout);
   }
 
   consensus::OperationId Submit(std::size_t index, consensus::ChangeFunction change, Time deadline) {
@@ -161,11 +162,11 @@
     const auto id =
         nodes_[index]->Submit(network_.now(), consensus::kName, std::move(change), deadline, &output);
     // Immediate completions are delivered after the caller has stored the operation's id.
-    network_.At(network_.now(), [this, index, output] { Carry(index, output); });
+    network_.At(network_.now(), [this, index, output] { Execute(index, output); });
     return id;
   }
 
-  void ReadInTime(std::size_t index) {
+  void ReadIfDue(std::size_t index) {
     const auto timer = dispatchers_[index].reader.NextTimer();
     if (timer) network_.At(std::max(*timer, network_.now()), [this, index] { Read(index); });
   }
@@ -180,7 +181,7 @@
                                                 read->deadline, &output)
                         : nodes_[index]->Read(network_.now(), consensus::kName, read->deadline, &output);
     pushes_.insert_or_assign(index, read->push);
-    network_.At(network_.now(), [this, index, output] { Carry(index, output); });
+    network_.At(network_.now(), [this, index, output] { Execute(index, output); });
   }
 
   void Receive(std::size_t index, std::size_t from, const messages::RegisterMessage& message) override {
@@ -190,29 +191,29 @@
     for (const consensus::RegisterProposal& proposal : output.proposals) {
       const std::string& payload = proposal.value->payload();
       if (RevisionOf(payload) <= RevisionOf(dispatchers_[index].known)) continue;
-      dispatchers_[index].reader.Accepting(network_.now(), payload.size() * kStores);
-      ReadInTime(index);
+      dispatchers_[index].reader.OnAcceptRequest(network_.now(), payload.size() * kStores);
+      ReadIfDue(index);
     }
-    Carry(index, std::move(output));
+    Execute(index, std::move(output));
   }
 
   void Completed(std::size_t index, const consensus::Completion& completion) override {
     Dispatcher& dispatcher = dispatchers_[index];
-    const bool told =
+    const bool succeeded =
         completion.outcome == consensus::Outcome::kChosen || completion.outcome == consensus::Outcome::kKept;
     if (dispatcher.reading == completion.operation) {
-      dispatcher.reader.Completed(network_.now(), told);
-      if (told) dispatcher.reader.Confirmed();
-      if (told) Learn(index, completion.payload, pushes_[index]);
-      ReadInTime(index);
+      dispatcher.reader.Completed(network_.now(), succeeded);
+      if (succeeded) dispatcher.reader.Confirmed();
+      if (succeeded) Learn(index, completion.payload, pushes_[index]);
+      ReadIfDue(index);
     } else if (dispatcher.moving == completion.operation) {
-      dispatcher.mover.Completed(network_.now(), consensus::kName, told);
+      dispatcher.mover.Completed(network_.now(), consensus::kName, succeeded);
     }
     for (std::size_t i = 0; i < calls_.size(); ++i) {
       if (calls_[i].asked != index || calls_[i].operation != completion.operation) continue;
-      if (told) calls_[i].acknowledged_at = network_.now();
-      if (told) Learn(index, completion.payload, completion.outcome == consensus::Outcome::kChosen);
-      if (!told) network_.At(network_.now() + kCallAgainAfter, [this, i] { Call(i); });
+      if (succeeded) calls_[i].acknowledged_at = network_.now();
+      if (succeeded) Learn(index, completion.payload, completion.outcome == consensus::Outcome::kChosen);
+      if (!succeeded) network_.At(network_.now() + kCallRetryDelay, [this, i] { Call(i); });
     }
   }
 
@@ -237,8 +238,8 @@
   }
 
   void Sending(std::size_t index, const consensus::RegisterSend& send) override {
-    if (dies_after_accept_ != index || !send.message.has_accept() || died_at_) return;
-    died_at_ = network_.now();
+    if (crashes_after_accept_ != index || !send.message.has_accept() || crashed_at_) return;
+    crashed_at_ = network_.now();
     network_.At(network_.now() + kMillisecond, [this, index] { nodes_[index].reset(); });
   }
 
@@ -247,8 +248,8 @@
   std::vector<OperatorCall> calls_;
   std::map<std::size_t, bool> pushes_;  // whether the read in flight pushes its result, by dispatcher
   std::map<std::pair<char, std::size_t>, Time> in_force_;
-  std::optional<std::size_t> dies_after_accept_;
-  std::optional<Time> died_at_;
+  std::optional<std::size_t> crashes_after_accept_;
+  std::optional<Time> crashed_at_;
   int group_moves_ = 0;
 };
 
@@ -261,16 +262,16 @@
 TEST_CASE("a simultaneous start with seven stores moves no group and sends the configuration once to each") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     StartOfStores start(seed);
-    start.CallAt(kCallsAt, 'a', kStores + 3);  // two concurrent operators, at machines with slow links
-    start.CallAt(kCallsAt, 'b', kStores + 11);
-    start.Run(kLasts);
+    start.CallAt(kCallTime, 'a', kStores + 3);  // two concurrent operators, at machines with slow links
+    start.CallAt(kCallTime, 'b', kStores + 11);
+    start.Run(kRunTime);
     CAPTURE(seed, start.megabytes(), start.group_moves());
     CHECK(start.group_moves() == 0);
     CHECK(start.megabytes() <= kMaxMegabytes);
     for (const OperatorCall& call : start.calls()) {
       CAPTURE(call.letter);
       REQUIRE(call.acknowledged_at);
-      CHECK(*call.acknowledged_at <= kCallsAt + 2 * kSecond);
+      CHECK(*call.acknowledged_at <= kCallTime + 2 * kSecond);
       REQUIRE(start.InForceSince(call.letter));
       CHECK(*start.InForceSince(call.letter) <= *call.acknowledged_at + kSecond);
     }
@@ -281,13 +282,13 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     constexpr std::size_t kProposer = kStores + 5;
     StartOfStores start(seed);
-    start.DiesAfterAccept(kProposer);
+    start.CrashesAfterAccept(kProposer);
     start.CallAt(4 * kSecond, 'a', kProposer);
-    start.Run(kLasts);
+    start.Run(kRunTime);
     CAPTURE(seed, start.megabytes(), start.group_moves());
-    REQUIRE(start.died_at());
+    REQUIRE(start.crashed_at());
     REQUIRE(start.InForceSince('a'));
-    CHECK(*start.InForceSince('a') <= *start.died_at() + 3 * kSecond);
+    CHECK(*start.InForceSince('a') <= *start.crashed_at() + 3 * kSecond);
     CHECK(start.megabytes() <= kMaxMegabytes);
     CHECK(start.group_moves() == 0);
   }
