--- a/tests/system/node/group_mover_test.cpp
+++ b/tests/system/node/group_mover_test.cpp
@@ -80,7 +80,7 @@
   CHECK_FALSE(dispatcher.TimeUntilMove(GroupOf(Stores(1, 7)), Stores(1, 3), 60 * kSecond));
 }
 
-TEST_CASE("absent members are dropped once a majority has been visible for kStartOfAllTakes") {
+TEST_CASE("absent members are dropped once a majority has been visible for the duration of a full start") {
   TestDispatcher dispatcher(1);
   const auto dropped = dispatcher.TimeUntilMove(GroupOf(Stores(1, 7)), Stores(1, 5), 60 * kSecond);
   REQUIRE(dropped);
--- a/tests/system/node/group_planner_test.cpp
+++ b/tests/system/node/group_planner_test.cpp
@@ -93,7 +93,7 @@
   CHECK_FALSE(PlanGroup(Group({kOne, kTwo, kThree}), {kOne, kTwo, leaving}, 1, AbsentMembers::kAreGone));
 }
 
-TEST_CASE("A group is grown when it tolerates the losses, or no machine is left to join") {
+TEST_CASE("A group is fault tolerant if it survives the losses, or no machine is left to join") {
   CHECK(
       IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour}, 1, AbsentMembers::kAreGone));
   CHECK_FALSE(IsFaultTolerant(Group({kOne, kTwo, kThree}), {kOne, kTwo, kThree, kFour, kFive}, 2,
