--- a/tests/system/node/recovery_test.cpp
+++ b/tests/system/node/recovery_test.cpp
@@ -56,7 +56,7 @@
   double megabytes() const { return static_cast<double>(network_.bytes()) / 1e6; }
 
  private:
-  Time RandomTime(Time max) { return std::uniform_int_distribution<Time>(0, max)(random_); }
+  Time RandomTime(Time max_time) { return std::uniform_int_distribution<Time>(0, max_time)(random_); }
 
   void Open(std::size_t index) {
     OpenStore(index, std::string(kConfigurationBytes, 'c'), random_());
