--- a/tests/system/node/start_of_stores_test.cpp
+++ b/tests/system/node/start_of_stores_test.cpp
@@ -1,6 +1,6 @@
 // Power returns after a total loss in a deployment with a large configuration and seven stores, of which two
-// may be lost. Each process knows only itself at first. Guards against unnecessary changes of the replica
-// group, proposers that preempt one another for long, and redundant transfers of the configuration.
+// may be lost. Each process knows only itself at first. This must not change a replica group, let proposers
+// preempt one another for long, or send the configuration more often than needed.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <optional>
