--- a/src/node/duty_service.cpp
+++ b/src/node/duty_service.cpp
@@ -43,8 +43,7 @@
   if (!ownership) {
     auto ownership_settings = OwnershipSettingsFor(register_name, settings_, identity_);
     ownership_settings.recent_loads = [this, register_name](Time now) {
-      return placements_.LoadHistoryForRenewal(now, register_name, OwnershipOf(register_name).epoch(),
-                                               resigned_);
+      return placements_.RecentLoads(now, register_name, OwnershipOf(register_name).epoch(), resigned_);
     };
     ownership = std::make_unique<duties::Ownership>(std::move(ownership_settings));
   }
--- a/src/node/service_placements.cpp
+++ b/src/node/service_placements.cpp
@@ -68,10 +68,8 @@
   return next;
 }
 
-std::vector<messages::LoadHistory> ServicePlacements::LoadHistoryForRenewal(Time now,
-                                                                            const std::string& register_name,
-                                                                            std::uint64_t epoch,
-                                                                            bool resigned) const {
+std::vector<messages::LoadHistory> ServicePlacements::RecentLoads(Time now, const std::string& register_name,
+                                                                  std::uint64_t epoch, bool resigned) const {
   std::vector<messages::LoadHistory> loads;
   for (const auto& [service, placement] : placements_) {
     if (ShardRegister(service) != register_name) continue;
--- a/src/node/service_placements.h
+++ b/src/node/service_placements.h
@@ -37,8 +37,8 @@
   std::optional<Time> NextTimer() const;
 
   // What the placements of this shard may have loaded recently, to be stored with its owner's lease renewals.
-  std::vector<messages::LoadHistory> LoadHistoryForRenewal(Time now, const std::string& register_name,
-                                                           std::uint64_t epoch, bool resigned) const;
+  std::vector<messages::LoadHistory> RecentLoads(Time now, const std::string& register_name,
+                                                 std::uint64_t epoch, bool resigned) const;
   std::vector<std::string> Explain(Time now) const;  // one line per entry, for the operator
 
  private:
