--- a/src/cluster/member.h
+++ b/src/cluster/member.h
@@ -1,4 +1,4 @@
-// What every part of the control plane knows of a dispatcher of the system.
+// Description of one dispatcher in the cluster, shared by all parts of the control plane.
 #pragma once
 
 #include <cstdint>
@@ -6,17 +6,17 @@
 
 namespace lichenlug {
 
-// One dispatcher. `name` is unique among machines; `incarnation` among the lives of its process.
+// `name` is unique among machines; `incarnation` is unique among the restarts of the process of that name.
 struct Member {
   std::string name;
   std::uint64_t incarnation = 0;
   std::string address;          // of the internal transport, "ip:port"
-  std::string control_address;  // where runners and the operator call, "ip:port"
+  std::string control_address;  // for runners and the operator, "ip:port"
   std::string zone;
   std::string region;
   bool counts_for_quorum = false;
   bool ready = false;      // serves clients with a confirmed configuration
-  std::string replica_id;  // identity of its store; empty: it has none
+  std::string replica_id;  // identity of its store; empty if it has none
 
   bool operator==(const Member&) const = default;
 };
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -1,27 +1,27 @@
-// The commands of lichenlugctl. Each prints its result to standard output and its error, one line, to the log
-// on standard error.
+// The commands of lichenlugctl. Each prints its result to standard output and logs any error as one line on
+// standard error.
 #pragma once
 
 #include <string>
 
 namespace lichenlug::ctl {
 
-// What the program ends with.
+// Exit code of the program.
 enum ExitCode : int {
   kSuccess = 0,
-  kFailed = 1,  // what was looked at is wrong, or could not be reached
+  kFailed = 1,  // the inspected object is invalid or unreachable
   kUsage = 2,
 };
 
-// Checks a whole configuration just as a dispatcher does. `path` "-" stands for standard input.
+// Validates a complete configuration with the checks of a dispatcher. `path` "-" is standard input.
 ExitCode CheckConfiguration(const std::string& path);
 
-// Fetches the status of the dispatcher with that control address, "ip:port".
+// Fetches and prints the status of the dispatcher with this control address, "ip:port".
 ExitCode ShowStatus(const std::string& address);
 
-// Reads the store of a dispatcher that is stopped, from a copy of its folder, so that it stays as it is.
-// Verify lists its records and registers and tells whether all can be read; export prints the registers, one
-// JSON object a line.
+// Read the store of a stopped dispatcher from a copy of its folder, so that the store is not modified.
+// Verify lists the records and registers and reports whether all are readable; export prints the registers as
+// one JSON object per line.
 ExitCode VerifyStore(const std::string& folder);
 ExitCode ExportStore(const std::string& folder);
 
--- a/src/ctl/config_command.cpp
+++ b/src/ctl/config_command.cpp
@@ -29,7 +29,7 @@
 ExitCode CheckConfiguration(const std::string& path) {
   const auto text = ReadAll(path);
   if (!text) {
-    LOG(ERROR) << path << " can't be read: give a file that is there";
+    LOG(ERROR) << path << " cannot be read; give the path of an existing file";
     return kFailed;
   }
   const auto result = configuration::Parse(*text);
--- a/src/ctl/http_get.cpp
+++ b/src/ctl/http_get.cpp
@@ -14,9 +14,9 @@
   std::string version, line;
   HttpAnswer answer;
   if (!(stream >> version >> answer.status) || !version.starts_with("HTTP/1.")) {
-    return {0, "", "no HTTP answer came in time"};
+    return {0, "", "no HTTP response within the timeout"};
   }
-  std::getline(stream, line);  // the reason
+  std::getline(stream, line);  // the reason phrase
   while (std::getline(stream, line) && line != "\r" && !line.empty()) {
   }
   answer.body.assign(std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>());
@@ -32,7 +32,7 @@
   stream.expires_after(kTimeout);
   stream.connect(address.substr(0, colon), address.substr(colon + 1));
   if (!stream) return {0, "", stream.error().message()};
-  // HTTP/1.0, so that the body ends with the connection and is not in chunks.
+  // HTTP/1.0, so that the body ends with the connection and is not chunked.
   stream << "GET " << path << " HTTP/1.0\r\nHost: " << address << "\r\nConnection: close\r\n\r\n"
          << std::flush;
   return ReadAnswer(stream);
--- a/src/ctl/http_get.h
+++ b/src/ctl/http_get.h
@@ -1,4 +1,4 @@
-// One GET by HTTP, blocking, with a time limit for each step.
+// Blocking HTTP GET with a timeout.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 namespace lichenlug::ctl {
 
 struct HttpAnswer {
-  int status = 0;     // 0: no answer
-  std::string body;   // with a status
-  std::string error;  // without
+  int status = 0;     // 0: no response
+  std::string body;   // if status is not 0
+  std::string error;  // if status is 0
 };
 
 // `address` is "ip:port".
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// lichenlugctl: looks at configurations and dispatchers from outside.
+// lichenlugctl: command-line tool to check configurations and inspect dispatchers.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -26,11 +26,11 @@
   static const std::vector<Command> commands = {
       {{"config", "check"},
        "FILE",
-       "check a configuration as a dispatcher does (- for standard input)",
+       "validate a configuration with the checks of a dispatcher (- for standard input)",
        CheckConfiguration},
       {{"store", "verify"},
        "FOLDER",
-       "list the store of a stopped dispatcher and check each record",
+       "list the records of a stopped dispatcher's store and check that each is readable",
        VerifyStore},
       {{"store", "export"},
        "FOLDER",
@@ -48,7 +48,7 @@
     for (const std::string& word : command.words) stream << ' ' << word;
     stream << ' ' << command.argument << "\n      " << command.purpose << '\n';
   }
-  stream << '\n' << flags << "\nexit codes: 0 all is well, 1 it is not, 2 wrong usage\n";
+  stream << '\n' << flags << "\nexit codes: 0 success, 1 failure, 2 usage error\n";
 }
 
 ExitCode RunCommand(const std::vector<std::string>& words) {
@@ -58,13 +58,13 @@
       return command.run(words.back());
     }
   }
-  LOG(ERROR) << "no such command, or not its one argument: see lichenlugctl --help";
+  LOG(ERROR) << "unknown command or wrong number of arguments; see lichenlugctl --help";
   return kUsage;
 }
 
 ExitCode Run(int argc, char** argv) {
   options::options_description flags("options"), all;
-  flags.add_options()("help,h", "show this")("version", "show the version");
+  flags.add_options()("help,h", "show this help")("version", "show the version");
   all.add(flags).add_options()("words", options::value<std::vector<std::string>>()->default_value({}, ""));
   options::positional_options_description positions;
   positions.add("words", -1);
@@ -72,7 +72,7 @@
   try {
     options::store(options::command_line_parser(argc, argv).options(all).positional(positions).run(), values);
   } catch (const options::error& error) {
-    LOG(ERROR) << error.what() << ": see lichenlugctl --help";
+    LOG(ERROR) << error.what() << "; see lichenlugctl --help";
     return kUsage;
   }
   if (values.count("help") > 0) {
--- a/src/ctl/status_command.cpp
+++ b/src/ctl/status_command.cpp
@@ -16,7 +16,7 @@
 
 std::string Scalar(const Json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-// One line a value, nested ones indented beneath the name of theirs.
+// Prints one line per value; nested values are indented below their name.
 void Print(const Json& value, int indent) {
   const std::string margin(static_cast<std::size_t>(indent), ' ');
   for (const auto& [name, inner] : value.items()) {
@@ -36,14 +36,15 @@
   const HttpAnswer answer = HttpGet(address, kStatusPath);
   if (answer.status != kStatusOk) {
     LOG(ERROR) << address << kStatusPath << ": "
-               << (answer.status == 0 ? answer.error : "answered " + std::to_string(answer.status))
-               << ": give the control address of a running dispatcher";
+               << (answer.status == 0 ? answer.error : "HTTP status " + std::to_string(answer.status))
+               << "; give the control address of a running dispatcher";
     return kFailed;
   }
   const Json status = Json::parse(answer.body, nullptr, false);
   if (!status.is_object()) {
-    LOG(ERROR) << address << kStatusPath
-               << ": its answer is no JSON object: is this a dispatcher's control address?";
+    LOG(ERROR)
+        << address << kStatusPath
+        << ": the response is not a JSON object; check that this is the control address of a dispatcher";
     return kFailed;
   }
   Print(status, 0);
--- a/src/ctl/store_command.cpp
+++ b/src/ctl/store_command.cpp
@@ -49,7 +49,7 @@
     std::cout << "record " << key << ": " << value.size() << " bytes\n";
   RegisterNode node = NodeOf(store->replica_id);
   if (!node.Restore(store->records)) {
-    LOG(ERROR) << folder << ": a record can't be read: start the dispatcher without this store";
+    LOG(ERROR) << folder << ": a record cannot be read; start the dispatcher without this store";
     return kFailed;
   }
   for (const std::string& name : node.RegisterNames()) {
@@ -64,7 +64,7 @@
   if (!store) return kFailed;
   RegisterNode node = NodeOf(store->replica_id);
   if (!node.Restore(store->records)) {
-    LOG(ERROR) << folder << ": a record can't be read: see lichenlugctl store verify";
+    LOG(ERROR) << folder << ": a record cannot be read; run lichenlugctl store verify";
     return kFailed;
   }
   for (const std::string& name : node.RegisterNames()) {
--- a/src/ctl/store_copy.cpp
+++ b/src/ctl/store_copy.cpp
@@ -17,7 +17,7 @@
  public:
   TemporaryFolder() {
     std::string pattern = (fs::temp_directory_path() / "lichenlugctl-XXXXXX").string();
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder can be made");
+    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
     path_ = pattern;
   }
   ~TemporaryFolder() {
@@ -49,18 +49,20 @@
 }  // namespace
 
 OpenResult ReadStoreCopy(const std::string& folder) {
-  if (!fs::is_directory(folder)) return Failure(folder + " is no folder: give the store's");
+  if (!fs::is_directory(folder)) return Failure(folder + " is not a folder; give the folder of the store");
   try {
     const TemporaryFolder copy;
     fs::copy(folder, copy.path(), fs::copy_options::recursive);
     OpenResult result = Open(copy.path().string());
     if (result.opened && result.created) {
-      return Failure(folder +
-                     " holds no store that can be read: give another, or let the dispatcher make a new one");
+      return Failure(
+          folder +
+          " contains no readable store; give another folder, or let the dispatcher create a new one");
     }
     return result;
   } catch (const std::exception& error) {
-    return Failure(folder + " can't be copied (" + error.what() + "): make room and stop the dispatcher");
+    return Failure(folder + " cannot be copied (" + error.what() +
+                   "); free disk space and stop the dispatcher");
   }
 }
 
--- a/src/ctl/store_copy.h
+++ b/src/ctl/store_copy.h
@@ -1,5 +1,5 @@
-// A store read from a copy of its folder: opening a database replays its log and may set aside what can't be
-// read, neither of which a look from outside should do to the store itself.
+// Reads a store from a copy of its folder. Opening a database replays its log and may move unreadable files
+// aside, and an inspection must not modify the store itself.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace lichenlug::ctl {
 
-// Not opened, with an error, where there is no store or it can't be read as one.
+// If there is no readable store in the folder, the result is not opened and has an error.
 storage::RecordStore::OpenResult ReadStoreCopy(const std::string& folder);
 
 }  // namespace lichenlug::ctl
--- a/src/daemon/early_signals.cpp
+++ b/src/daemon/early_signals.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 void RememberSignals() {
-  Remembered(SIGTERM) = false;  // is made before any signal may need it
+  Remembered(SIGTERM) = false;  // constructs the static before a handler can run
   struct sigaction action {};
   action.sa_handler = Remember;
   action.sa_flags = SA_RESTART;
--- a/src/daemon/early_signals.h
+++ b/src/daemon/early_signals.h
@@ -1,14 +1,14 @@
-// Signals that come before the event loop takes them, or after it has ended. Their default is the end of the
-// process, so a SIGHUP to a dispatcher that has just begun would be a crash.
+// Records signals that arrive before the event loop handles them or after it has ended. Their default action
+// terminates the process, so a SIGHUP to a dispatcher that is starting would kill it.
 #pragma once
 
 namespace lichenlug::daemon {
 
-// From here on SIGTERM, SIGINT and SIGHUP are only remembered. The event loop's own handlers go before these
-// while they are there.
+// Installs handlers that only record SIGTERM, SIGINT and SIGHUP. The handlers of the event loop replace them
+// while the loop has them installed.
 void RememberSignals();
 
-// Whether the signal has come since RememberSignals(), once for any number of times.
+// Whether the signal has arrived since RememberSignals() or the last call; clears the record.
 bool TakeRemembered(int signal);
 
 }  // namespace lichenlug::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -26,7 +26,8 @@
 
 constexpr const char* kSettingsVariable = "LICHENLUG_BOOT";
 constexpr int kUsageError = 2;
-constexpr lichenlug::Time kConfigurationWait = 1500 * lichenlug::kMillisecond;  // a restart of all takes less
+constexpr lichenlug::Time kConfigurationWait =
+    1500 * lichenlug::kMillisecond;  // longer than a restart of all dispatchers takes
 
 struct CommandLine {
   std::string settings_path;
@@ -39,18 +40,18 @@
   return path != nullptr ? path : "/etc/lichenlug/node.json";
 }
 
-// Reads the command line; ends the process for --help, --version and errors.
+// Parses the command line; exits the process for --help, --version and errors.
 CommandLine ReadCommandLine(int argc, char** argv) {
   namespace options = boost::program_options;
   CommandLine command_line;
   std::string without;
   options::options_description description("lichenlugd: a dispatcher of the model router and placer");
-  description.add_options()("help,h", "tell the options")("version", "tell the version")(
+  description.add_options()("help,h", "show this help")("version", "show the version")(
       "settings", options::value(&command_line.settings_path)->default_value(DefaultSettingsPath()),
-      "the settings file; else the variable LICHENLUG_BOOT names it")(
-      "check", options::bool_switch(&command_line.check_only), "check the settings file and end")(
+      "path of the settings file; the default can be set by the environment variable LICHENLUG_BOOT")(
+      "check", options::bool_switch(&command_line.check_only), "check the settings file and exit")(
       "without", options::value(&without)->default_value(""),
-      "for experiments: parts of the policy to leave out, with commas between");
+      "for experiments: comma-separated parts of the policy to disable");
   options::variables_map variables;
   try {
     options::store(options::parse_command_line(argc, argv, description), variables);
@@ -68,7 +69,7 @@
     std::exit(0);
   }
   if (const auto unknown = command_line.mechanisms.Disable(without)) {
-    std::cerr << "lichenlugd: --without: there is no " << *unknown << "; give some of";
+    std::cerr << "lichenlugd: --without: unknown name " << *unknown << "; valid names:";
     for (const std::string_view name : lichenlug::kMechanismNames) std::cerr << ' ' << name;
     std::cerr << '\n';
     std::exit(kUsageError);
@@ -127,8 +128,8 @@
   const CommandLine command_line = ReadCommandLine(argc, argv);
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(argv[0]);
-  google::InstallFailureSignalHandler();  // a crash tells its stack on standard error, then ends as before
-  lichenlug::daemon::RememberSignals();   // glog takes SIGTERM for a failure, too
+  google::InstallFailureSignalHandler();  // prints the stack on a crash, then runs the default action
+  lichenlug::daemon::RememberSignals();   // glog's handler treats SIGTERM as a failure
   const auto settings = ReadNodeSettings(command_line.settings_path);
   if (const auto* problem = std::get_if<SettingsProblem>(&settings)) return Fail(problem->Line());
   LOG(INFO) << DescribeRoles(RolesOf(std::get<NodeSettings>(settings)));
--- a/src/host/control_host.h
+++ b/src/host/control_host.h
@@ -1,5 +1,5 @@
-// The control node of one process on its machine: event loop, internal transport, HTTP, disk and data plane.
-// Turns what comes in into calls of the node, and carries out what the node asks for; decides nothing.
+// Connects the control node of a process to its environment: event loop, internal transport, HTTP, disk and
+// data plane. Forwards input to the node and carries out the node's requests; contains no decisions.
 #pragma once
 
 #include <functional>
@@ -24,9 +24,9 @@
   ControlHost(EventLoop* loop, const node::NodeSettings& settings, dataplane::DataPlane* data_plane);
   ~ControlHost() override;
 
-  bool Start(std::string* error);  // one line with the remedy
+  bool Start(std::string* error);  // `error`: one line that names the remedy
   void ReloadSettings(const node::NodeSettings& settings) { node_.ReloadSettings(settings); }
-  void BeginDrain() { node_.BeginDrain(); }  // SIGTERM: the loop stops when nothing is owed
+  void BeginDrain() { node_.BeginDrain(); }  // on SIGTERM; the loop stops when the drain is complete
 
   Time Now() const override { return EventLoop::Now(); }
   Time WallNow() const override { return Now() + wall_offset_; }
@@ -44,18 +44,18 @@
 
  private:
   bool Listen(std::string* error);
-  void EndBatch();  // of events: the node settles, and the timer is set
+  void EndBatch();  // after each batch of events: settles the node and sets the timer
 
   EventLoop* loop_;
   node::NodeSettings settings_;
   dataplane::DataPlane* data_plane_;
-  Time wall_offset_;  // true Unix time less the steady clock, as this process began
+  Time wall_offset_;  // Unix time minus the steady clock, at process start
   node::NodeIdentity identity_;
   HttpClient client_;
   node::ControlNode node_;
   std::unique_ptr<HttpServer> control_server_, ready_server_;
   std::unique_ptr<transport::Transport> transport_;
-  PostedStore store_;  // last: its thread ends before what its callbacks use
+  PostedStore store_;  // last member: its thread ends before the objects that its callbacks use
 };
 
 }  // namespace lichenlug::host
--- a/src/host/event_loop.cpp
+++ b/src/host/event_loop.cpp
@@ -20,7 +20,7 @@
   base_ = event_base_new();
   wake_descriptor_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   if (base_ == nullptr || wake_descriptor_ < 0)
-    throw std::runtime_error("no event loop: allow the process more descriptors");
+    throw std::runtime_error("cannot create an event loop; raise the limit of file descriptors");
   task_event_ = event_new(
       base_, wake_descriptor_, EV_READ | EV_PERSIST,
       [](int, short, void* loop) { static_cast<EventLoop*>(loop)->RunTasks(); }, this);
--- a/src/host/event_loop.h
+++ b/src/host/event_loop.h
@@ -1,4 +1,4 @@
-// The control plane's thread: a libevent loop, tasks posted to it from other threads, and one timer.
+// Event loop of the control plane's thread: libevent, tasks posted from other threads, and one timer.
 #pragma once
 
 #include <functional>
@@ -23,15 +23,15 @@
   event_base* base() { return base_; }
   static Time Now();  // the steady clock, microseconds
 
-  void Post(std::function<void()> task);  // any thread; runs on the loop's, in order
-  // Calls `wake` at `at`, once; a newer call replaces the older one.
+  void Post(std::function<void()> task);  // from any thread; tasks run in order on the loop's thread
+  // Calls `wake` once, at `at`. A later SetTimer() replaces the timer.
   void SetTimer(Time at, std::function<void()> wake);
-  // `handle` runs on the loop's thread whenever the signal comes.
+  // Runs `handle` on the loop's thread at each arrival of the signal.
   void OnSignal(int signal, std::function<void()> handle);
   // Runs after each batch of events, before the loop waits again.
   void OnIdle(std::function<void()> idle) { idle_ = std::move(idle); }
 
-  void Run();  // until Stop()
+  void Run();  // returns after Stop()
   void Stop();
 
  private:
--- a/src/host/http_client.cpp
+++ b/src/host/http_client.cpp
@@ -34,7 +34,7 @@
     }
     --exchange->client->in_flight_;
     exchange->done(result);
-    // The connection can't be freed from within its own callback.
+    // The connection must not be freed inside its own callback.
     exchange->client->loop_->Post([exchange] {
       evhttp_connection_free(exchange->connection);
       delete exchange;
--- a/src/host/http_client.h
+++ b/src/host/http_client.h
@@ -1,4 +1,5 @@
-// Calls to the platform and to runners, on evhttp: one connection a call, each with a time-out.
+// HTTP client for calls to the platform and to runners, on evhttp. Each call has its own connection and
+// timeout.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +17,7 @@
 
   HttpClient(EventLoop* loop, std::string holder, std::string platform_address);
 
-  // `done` is called exactly once, with status 0 where no answer came.
+  // Calls `done` exactly once; the status is 0 if there was no response.
   void Call(const duties::HttpCall& call, Done done);
   std::size_t in_flight() const { return in_flight_; }
 
--- a/src/host/http_server.cpp
+++ b/src/host/http_server.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kIdleSeconds = 30;  // a caller that is silent for this long is closed
+constexpr int kIdleSeconds = 30;  // then an idle connection is closed
 
 std::string MethodName(evhttp_cmd_type method) {
   switch (method) {
@@ -56,7 +56,8 @@
 
 HttpServer::HttpServer(EventLoop* loop, std::size_t max_body_bytes, Handler handler)
     : loop_(loop), server_(evhttp_new(loop->base())), handler_(std::move(handler)) {
-  if (server_ == nullptr) throw std::runtime_error("no HTTP server: give the process more memory");
+  if (server_ == nullptr)
+    throw std::runtime_error("cannot create an HTTP server; give the process more memory");
   evhttp_set_allowed_methods(
       server_, EVHTTP_REQ_GET | EVHTTP_REQ_PUT | EVHTTP_REQ_PATCH | EVHTTP_REQ_DELETE | EVHTTP_REQ_POST);
   evhttp_set_max_body_size(server_, static_cast<ev_ssize_t>(max_body_bytes));
@@ -72,12 +73,12 @@
 bool HttpServer::Listen(const std::string& address, std::string* error) {
   const auto [ip, port] = SplitAddress(address);
   if (evhttp_bind_socket(server_, ip.c_str(), static_cast<ev_uint16_t>(port)) == 0) return true;
-  *error = address + ": the address can't be listened at; see that no other process has it";
+  *error = address + ": cannot listen on this address; check that no other process uses it";
   return false;
 }
 
-// While a request is being handled libevent does not read from its connection, so the request stays valid
-// until it is answered, also when the caller has gone.
+// libevent does not read from a connection while its request is being handled, so the request stays valid
+// until the response is sent, even if the client has disconnected.
 void HttpServer::Handle(evhttp_request* request) {
   node::ControlRequest call;
   call.method = MethodName(evhttp_request_get_command(request));
--- a/src/host/http_server.h
+++ b/src/host/http_server.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server on evhttp, for the operator, runners and the platform's readiness checks.
+// HTTP/1.1 server on evhttp for the operator, runners and the platform's readiness checks.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
   HttpServer(EventLoop* loop, std::size_t max_body_bytes, Handler handler);
   ~HttpServer();
 
-  bool Listen(const std::string& address, std::string* error);  // "ip:port"; one line with the remedy
+  bool Listen(const std::string& address, std::string* error);  // "ip:port"; `error`: one line
 
  private:
   void Handle(evhttp_request* request);
@@ -32,7 +32,7 @@
   Handler handler_;
 };
 
-// "ip:port" into its parts; port 0 where it can't be read.
+// Splits "ip:port"; the port is 0 if it cannot be parsed.
 std::pair<std::string, int> SplitAddress(const std::string& address);
 
 }  // namespace lichenlug::host
--- a/src/host/posted_store.h
+++ b/src/host/posted_store.h
@@ -1,4 +1,4 @@
-// A record store whose callbacks come on the event loop's thread.
+// Record store whose callbacks run on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 class PostedStore {
  public:
-  // `loop` outlives it.
+  // `loop` must outlive the store.
   PostedStore(EventLoop* loop, std::string folder) : loop_(loop), folder_(std::move(folder)) {}
 
-  // May be called again where the store could not be opened.
+  // May be called again if the store could not be opened.
   void Open(const std::string& new_replica_id, std::function<void(node::StoreContents)> done);
   void Write(std::string key, std::string value, std::function<void(bool written)> done);
 
--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -14,7 +14,7 @@
   const double earned = static_cast<double>(now - budget_at_) / kSecond * kPerSecond;
   budget_ = std::min(kBurst, budget_ + earned);
   budget_at_ = now;
-  // A table longer than the burst goes out when the budget is full.
+  // A table larger than the burst is sent when the budget is full.
   if (budget_ < std::min(kBurst, static_cast<double>(records))) return false;
   budget_ -= static_cast<double>(records);
   return true;
--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -1,5 +1,5 @@
-// Repairs what the news did not bring: two members whose hashes differ compare the hashes of 64 buckets and
-// exchange the records of those that differ. Bounded in how often and how much.
+// Anti-entropy: repairs updates that gossip did not deliver. Two members whose table hashes differ compare
+// the hashes of 64 buckets and exchange the records of the buckets that differ, limited in rate and volume.
 #pragma once
 
 #include <optional>
@@ -15,11 +15,11 @@
  public:
   AntiEntropy(const MemberTable* table, Random* random) : table_(*table), random_(*random) {}
 
-  // A heartbeat told another hash: what to send to its sender, if it is time for it again.
+  // A heartbeat had a different table hash: the digest to send back, unless one was sent recently.
   std::optional<messages::MembershipTable> OnOtherHash(Time now);
-  // The answer to a join: the whole table, or a sample if too much was sent of late.
+  // The reply to a join: the whole table, or a random sample if the record budget is used up.
   messages::MembershipTable AnswerJoin(Time now);
-  // The answer to a table, after its records were taken over.
+  // The reply to a received table, after its records were merged.
   std::optional<messages::MembershipTable> Answer(Time now, const messages::MembershipTable& table);
 
  private:
@@ -31,8 +31,8 @@
   const MemberTable& table_;
   Random& random_;
   Time next_digest_ = 0;
-  Time budget_at_ = 0;      // when the budget was reckoned last
-  double budget_ = kBurst;  // records that may be sent now
+  Time budget_at_ = 0;      // when the budget was last replenished
+  double budget_ = kBurst;  // token bucket of records
 };
 
 }  // namespace lichenlug::membership_ring
--- a/src/membership/contacts.cpp
+++ b/src/membership/contacts.cpp
@@ -11,7 +11,7 @@
 constexpr Time kDeadInterval = kSecond;
 constexpr Time kOldDeadInterval = 5 * kSecond;
 constexpr Time kOldDeadAfter = 120 * kSecond;
-// However many members call, an address that does not answer is called about this often by all of them.
+// Limit of the calls to one unresponsive address from all members together.
 constexpr Time kCallsPerSecond = 20;
 
 }  // namespace
--- a/src/membership/contacts.h
+++ b/src/membership/contacts.h
@@ -1,5 +1,5 @@
-// Whom to call beside the monitors: seeds that are no live members, and members that died of late. So both
-// sides of a cut find each other when it heals, even if all seeds are down.
+// Addresses to contact besides the monitors: seeds that are not live members, and members declared dead.
+// After a network partition heals, both sides find each other this way, even if all seeds are down.
 #pragma once
 
 #include <string>
@@ -19,9 +19,9 @@
   void Start(Time now);
 
   Time next_seed_call() const { return next_seed_call_; }
-  // The seeds to call now, if a call is due.
+  // The seeds to contact now; empty if none is due.
   std::vector<std::string> SeedsToCall(Time now);
-  // The address of a dead member to call now, or empty. To be asked once a heartbeat period.
+  // The address of a dead member to contact now, or empty. Called once per heartbeat period.
   std::string DeadToCall(Time now);
 
  private:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,8 +9,8 @@
 constexpr int kMaxMultiplier = 8;
 constexpr Time kAcquitAfter = 10 * kSecond;
 constexpr Time kTroubleLasts = 3 * kSecond;
-constexpr std::size_t kFewestProbes = 8, kMaxProbes = 64;  // a heartbeat period
-constexpr std::size_t kProbedShare = 10;                   // one in so many members
+constexpr std::size_t kFewestProbes = 8, kMaxProbes = 64;  // per heartbeat period
+constexpr std::size_t kProbedShare = 10;                   // probes one in this many live members
 
 }  // namespace
 
@@ -73,7 +73,7 @@
   }
 }
 
-// At least two accusers, or as many as it has monitors that are not under suspicion themselves.
+// True if suspected by two monitors, or by all of its monitors that are not suspects themselves if fewer.
 bool FailureDetector::MonitorsAgree(const Entry& entry) const {
   const auto monitors = table_.Successors(entry.record.name(), settings_.monitors);
   const auto trusted = std::ranges::count_if(monitors, [&](const std::string& monitor) {
@@ -82,7 +82,7 @@
   return entry.record.suspected_by_size() >= std::min<std::ptrdiff_t>(kMaxAccusers, trusted);
 }
 
-// Suspicions that are not this member's own: confirmed by others, or forgotten after a while.
+// Suspicions of other members: declared dead when confirmed, or cleared after a timeout.
 void FailureDetector::CheckSuspects(Time now, Findings* findings) {
   const auto suspects = table_.suspects();
   for (const std::string& name : suspects) {
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,7 +1,6 @@
-// Watches a member's predecessors on the ring, which send it heartbeats. One that is silent is pinged, then
-// accused, then declared dead if enough of its monitors agree. Where several are silent at once, the cause
-// may be a cut that takes whole stretches of the ring from sight: then members all over the ring are pinged
-// as well.
+// Failure detector. Monitors a member's predecessors on the ring, which send it heartbeats. A silent one is
+// pinged, then suspected, then declared dead if enough of its monitors agree. Several silent at once may mean
+// a network partition that hides whole segments of the ring: then random members of the ring are pinged too.
 #pragma once
 
 #include <map>
@@ -22,9 +21,9 @@
     std::size_t monitors;
   };
   struct Findings {
-    std::vector<std::string> ping;     // ask them for an answer
-    std::vector<std::string> accused;  // suspects since now, or with one more accuser
-    std::vector<std::string> dead;     // declared dead now
+    std::vector<std::string> ping;     // to be pinged
+    std::vector<std::string> accused;  // newly suspected, or suspected by one more monitor
+    std::vector<std::string> dead;     // newly declared dead
   };
 
   FailureDetector(const Settings& settings, MemberTable* table, Random* random)
@@ -33,20 +32,22 @@
   void Check(Time now, Findings* findings);
   std::optional<Time> NextCheck(Time now) const;
 
-  // Once a heartbeat period.
+  // Called once per heartbeat period.
   void ProbeAtRandom(Time now, Findings* findings);
 
-  // Its owner was paused: what it did not hear tells nothing of others.
+  // Restarts all timeouts after this process was paused: missed heartbeats then say nothing about other
+  // members.
   void RestartAll(Time now);
-  // The member has objected, but was not heard directly: the way from it to here may be cut. Accuse it later.
+  // The member refuted a suspicion, but no heartbeat came from it directly: the path from it to this member
+  // may be down. Increases the timeout until it is suspected again.
   void Objected(Time now, const std::string& name);
 
  private:
   struct Watch {
     Time since = 0;
     Time next_ping = 0;
-    int timeout_multiplier = 1;  // multiplies the time until it is accused
-    bool probed = false;         // not a predecessor
+    int timeout_multiplier = 1;  // of the time until it is suspected
+    bool probed = false;         // a random probe, not a predecessor
   };
 
   void FollowRing(Time now);
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -43,7 +43,7 @@
   return {.news = live, .live_changed = live};
 }
 
-// The usual case, as most news comes several times.
+// Fast path for records that are already known, as most gossip arrives several times.
 bool MemberTable::TellsNothingNew(const MemberRecord& record, const Entry& entry) {
   const MemberRecord& known = entry.record;
   if (record.incarnation() != known.incarnation()) return record.incarnation() < known.incarnation();
@@ -52,7 +52,7 @@
   return !newer_state && CompareKnowledge(record, known) <= 0;
 }
 
-// A higher incarnation replaces what was known; within one, each field takes the newer value.
+// A higher incarnation replaces the known record; within an incarnation, the newer fields win.
 MemberTable::Applied MemberTable::ApplyToKnown(Time now, const MemberRecord& record, Entry& entry) {
   if (TellsNothingNew(record, entry)) return {};
   const bool was_live = IsLive(entry.record);
@@ -68,7 +68,7 @@
     *entry.record.mutable_suspected_by() = before.suspected_by();
   }
   if (newer_life) {
-    entry.last_heard = now;  // it was alive when it began this life or objected
+    entry.last_heard = now;  // it was alive when it restarted or refuted
     if (was_live || IsLive(record)) SetState(now, entry, MEMBER_ALIVE);
   }
   const bool state_news = MergeState(now, record, entry);
@@ -79,8 +79,8 @@
   return applied;
 }
 
-// The later state wins; but a member that others call dead becomes a suspect first, so that it can object.
-// True if there is news in it.
+// The later state wins, but a member reported dead becomes a suspect first, so that it can refute.
+// True if the state or the list of suspecting monitors changed.
 bool MemberTable::MergeState(Time now, const MemberRecord& record, Entry& entry) {
   if (record.state() < entry.record.state()) return false;
   if (record.state() == MEMBER_SUSPECT) {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
-// All members that are remembered, and what follows from them: the ring of the live ones and the hashes that
-// two members compare.
+// Table of all known members, with the data derived from it: the ring of live members and the hashes that
+// anti-entropy compares.
 #pragma once
 
 #include <array>
@@ -19,37 +19,36 @@
 inline constexpr std::size_t kMaxTableEntries = 8192;
 inline constexpr std::size_t kBuckets = 64;
 
-// A suspect may object at least this long before it is taken for dead on another member's word.
+// A suspect has at least this long to refute before it is declared dead on another member's report.
 inline constexpr Time kObjectionTime = 600 * kMillisecond;
 
 struct Entry {
   MemberRecord record;
-  Time last_heard = 0;           // the last sign of life; 0: none
-  Time suspect_since = 0;        // of the state, if it is a suspect
-  Time dead_since = 0;           // of the state, if it is dead or has left
-  std::optional<Time> death_at;  // others say that it is dead: believed then, unless it objects
-  Time last_told = 0;            // when it was last told what is said of it
+  Time last_heard = 0;           // time of the last heartbeat received; 0: none
+  Time suspect_since = 0;        // if its state is suspect
+  Time dead_since = 0;           // if its state is dead or left
+  std::optional<Time> death_at;  // reported dead by others: takes effect then, unless refuted
+  Time last_told = 0;            // when it was last sent the record of itself known here
 };
 
 class MemberTable {
  public:
   struct Applied {
-    bool news = false;          // others should hear of it
-    bool live_changed = false;  // a member of Live() or a field that is shown there
-    bool objected = false;      // a suspicion ended by a higher incarnation
+    bool news = false;          // to be gossiped
+    bool live_changed = false;  // Live() or a field of a member in it
+    bool objected = false;      // a suspicion was refuted by a higher incarnation
   };
   using Hashes = std::array<std::uint64_t, kBuckets>;
 
   explicit MemberTable(const MemberRecord& self);
 
-  // Takes over what the record tells beyond what is known. Not for the own record. Unknown members that are
-  // not live are added only if `unknown_dead` is true: otherwise the members' memories would keep each other
-  // alive.
+  // Merges a record of another member. Unknown members that are not live are added only if `unknown_dead` is
+  // true: otherwise members would exchange forgotten records forever.
   Applied Apply(Time now, const MemberRecord& record, bool unknown_dead);
   void SetSelf(const MemberRecord& record);
 
-  bool Accuse(Time now, Entry& entry);  // by the own member; true if the accusation is new
-  void Acquit(Entry& entry);            // nobody has confirmed the suspicion
+  bool Accuse(Time now, Entry& entry);  // by this member; true if it did not suspect it before
+  void Acquit(Entry& entry);            // the suspicion was not confirmed
   void DeclareDead(Time now, Entry& entry);
   void ForgetDeadBefore(Time dead_limit, Time left_limit);
 
@@ -58,14 +57,14 @@
   const MemberRecord& self() const { return Find(own_name_)->record; }
   const std::unordered_map<std::string, Entry>& entries() const { return entries_; }
   const std::set<std::string>& suspects() const { return suspects_; }
-  const std::set<std::string>& dead() const { return dead_; }  // not those that have left
+  const std::set<std::string>& dead() const { return dead_; }  // without members that left
   bool IsLiveAddress(const std::string& address) const { return live_addresses_.contains(address); }
 
   std::uint64_t hash() const { return hash_; }
   const Hashes& bucket_hashes() const { return bucket_hashes_; }
   static std::size_t BucketOf(const std::string& name) { return HashName(name) % kBuckets; }
 
-  // The ring: live members by the hash of their names, this one included.
+  // The ring: live members ordered by the hash of their names, including this member.
   std::size_t live_count() const { return ring_.size(); }
   std::vector<std::string> Successors(const std::string& name, std::size_t count) const;
   std::vector<std::string> Predecessors(const std::string& name, std::size_t count) const;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,5 +1,5 @@
-// Who is there: heartbeats to a few monitors chosen by position on a ring, suspicion by several monitors,
-// news of changes passed on, incarnation numbers, joins by any seed. A state machine.
+// Cluster membership as a state machine without I/O: heartbeats to a few monitors chosen by position on a
+// ring, suspicion by several monitors, gossip of changes, incarnation numbers, joins through any seed.
 #pragma once
 
 #include <cstdint>
@@ -20,12 +20,12 @@
 };
 struct MembershipOutput {
   std::vector<MembershipSend> sends;
-  bool changed = false;  // Live() or a record in it
+  bool changed = false;  // Live() or a record in it changed
 };
 
 struct MembershipSettings {
   Member self;
-  std::vector<std::string> seed_addresses;  // of the internal transport; may include the own one
+  std::vector<std::string> seed_addresses;  // of the internal transport; may include this member
   Time heartbeat_interval = 400 * kMillisecond;
   Time suspect_after = 1500 * kMillisecond;
   Time dead_after = 2500 * kMillisecond;
@@ -45,13 +45,13 @@
   std::optional<Time> NextTimer() const;
 
   void UpdateSelf(Time now, bool ready, const std::string& replica_id, MembershipOutput* output);
-  void SetSeeds(std::vector<std::string> seed_addresses);  // the settings file has changed
-  void Leave(Time now, MembershipOutput* output);          // SIGTERM: tells the others
+  void SetSeeds(std::vector<std::string> seed_addresses);  // after a reload of the settings
+  void Leave(Time now, MembershipOutput* output);          // on SIGTERM: announces the departure
 
-  std::vector<Member> Live() const;      // alive or under suspicion, this one included, by name
-  std::vector<Member> Everyone() const;  // those remembered, dead ones too
-  std::optional<Time> DeadSince(const std::string& name) const;  // none: alive or unknown
-  const Member& self() const;                                    // with the incarnation in force
+  std::vector<Member> Live() const;      // alive or suspect, including this member, by name
+  std::vector<Member> Everyone() const;  // all known members, including dead ones
+  std::optional<Time> DeadSince(const std::string& name) const;  // none if alive or unknown
+  const Member& self() const;                                    // with its current incarnation
 
  private:
   class Impl;
--- a/src/membership/news.h
+++ b/src/membership/news.h
@@ -1,5 +1,5 @@
-// What this member has learned of late: sent on once to a few members soon after, and along with its
-// heartbeats for a while.
+// Gossip: names of members whose records changed recently. Each is forwarded once to a few members in a burst
+// and piggybacked on heartbeats for a short time.
 #pragma once
 
 #include <cstddef>
@@ -24,17 +24,17 @@
     recent_[name] = now + kRecent;
   }
 
-  // When the next burst is due, if there is anything to send.
+  // When the next burst is due; none if there is nothing to send.
   std::optional<Time> DueAt() const {
     if (pending_.empty()) return std::nullopt;
     return last_burst_ + kBetweenBursts;
   }
   std::vector<std::string> TakeBurst(Time now);
-  std::vector<std::string> Recent(Time now);  // to go along with a heartbeat
+  std::vector<std::string> Recent(Time now);  // to piggyback on a heartbeat
 
  private:
   std::set<std::string> pending_;
-  std::map<std::string, Time> recent_;  // until when
+  std::map<std::string, Time> recent_;  // by name: until when
   Time last_burst_ = 0;
 };
 
--- a/src/membership/protocol.cpp
+++ b/src/membership/protocol.cpp
@@ -6,8 +6,8 @@
 namespace lichenlug::membership_ring {
 namespace {
 
-constexpr Time kPause = kSecond;             // a longer gap between calls: this process was stopped
-constexpr Time kHearsNobodyAfter = kSecond;  // then the fault may be here, and others are not told of it
+constexpr Time kPause = kSecond;             // a longer gap between calls means that this process was paused
+constexpr Time kHearsNobodyAfter = kSecond;  // then the fault may be local, and suspicions are not gossiped
 constexpr Time kRememberDead = 1800 * kSecond;
 constexpr Time kRememberLeft = 600 * kSecond;
 constexpr Time kBetweenForgetting = 10 * kSecond;
@@ -85,7 +85,7 @@
   }
 }
 
-// New monitors hear from this member at once, not only with the next heartbeat.
+// Sends new monitors a heartbeat at once, without waiting for the next period.
 void Protocol::GreetNewMonitors(const Call& call) {
   if (ring_seen_ == table_.ring_changes()) return;
   ring_seen_ = table_.ring_changes();
@@ -136,7 +136,7 @@
   for (const std::string& target : NewsTargets(names)) SendToMember(call, target, message);
 }
 
-// News of this member goes to its monitors as well: they pass it on.
+// Gossip about this member goes to its monitors as well, which forward it.
 std::vector<std::string> Protocol::NewsTargets(const std::vector<std::string>& names) {
   std::vector<std::string> targets;
   if (std::ranges::find(names, self_.name) != names.end()) targets = monitors_;
--- a/src/membership/protocol.h
+++ b/src/membership/protocol.h
@@ -1,5 +1,5 @@
-// The protocol of the members: joins the parts (table, failure detector, news, contacts, anti-entropy) and
-// turns what they find into messages.
+// The membership protocol: combines the member table, failure detector, gossip, contacts and anti-entropy,
+// and turns their results into messages.
 #pragma once
 
 #include <functional>
@@ -34,7 +34,7 @@
   const Member& self() const { return self_; }
 
  private:
-  // What a call works with.
+  // Context of one call from outside.
   struct Call {
     Time now;
     MembershipOutput& output;
@@ -75,7 +75,7 @@
   bool started_ = false, left_ = false;
   Time started_at_ = 0;
   Time last_call_ = 0;      // of Tick or Receive
-  Time last_received_ = 0;  // from anybody
+  Time last_received_ = 0;  // from any member
   Time next_heartbeat_ = 0;
   Time next_forgetting_ = 0;
   std::optional<Time> next_check_;
--- a/src/membership/protocol_receive.cpp
+++ b/src/membership/protocol_receive.cpp
@@ -1,4 +1,4 @@
-// What a member does with the messages that it gets.
+// Handling of received membership messages.
 #include <algorithm>
 
 #include "membership/protocol.h"
@@ -6,9 +6,10 @@
 namespace lichenlug::membership_ring {
 namespace {
 
-constexpr Time kLearnsOfDeadFor = 10 * kSecond;  // a new life takes over what others remember of the dead
+constexpr Time kLearnsOfDeadFor = 10 * kSecond;  // after a start, dead members are learned from others
 constexpr Time kBetweenTellings = 100 * kMillisecond;
-constexpr Time kCheckSoon = 30 * kMillisecond;  // after news of a suspicion: more may come with it
+constexpr Time kCheckSoon =
+    30 * kMillisecond;  // after gossip of a suspicion: delays the check, as more may follow
 
 }  // namespace
 
@@ -68,8 +69,8 @@
   call.output.changed |= applied.live_changed;
 }
 
-// A record that its owner sent itself shows that the owner lives, unless what is known here says otherwise:
-// then it is told, so that it can object.
+// A record sent by its owner is a sign of life. If the owner is known here in another state or incarnation,
+// it is sent that record, so that it can refute it.
 void Protocol::LearnFromOwner(const Call& call, const std::string& from, const MemberRecord& record) {
   const bool possible = record.state() == messages::MEMBER_ALIVE || record.state() == messages::MEMBER_LEFT;
   if (!IsValid(record) || !possible || record.address() != from) return;
@@ -84,7 +85,8 @@
   SendToAddress(call, from, MakeHeartbeat({record.name()}, false));
 }
 
-// Another life of this member, a suspicion or a wrong record: overruled by a higher incarnation.
+// A record of this member from an earlier incarnation, a suspicion or a wrong record is refuted by a higher
+// incarnation.
 void Protocol::LearnAboutSelf(const Call& call, const MemberRecord& record) {
   const MemberRecord& own = table_.self();
   if (record.incarnation() < own.incarnation()) return;
--- a/src/membership/random.h
+++ b/src/membership/random.h
@@ -1,4 +1,4 @@
-// A small generator of random numbers (splitmix64): the same numbers from the same seed on every machine.
+// Pseudo-random number generator (splitmix64), deterministic for a seed on every machine.
 #pragma once
 
 #include <cstdint>
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 constexpr std::size_t kLongestField = 256;
-constexpr std::uint64_t kHighestIncarnation = 1ull << 62;  // leaves room to object to any record
+constexpr std::uint64_t kHighestIncarnation =
+    1ull << 62;  // so that any valid record can be refuted by a higher one
 
-// FNV-1a, with a final mix so that names that differ in one digit lie far apart.
+// FNV-1a with a final mix, so that names that differ in one digit hash far apart.
 class Hasher {
  public:
   void Add(std::string_view text) {
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -1,4 +1,4 @@
-// Records of members: which are valid, and which of two is newer.
+// Functions on member records: validation, hashing and ordering.
 #pragma once
 
 #include <compare>
@@ -13,15 +13,16 @@
 
 using messages::MemberRecord;
 
-inline constexpr int kMaxAccusers = 2;  // as many as it takes to declare a member dead
+inline constexpr int kMaxAccusers = 2;  // the number needed to declare a member dead
 
 // Position of a name on the ring; the same on every machine.
 std::uint64_t HashName(std::string_view name);
 
-// Over all fields but the state and the accusers: equal hashes mean equal knowledge of a live member.
+// Hash of all fields except the state and the suspecting monitors: equal hashes mean that the records of a
+// live member are equal.
 std::uint64_t HashRecord(const MemberRecord& record);
 
-// Bounded fields, an address, a known state. What is not valid is ignored.
+// Checks the field lengths, the address and the state. Invalid records are ignored.
 bool IsValid(const MemberRecord& record);
 
 inline bool IsLive(messages::MemberState state) {
@@ -29,10 +30,11 @@
 }
 inline bool IsLive(const MemberRecord& record) { return IsLive(record.state()); }
 
-// By incarnation, then version, then the other fields but the state, so that all members choose alike.
+// Orders by incarnation, version, and then the other fields except the state, so that all members decide
+// alike.
 std::strong_ordering CompareKnowledge(const MemberRecord& left, const MemberRecord& right);
 
-// Adds an accuser unless it is there already or there are enough. True if it was added.
+// Adds a suspecting monitor unless it is listed already or the list is full. True if it was added.
 bool AddAccuser(MemberRecord* record, const std::string& name);
 bool HasAccuser(const MemberRecord& record, const std::string& name);
 
