--- a/src/transport/frame_listener.cpp
+++ b/src/transport/frame_listener.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kBacklog = 256;
 constexpr std::size_t kMaxConnections = 1024;
-// Peers close a connection that they don't use sooner than this; what is left belongs to peers that vanished.
+// Longer than the idle timeout of the sending side, so that only connections of vanished peers reach it.
 constexpr timeval kCloseSilentAfter{.tv_sec = 90, .tv_usec = 0};
 
 }  // namespace
--- a/src/transport/frame_listener.h
+++ b/src/transport/frame_listener.h
@@ -1,4 +1,4 @@
-// Listens for peers and reads their frames. Each connection only receives.
+// Accepts connections from peers and reads their frames. Nothing is sent on these connections.
 #pragma once
 
 #include <event2/listener.h>
@@ -20,13 +20,13 @@
  public:
   using Handler = std::function<void(std::span<const std::byte>)>;
 
-  // `base` outlives the listener. `handler` gets the body of each frame, on the loop's thread.
+  // `base` must outlive the listener. Calls `handler` with the body of each frame, on the loop's thread.
   FrameListener(event_base* base, std::size_t longest_frame, Handler handler);
   ~FrameListener();
   FrameListener(const FrameListener&) = delete;
   FrameListener& operator=(const FrameListener&) = delete;
 
-  bool Listen(const std::string& address, std::string* error);  // one line with the remedy
+  bool Listen(const std::string& address, std::string* error);  // `error`: one line
 
  private:
   struct Connection {
@@ -44,7 +44,7 @@
 
   void Accept(int descriptor);
   void OnEvent(Connection* connection, short what);
-  bool ReadOnce(Connection* connection);  // false: it has ended or can't be read on
+  bool ReadOnce(Connection* connection);  // false if it was closed or is unreadable
 
   event_base* const base_;
   const std::size_t longest_frame_;
--- a/src/transport/link_liveness.h
+++ b/src/transport/link_liveness.h
@@ -1,7 +1,7 @@
-// Tells from the traffic with one peer whether its connection still carries anything. A link that is cut
-// reports no error: the kernel takes messages for it until its buffers are full. So each side answers the
-// other's messages, with an empty message where it has nothing else to say, and a connection over which
-// messages go out and none come back is dialled anew.
+// Detects from the traffic with one peer whether the connection to it still works. A broken link reports no
+// error: the kernel accepts messages until its buffers are full. Each side therefore acknowledges the other's
+// messages, with an empty message if it has nothing else to send, and a connection on which messages are sent
+// but none come back is reopened.
 #pragma once
 
 #include <chrono>
@@ -13,14 +13,15 @@
 
 class LinkLiveness {
  public:
-  // A peer that was sent nothing for this long is due an answer to its message.
+  // A message of a peer is acknowledged if nothing was sent to that peer for this long.
   static constexpr std::chrono::milliseconds kAnswerAfter{300};
-  // Messages this much later than the first unanswered one are surely answered by a peer that gets them.
+  // A message sent this long after the first unacknowledged one must be acknowledged by a peer that receives
+  // it.
   static constexpr std::chrono::milliseconds kProbeAfter{400};
-  // How long the answer to such a message may take.
+  // Timeout of the acknowledgement of such a message.
   static constexpr std::chrono::milliseconds kAnswerWithin{1100};
   static constexpr std::chrono::milliseconds kBetweenRenewals{1000};
-  // The same for a connection that stood and was lost.
+  // The same for a connection that was established and then lost.
   static constexpr std::chrono::milliseconds kBetweenReopenings{100};
 
   void Sent(SteadyTime now) {
@@ -32,7 +33,7 @@
     }
   }
 
-  // An answer expects no answer itself.
+  // Acknowledgements are not acknowledged.
   void Answered(SteadyTime now) { last_sent_ = now; }
 
   void Received() {
--- a/src/transport/peer_connection.cpp
+++ b/src/transport/peer_connection.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t kMaxFramesBeforeConnected = 64;
-constexpr std::size_t kMaxUnsentBytes = 1u << 20;  // a message is still taken while fewer wait
+constexpr std::size_t kMaxUnsentBytes = 1u << 20;  // accepts a message while fewer are queued
 constexpr std::size_t kKeptCapacity = 64u << 10;
 constexpr std::chrono::milliseconds kFirstRedial{20};
 constexpr std::chrono::milliseconds kLongestRedial{200};
@@ -78,7 +78,7 @@
   event_add(readable_.get(), nullptr);
 }
 
-// Peers send nothing on this connection: it is readable when it has ended, or when it is no peer's.
+// Peers send nothing on this connection: it becomes readable when it is closed or the remote is not a peer.
 void PeerConnection::OnReadable() {
   std::array<char, 16> bytes;
   const auto count = ::recv(socket_.descriptor(), bytes.data(), bytes.size(), 0);
--- a/src/transport/peer_connection.h
+++ b/src/transport/peer_connection.h
@@ -1,6 +1,6 @@
-// The way to one peer: a TCP connection on which envelopes are sent and nothing is received. It dials until
-// the peer was reached once; messages wait meanwhile. A connection that is lost is not used again: whoever
-// sends opens a new one.
+// Outgoing TCP connection to one peer: envelopes are sent on it and nothing is received. Connects with
+// retries until first established, queuing messages meanwhile. A lost connection is not reused: the sender
+// opens a new one.
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
  public:
   enum class SendResult { kQueued, kFull, kLost };
 
-  // Null if the address can't be read. `base` outlives the connection.
+  // Null if the address cannot be parsed. `base` must outlive the connection.
   static std::unique_ptr<PeerConnection> Open(event_base* base, const std::string& address);
   PeerConnection(const PeerConnection&) = delete;
   PeerConnection& operator=(const PeerConnection&) = delete;
@@ -42,7 +42,7 @@
   Socket socket_;
   EventPointer readable_, writable_, redial_;  // freed before the socket is closed
   std::chrono::milliseconds redial_after_;
-  std::string unsent_;  // frames; the first `flushed_` bytes are with the kernel
+  std::string unsent_;  // frames; the first `flushed_` bytes were passed to the kernel
   std::size_t flushed_ = 0;
   std::size_t frames_before_connected_ = 0;
 };
--- a/src/transport/peer_links.cpp
+++ b/src/transport/peer_links.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr std::chrono::seconds kCloseIdleAfter{60};
-constexpr std::chrono::seconds kCloseUnreachedAfter{3};  // each attempt to dial costs time
+constexpr std::chrono::seconds kCloseUnreachedAfter{3};  // each connection attempt costs time
 constexpr std::chrono::seconds kBetweenSweeps{1};
-// A peer without power says nothing, and the kernel repeats its call only after a second and more. The peer
-// may be there again before: it is dialled anew, each time after a longer wait.
+// A powered-off peer does not respond, and the kernel retransmits a SYN only after a second or more. The peer
+// may be back before that, so the connection attempt is restarted with an exponentially growing timeout.
 constexpr std::chrono::milliseconds kFirstDialTimeout{100};
 constexpr std::chrono::milliseconds kLongestDialTimeout{4000};
 
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -1,4 +1,4 @@
-// The connections to all peers: made when first used, renewed when nothing comes back, closed when idle.
+// Connections to all peers: opened on first use, reopened when the peer stops responding, closed when idle.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,14 @@
     std::uint64_t sent = 0, dropped = 0, renewals = 0;
   };
 
-  // `base` outlives the links; all calls are on its loop's thread.
+  // `base` must outlive the links; all calls must be made on its loop's thread.
   PeerLinks(event_base* base, std::size_t max_peers) : base_(base), max_peers_(max_peers) {}
 
   void Send(const std::string& address, const messages::Envelope& envelope);
   void Forget(const std::string& address);
 
-  // A message came from this peer. Sends it `answer`, if there is one, where it was sent nothing for a while.
+  // To be called for each message from this peer. Sends it `answer`, if not null, when an acknowledgement is
+  // due.
   void Received(const std::string& address, const messages::Envelope* answer);
 
   const Counters& counters() const { return counters_; }
@@ -36,7 +37,7 @@
     SteadyTime last_used;
     SteadyTime dialled_at;
     std::chrono::milliseconds dial_timeout{};
-    bool reached = false;  // since it was dialled
+    bool reached = false;  // since the last connection attempt began
   };
 
   static bool DialsTooLong(Peer& peer, SteadyTime now);
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -1,4 +1,4 @@
-// A TCP socket that does not block, and libevent's events with an owner.
+// Owners of a non-blocking TCP socket and of libevent events.
 #pragma once
 
 #include <event2/event.h>
@@ -31,10 +31,10 @@
   int descriptor_ = -1;
 };
 
-// "ip:port" with a numeric IPv4 address: nothing that would need a resolver.
+// Parses "ip:port" with a numeric IPv4 address; host names are rejected, as they would need a resolver.
 std::optional<sockaddr_in> ParseAddress(const std::string& address);
 
-// Small messages go out at once, and a peer that vanished is noticed in the end.
+// Sets TCP_NODELAY, so that small messages are sent at once, and SO_KEEPALIVE, to detect vanished peers.
 void SetConnectionOptions(int descriptor);
 
 }  // namespace lichenlug::transport
--- a/src/transport/transport.cpp
+++ b/src/transport/transport.cpp
@@ -49,7 +49,7 @@
 
   void OnBytes(std::span<const std::byte> bytes) {
     messages::Envelope envelope;
-    const google::protobuf::LogSilencer silence;  // what can't be read is counted
+    const google::protobuf::LogSilencer silence;  // unreadable messages are counted instead
     if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
       ++unreadable_;
     } else if (envelope.protocol_version() != kProtocolVersion) {
@@ -62,7 +62,7 @@
     }
   }
 
-  // An envelope without a body is an answer that only shows that the link works; it gets no answer itself.
+  // An envelope without a body is an acknowledgement that shows that the link works; it is not acknowledged.
   void OnEnvelope(messages::Envelope envelope) {
     const bool has_body = envelope.body_case() != messages::Envelope::BODY_NOT_SET;
     links_.Received(envelope.sender_address(), has_body ? &answer_ : nullptr);
@@ -76,7 +76,7 @@
   messages::Envelope answer_;
   std::uint64_t received_ = 0, unreadable_ = 0, other_versions_ = 0;
   PeerLinks links_;
-  FrameListener listener_;  // last: it is closed first
+  FrameListener listener_;  // last member: destroyed first
 };
 
 Transport::Transport(event_base* base, Settings settings, std::function<void(messages::Envelope)> receive)
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -1,6 +1,6 @@
-// The internal transport: a TCP connection to each peer for what is sent, one listener for what is received,
-// all on the event loop of the caller. Messages may be lost or late; they are never altered and never block
-// the caller. A peer that takes nothing loses messages, not time.
+// The internal transport between dispatchers: one outgoing TCP connection per peer and one listener, on the
+// event loop of the caller. Messages may be lost or delayed, but are never altered and never block the
+// caller. Messages to a peer that does not read are dropped.
 #pragma once
 
 #include <cstddef>
@@ -28,21 +28,21 @@
   };
   struct Statistics {
     std::uint64_t sent = 0;            // handed to a connection
-    std::uint64_t dropped = 0;         // the connection's buffer was full, or the peer has none
-    std::uint64_t received = 0;        // given to `receive`
-    std::uint64_t unreadable = 0;      // received, but no envelope, or without a sender
-    std::uint64_t other_versions = 0;  // received, but of another protocol version
-    std::uint64_t renewals = 0;        // connections closed and dialled anew
-    std::size_t peers = 0;             // with a socket now
+    std::uint64_t dropped = 0;         // the connection's buffer was full, or there is no connection
+    std::uint64_t received = 0;        // passed to `receive`
+    std::uint64_t unreadable = 0;      // received, but not a valid envelope or without a sender
+    std::uint64_t other_versions = 0;  // received with another protocol version
+    std::uint64_t renewals = 0;        // connections that were reopened
+    std::size_t peers = 0;             // that have a connection now
   };
-  // All calls, `receive` too, are on the thread of `base`'s loop, which outlives the transport. `receive`
-  // gets each message that can be read and is of this protocol version; it must not destroy the transport.
+  // All calls, also those of `receive`, are on the thread of `base`'s loop, which must outlive the transport.
+  // `receive` gets each valid message of this protocol version; it must not destroy the transport.
   Transport(event_base* base, Settings settings, std::function<void(messages::Envelope)> receive);
   ~Transport();
 
-  bool Listen(std::string* error);                                     // one line with the remedy
+  bool Listen(std::string* error);  // `error`: one line that names the remedy
   void Send(const std::string& address, messages::Envelope envelope);  // fills in the sender
-  void Forget(const std::string& address);  // the peer is dead: its connection is closed
+  void Forget(const std::string& address);                             // closes the connection to a dead peer
 
   Statistics statistics() const;
 
