--- a/tests/system/catch_main.cpp
+++ b/tests/system/catch_main.cpp
@@ -1,3 +1,3 @@
-// The main function of the tests of the model router.
+// Main function of the model router's tests.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/system/membership/measures_test.cpp
+++ b/tests/system/membership/measures_test.cpp
@@ -1,4 +1,4 @@
-// Measures of the membership protocol, printed as a table and held to bounds.
+// Measures the membership protocol: prints a table and checks each figure against a bound.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -10,10 +10,10 @@
 
 struct Measures {
   double start_s = 0, first_detects_s = 0, all_detect_s = 0, leave_s = 0;
-  double messages_per_s = 0, bytes_per_s = 0;          // a member, calm
-  double objections_per_minute = 0, wrong_deaths = 0;  // at 10% loss, all members
+  double messages_per_s = 0, bytes_per_s = 0;          // per member, without faults
+  double objections_per_minute = 0, wrong_deaths = 0;  // sum over all members at 10% message loss
   double cut_s = 0, heal_s = 0,
-         trouble_bytes_per_s = 0;  // cut in two halves; bytes a member from cut to healed
+         trouble_bytes_per_s = 0;  // partition into halves; bytes per member from partition to recovery
 };
 
 constexpr Time kNotReached = 60 * kSecond;
@@ -89,7 +89,7 @@
   return measures;
 }
 
-TEST_CASE("measures stay within their bounds") {
+TEST_CASE("Detection times, traffic and wrong deaths stay within their bounds") {
   std::printf("%-8s %7s %7s %7s %7s %8s %8s %10s %7s %7s %7s %9s\n", "members", "start", "kill,1st",
               "kill,all", "leave", "msg/s", "bytes/s", "wrong/min", "deaths", "cut", "heal", "cut B/s");
   for (const int members : {10, 100, 300}) {
--- a/tests/system/membership/membership_test.cpp
+++ b/tests/system/membership/membership_test.cpp
@@ -1,4 +1,5 @@
-// Members of up to 100 machines through the troubles of their days; measures_test.cpp goes on to 300.
+// The membership protocol under crashes, partitions, pauses and message loss with up to 100 members;
+// measures_test.cpp covers 300.
 #include "membership/membership.h"
 
 #include <catch2/catch.hpp>
@@ -14,7 +15,7 @@
   return numbers;
 }
 
-// A network that is up and agrees.
+// A network that is started and has converged.
 SimulatedNetwork Started(const NetworkSettings& settings) {
   SimulatedNetwork network(settings);
   network.StartAll(300 * kMillisecond);
@@ -24,7 +25,7 @@
   return network;
 }
 
-TEST_CASE("a cold start in any order ends in one table everywhere") {
+TEST_CASE("A cold start in any order converges to the same table on all members") {
   const int members = GENERATE(1, 2, 3, 10, 100);
   const std::uint64_t seed = GENERATE(1, 2, 3);
   CAPTURE(members, seed);
@@ -34,7 +35,7 @@
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 3 * kSecond));
 }
 
-TEST_CASE("seeds that start last are joined when they do") {
+TEST_CASE("Seeds that start last are joined when they start") {
   SimulatedNetwork network({.members = 10});
   for (int i = 3; i < 10; ++i) network.Start(i);
   network.RunFor(10 * kSecond);
@@ -42,13 +43,13 @@
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 5 * kSecond));
 }
 
-TEST_CASE("one seed is enough to join") {
+TEST_CASE("One live seed is enough to join") {
   SimulatedNetwork network({.members = 10});
   for (int i = 2; i < 10; ++i) network.Start(i);
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 5 * kSecond));
 }
 
-TEST_CASE("a killed member is dead everywhere within three seconds") {
+TEST_CASE("A killed member is declared dead by all within three seconds") {
   const int members = GENERATE(2, 3, 10, 100);
   const std::uint64_t seed = GENERATE(1, 2, 3);
   CAPTURE(members, seed);
@@ -60,7 +61,7 @@
   CHECK_FALSE(network.member(0).DeadSince("member-0"));
 }
 
-TEST_CASE("several members killed at once are all found") {
+TEST_CASE("Several members killed at once are all detected") {
   const int members = GENERATE(10, 100);
   CAPTURE(members);
   SimulatedNetwork network = Started({.members = members});
@@ -68,7 +69,7 @@
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 10 * kSecond));
 }
 
-TEST_CASE("a member killed and restarted is known in its new life") {
+TEST_CASE("A restarted member is known with its new incarnation") {
   const Time pause = GENERATE(50 * kMillisecond, 500 * kMillisecond, 2 * kSecond, 10 * kSecond);
   CAPTURE(pause);
   SimulatedNetwork network = Started({.members = 10});
@@ -80,7 +81,7 @@
   CHECK(network.SameRecords(network.Running()));
 }
 
-TEST_CASE("a member whose clock went back overrules its earlier life") {
+TEST_CASE("A member whose clock stepped back overrides its earlier incarnation") {
   const Time pause = GENERATE(500 * kMillisecond, 10 * kSecond);
   SimulatedNetwork network = Started({.members = 10});
   const std::uint64_t before = network.member(4).self().incarnation;
@@ -92,7 +93,7 @@
   CHECK(network.member(4).self().incarnation > before);
 }
 
-TEST_CASE("all members killed at once find each other again") {
+TEST_CASE("All members restarted at once find each other again") {
   SimulatedNetwork network = Started({.members = 100});
   for (const int node : network.Running()) network.Kill(node);
   network.RunFor(kSecond);
@@ -100,7 +101,8 @@
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 5 * kSecond));
 }
 
-TEST_CASE("both sides of a cut declare the other dead and find it again, even with dead seeds") {
+TEST_CASE(
+    "Both sides of a partition declare the other dead and rejoin after it heals, even with dead seeds") {
   const int members = GENERATE(4, 10, 100);
   CAPTURE(members);
   SimulatedNetwork network = Started({.members = members});
@@ -111,7 +113,7 @@
         return network.AllSeeExactly(Range(0, middle)) && network.AllSeeExactly(Range(middle, members));
       },
       8 * kSecond));
-  const int first_left = std::min(3, middle - 1);  // the seeds, but one of each side must be left
+  const int first_left = std::min(3, middle - 1);  // kills the seeds, but leaves one member on each side
   for (int i = 0; i < first_left; ++i) network.Kill(i);
   network.RunFor(20 * kSecond);
   network.SetCut(nullptr);
@@ -120,7 +122,7 @@
   CHECK(network.SameRecords(network.Running()));
 }
 
-TEST_CASE("members declared dead by the other side stay live on their own when the cut heals") {
+TEST_CASE("Members declared dead by the other side stay live on their own side when the partition heals") {
   SimulatedNetwork network = Started({.members = 100});
   network.SetCut([](int from, int to) { return (from < 50) != (to < 50); });
   network.RunFor(20 * kSecond);
@@ -138,7 +140,7 @@
   CHECK(network.AllAgree());
 }
 
-TEST_CASE("a member cut off both ways is dead to the others, and they to it") {
+TEST_CASE("An isolated member is declared dead by the others, and declares them dead") {
   const int members = GENERATE(10, 100);
   CAPTURE(members);
   SimulatedNetwork network = Started({.members = members});
@@ -151,7 +153,7 @@
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 8 * kSecond));
 }
 
-TEST_CASE("a cut one way between two members leaves them live for all others") {
+TEST_CASE("A one-way link failure between two members leaves them live for all others") {
   SimulatedNetwork network = Started({.members = 10});
   network.SetCut([](int from, int to) { return from == 4 && to == 5; });
   for (int step = 0; step < 200; ++step) {
@@ -162,15 +164,15 @@
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 3 * kSecond));
 }
 
-TEST_CASE("a member that can't be heard is dead to the others; one that can't hear does them no harm") {
+TEST_CASE("A member that cannot send is declared dead; one that cannot receive does not disturb the others") {
   SimulatedNetwork network = Started({.members = 100});
   auto others = network.Running();
   std::erase(others, 7);
-  SECTION("nobody hears it") {
+  SECTION("it cannot send") {
     network.SetCut([](int from, int) { return from == 7; });
     CHECK(network.RunUntil([&] { return network.AllSeeExactly(others); }, 4 * kSecond));
   }
-  SECTION("it hears nobody") {
+  SECTION("it cannot receive") {
     network.SetCut([](int, int to) { return to == 7; });
     for (int step = 0; step < 100; ++step) {
       network.RunFor(200 * kMillisecond);
@@ -181,7 +183,7 @@
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 15 * kSecond));
 }
 
-TEST_CASE("a frozen member is declared dead, accuses nobody when it thaws, and is back soon") {
+TEST_CASE("A paused member is declared dead, suspects nobody when it resumes, and rejoins soon") {
   const Time frozen = GENERATE(600 * kMillisecond, 2 * kSecond, 10 * kSecond);
   CAPTURE(frozen);
   SimulatedNetwork network = Started({.members = 10});
@@ -192,10 +194,10 @@
   CHECK(network.AllSeeExactly(others) == (frozen > 4 * kSecond));
   network.Thaw(5);
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 2 * kSecond));
-  CHECK(network.Objections() <= 1);  // of the frozen one only
+  CHECK(network.Objections() <= 1);  // only by the paused member
 }
 
-TEST_CASE("a member that leaves is gone at once, and comes back") {
+TEST_CASE("A member that leaves is removed at once and can rejoin") {
   const int members = GENERATE(2, 10, 100);
   CAPTURE(members);
   SimulatedNetwork network = Started({.members = members});
@@ -206,7 +208,7 @@
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 2 * kSecond));
 }
 
-TEST_CASE("a replacement under the same name at another address takes its place") {
+TEST_CASE("A replacement with the same name at another address takes over") {
   SimulatedNetwork network = Started({.members = 10});
   const Time pause = GENERATE(0 * kSecond, 5 * kSecond);
   network.Kill(4);
@@ -219,7 +221,7 @@
   }
 }
 
-TEST_CASE("what a member says of itself reaches all, and the caller is told of the change") {
+TEST_CASE("An update of a member's own record reaches all members and is reported as a change") {
   SimulatedNetwork network = Started({.members = 100});
   CHECK(network.UpdateSelf(9, true, "store-9"));
   CHECK(network.member(9).self().ready);
@@ -227,7 +229,7 @@
   CHECK_FALSE(network.UpdateSelf(9, true, "store-9"));
 }
 
-TEST_CASE("ten in a hundred messages lost: nobody is declared dead") {
+TEST_CASE("With 10% message loss no member is declared dead") {
   const int members = GENERATE(10, 100);
   CAPTURE(members);
   SimulatedNetwork network = Started({.members = members, .loss = 0.1});
--- a/tests/system/membership/mutation_test.cpp
+++ b/tests/system/membership/mutation_test.cpp
@@ -1,5 +1,5 @@
-// Altered messages: each field of each message altered in turn, and bytes at random. Nothing crashes, and the
-// tables are true again soon after.
+// Corrupted messages: each field of each message is altered in turn, and random bytes are altered. No member
+// crashes, and the member tables converge again.
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/message.h>
 #include <google/protobuf/stubs/logging.h>
@@ -82,7 +82,7 @@
   }
 }
 
-// Alters the field at the path, if the message has it.
+// Alters the field at the path; false if the message does not have it.
 bool Alter(Message* message, const Path& path, int variant) {
   for (std::size_t depth = 0; depth < path.size(); ++depth) {
     const FieldDescriptor* field = path[depth];
@@ -114,7 +114,7 @@
   return true;
 }
 
-// One restart of a member makes all kinds of messages pass.
+// Restarting one member produces messages of all kinds.
 void RestartOne(SimulatedNetwork& network) {
   network.Kill(9);
   network.RunFor(3 * kSecond);
@@ -122,7 +122,7 @@
   network.RunFor(kSecond);
 }
 
-TEST_CASE("any one field of any one message altered: the tables are true again soon") {
+TEST_CASE("The tables converge again after any field of one message was altered") {
   std::vector<Path> paths;
   CollectPaths(messages::MembershipMessage::descriptor(), {}, &paths);
   SimulatedNetwork network({.members = 10});
@@ -149,10 +149,10 @@
   }
 }
 
-TEST_CASE("bytes altered at random: the tables are true again soon") {
+TEST_CASE("The tables converge again after random bytes were altered") {
   const std::uint64_t seed = GENERATE(range(1, 21));
   CAPTURE(seed);
-  const google::protobuf::LogSilencer silence;  // it complains about each string that is not UTF-8
+  const google::protobuf::LogSilencer silence;  // protobuf logs each string that is not UTF-8
   Random random(seed);
   SimulatedNetwork network({.members = 10, .seed = seed});
   network.StartAll(300 * kMillisecond);
--- a/tests/system/membership/simulated_network.cpp
+++ b/tests/system/membership/simulated_network.cpp
@@ -219,7 +219,7 @@
 }
 
 int SimulatedNetwork::NodeAt(const std::string& address) const {
-  // The newest machine at an address has it.
+  // If machines share an address, it belongs to the newest one.
   for (int i = size() - 1; i >= 0; --i) {
     if (nodes_[static_cast<std::size_t>(i)].address == address) return i;
   }
--- a/tests/system/membership/simulated_network.h
+++ b/tests/system/membership/simulated_network.h
@@ -1,4 +1,4 @@
-// Members in virtual time on a network that delays, loses and cuts: the same run from the same seed.
+// Members in virtual time on a network with delays, message loss and partitions; deterministic for a seed.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 
 class SimulatedNetwork {
  public:
-  // The altered bytes of a message, or none if this one is to be left as it is.
+  // Returns the altered bytes of a message, or none to leave it unchanged.
   using Mutator = std::function<std::optional<std::string>(const messages::MembershipMessage&)>;
 
   explicit SimulatedNetwork(const NetworkSettings& settings);
@@ -31,11 +31,11 @@
   Time now() const { return now_; }
   int size() const { return static_cast<int>(nodes_.size()); }
 
-  void Start(int node);        // a new life of the process
+  void Start(int node);        // a new start of the process
   void StartAll(Time within);  // in random order
   void Kill(int node);
-  void Leave(int node);                                                  // SIGTERM: says so, then ends
-  bool UpdateSelf(int node, bool ready, const std::string& replica_id);  // whether a change was reported
+  void Leave(int node);  // announces the departure, then stops
+  bool UpdateSelf(int node, bool ready, const std::string& replica_id);  // true if a change was reported
   void Freeze(int node);
   void Thaw(int node);
   int AddReplacement(const std::string& name);  // a machine at a new address; not started
@@ -45,7 +45,7 @@
   void SetMutator(Mutator mutator) { mutator_ = std::move(mutator); }
 
   void RunFor(Time span);
-  // Runs until the condition holds, looked at each 10 ms. The time it took, or none.
+  // Runs until the condition holds, checked every 10 ms. Returns the elapsed time, or none after `longest`.
   std::optional<Time> RunUntil(const std::function<bool()>& condition, Time longest);
 
   const Membership& member(int node) const { return *nodes_[static_cast<std::size_t>(node)].membership; }
@@ -56,13 +56,14 @@
 
   bool Sees(int observer, int other) const;
   bool SeesAll(int observer, const std::vector<int>& others) const;
-  bool AllSeeExactly(const std::vector<int>& group) const;  // each of the group sees the group, and only it
+  bool AllSeeExactly(
+      const std::vector<int>& group) const;  // each member of the group sees exactly the group as live
   bool AllAgree() const { return AllSeeExactly(Running()); }
-  bool SameRecords(const std::vector<int>& group) const;  // also the same, true fields
+  bool SameRecords(const std::vector<int>& group) const;  // and with the fields of each member's own record
 
   std::uint64_t bytes_sent() const { return bytes_sent_; }
   std::uint64_t messages_sent() const { return messages_sent_; }
-  std::uint64_t Objections() const;  // of running members in their present lives
+  std::uint64_t Objections() const;  // of running members since their last start
 
  private:
   struct Node {
@@ -102,7 +103,7 @@
   NetworkSettings settings_;
   Random random_;
   std::vector<Node> nodes_;
-  std::vector<Event> events_;  // a heap, the next one first
+  std::vector<Event> events_;  // a heap, the earliest first
   std::function<bool(int, int)> cut_;
   Mutator mutator_;
   Time now_ = 1'700'000'000 * kSecond;
--- a/tests/system/processes/control_program_test.cpp
+++ b/tests/system/processes/control_program_test.cpp
@@ -1,4 +1,4 @@
-// lichenlugctl: what it prints and how it ends.
+// Output and exit codes of lichenlugctl.
 #include <sys/wait.h>
 
 #include <fstream>
@@ -17,7 +17,7 @@
   std::string output;  // of both streams
 };
 
-// Runs the program to its end in a folder of the test's own.
+// Runs the program to completion with a temporary folder for its files.
 class ControlProgram {
  public:
   ControlProgram() {
@@ -56,7 +56,7 @@
   return ended.output.find(text) != std::string::npos;
 }
 
-TEST_CASE("config check tells a valid configuration from one that is not", "[control-program]") {
+TEST_CASE("config check accepts a valid configuration and rejects an invalid one", "[control-program]") {
   Loop loop;
   ControlProgram program;
   const Ended valid = program.Run(&loop, {"config", "check", program.File(sample::Configuration(3).dump())});
@@ -76,7 +76,7 @@
   CHECK(program.Run(&loop, {"config", "check", "/nonexistent.json"}).code == kFailed);
 }
 
-TEST_CASE("wrong usage ends with 2, help and version with 0", "[control-program]") {
+TEST_CASE("The exit code is 2 for wrong usage, and 0 for help and version", "[control-program]") {
   Loop loop;
   ControlProgram program;
   CHECK(program.Run(&loop, {}).code == kUsage);
@@ -87,7 +87,7 @@
   CHECK(program.Run(&loop, {"--version"}).code == kSuccess);
 }
 
-TEST_CASE("status shows a dispatcher, store verify a stopped one's store", "[control-program]") {
+TEST_CASE("status shows a dispatcher, and store verify the store of a stopped one", "[control-program]") {
   Testbed testbed(3, 0, 2);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -112,7 +112,7 @@
   CHECK(Holds(store, "edition 1, revision 1"));
   CHECK(Holds(store, "all records can be read\n"));
   CHECK(program.Run(&system.loop(), {"store", "verify", "/nonexistent"}).code == kFailed);
-  stopped.Start();  // the look at its store has changed nothing
+  stopped.Start();  // store verify has not modified its store
   REQUIRE(system.WaitReady(kTimeout));
 }
 
--- a/tests/system/processes/drain_test.cpp
+++ b/tests/system/processes/drain_test.cpp
@@ -1,4 +1,4 @@
-// Planned ends: of runners that drain, and of dispatchers that get SIGTERM.
+// Planned shutdowns: draining runners, and dispatchers that receive SIGTERM.
 #include "world.h"
 
 namespace lichenlug::standins::test {
@@ -12,14 +12,14 @@
   return requests;
 }
 
-TEST_CASE("no request reaches a runner after the bound of its drain", "[drain]") {
+TEST_CASE("No request reaches a runner after the time limit of its drain", "[drain]") {
   Testbed testbed;
   REQUIRE(testbed.Found());
   System& system = testbed.system();
   system.clients().KeepUp(Mixture(testbed, 12, 5));
   REQUIRE(testbed.RunUntil([&] { return system.runner(2).served() > 0 && system.runner(3).served() > 0; }));
 
-  // Acknowledged at one dispatcher each, of either zone and without a disk too.
+  // Each drain is acknowledged by one dispatcher: one of each zone, one of them without a disk.
   system.runner(2).Drain(system.dispatcher(0).control_address());
   system.runner(3).Drain(system.dispatcher(3).control_address());
   REQUIRE(testbed.RunUntil(
@@ -30,10 +30,10 @@
   CHECK(system.clients().figures().cut == 0);
   CHECK(system.clients().figures().failed == 0);
   CHECK(system.clients().figures().served > 100);
-  testbed.CheckNoRuleBroken();  // the runners judge each request that comes
+  testbed.CheckNoRuleBroken();  // the runners check each request they receive
 }
 
-TEST_CASE("a rolling restart cuts no answer", "[rolling-restart]") {
+TEST_CASE("A rolling restart interrupts no response", "[rolling-restart]") {
   Testbed testbed(3, 0, 6);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
--- a/tests/system/processes/hostile_input_test.cpp
+++ b/tests/system/processes/hostile_input_test.cpp
@@ -1,4 +1,4 @@
-// Bytes that no well-behaved peer sends: each is refused or dropped, and the process goes on.
+// Malformed input on every port: it is rejected or dropped, and the process keeps serving.
 #include <random>
 
 #include "lab/system/http_call.h"
@@ -41,7 +41,7 @@
   return CallAndWait(&system.loop(), system.dispatcher(0).control_address(), call).status;
 }
 
-TEST_CASE("malformed heartbeats are each refused and enter no runner", "[malformed-heartbeats]") {
+TEST_CASE("Malformed heartbeats are rejected and register no runner", "[malformed-heartbeats]") {
   Testbed testbed(3, 0, 2);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -86,7 +86,7 @@
   return bytes;
 }
 
-// The greeting of the internal transport (a push socket), so that what follows is taken for messages.
+// A Scalability Protocols greeting (push socket).
 std::string TransportGreeting() { return std::string("\0SP\0\0\x50\0\0", 8); }
 
 std::string TransportMessage(const std::string& body) {
@@ -96,7 +96,7 @@
 }
 
 std::vector<std::string> Nonsense() {
-  std::mt19937 random(20);  // the same bytes at each run
+  std::mt19937 random(20);  // the same bytes in each run
   std::vector<std::string> pieces = {
       "\r\n\r\n",
       "GET\r\n\r\n",
@@ -116,7 +116,7 @@
   return pieces;
 }
 
-TEST_CASE("nonsense on any port ends no process", "[nonsense-bytes]") {
+TEST_CASE("Malformed bytes on any port crash no process", "[nonsense-bytes]") {
   Testbed testbed(3, 0, 2);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
--- a/tests/system/processes/losses_test.cpp
+++ b/tests/system/processes/losses_test.cpp
@@ -1,10 +1,11 @@
-// Losses of processes and disks: what was acknowledged stays, and changes go on being taken.
+// Loss of processes and disks: acknowledged changes are kept, and new changes are accepted.
 #include "world.h"
 
 namespace lichenlug::standins::test {
 namespace {
 
-TEST_CASE("what was acknowledged is read back after the whole core was killed", "[whole-core-killed]") {
+TEST_CASE("Acknowledged changes are read back after all core dispatchers were killed",
+          "[whole-core-killed]") {
   Testbed testbed;
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -27,7 +28,7 @@
   testbed.CheckNoRuleBroken();
 }
 
-// The replica of each member of the configuration's register, as one dispatcher knows them.
+// The replicas of the configuration register according to one dispatcher; none during a change.
 std::vector<std::string> Replicas(System& system, std::size_t dispatcher) {
   std::vector<std::string> replicas;
   const Json status = system.Status(dispatcher);
@@ -38,7 +39,8 @@
   return replicas;
 }
 
-TEST_CASE("a machine with a wiped disk joins again and stands in for another that is lost", "[wiped-disk]") {
+TEST_CASE("A machine with a wiped disk rejoins and then tolerates the loss of another machine",
+          "[wiped-disk]") {
   Testbed testbed;
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -57,7 +59,7 @@
     return replicas.size() == 3 && of_wiped == 1;
   };
   REQUIRE(testbed.RunUntil(joined));
-  // As the deployment says, it counts as lost for a while after its return.
+  // Per the deployment settings, it counts as lost for catch_up_s after its return.
   system.loop().RunFor(wiped.settings().times.catch_up_s * kSecond);
 
   REQUIRE(system.dispatcher(2).Kill(kTimeout));
@@ -71,7 +73,7 @@
   testbed.CheckNoRuleBroken();
 }
 
-// The power goes in the first moment: no machine of the core, or only one, has a store as it starts again.
+// Power loss during the first start: after it, `kept_stores` (0 or 1) machines of the core have a store.
 void CheckFoundedWithout(std::size_t kept_stores) {
   Testbed testbed;
   System& system = testbed.system();
@@ -90,11 +92,11 @@
   testbed.CheckNoRuleBroken();
 }
 
-TEST_CASE("a system whose first start left no store is founded", "[founded-without-stores]") {
+TEST_CASE("A cluster is founded although its first start left no store", "[founded-without-stores]") {
   CheckFoundedWithout(0);
 }
 
-TEST_CASE("a system whose first start left one store is founded", "[founded-with-one-store]") {
+TEST_CASE("A cluster is founded although its first start left only one store", "[founded-with-one-store]") {
   CheckFoundedWithout(1);
 }
 
--- a/tests/system/processes/operator_test.cpp
+++ b/tests/system/processes/operator_test.cpp
@@ -1,4 +1,4 @@
-// The operator's calls and the settings file.
+// Configuration changes by the operator, and reloads of the settings file.
 #include <algorithm>
 #include <array>
 
@@ -12,7 +12,7 @@
 
 struct BadConfiguration {
   const char* fault;
-  const char* key;  // that the refusal names
+  const char* key;  // named in the error
   std::string body;
 };
 
@@ -31,11 +31,11 @@
       {"weights that add up to 0", "apportion",
        Changed("/routes/0/apportion", Json::array({{{"line", sample::kService}, {"share", 0}}})).dump()},
       {"a deadline of 0", "deadline_ms", Changed("/routes/0/deadline_ms", 0).dump()},
-      {"an edition that is not above the one in place", "edition", sample::Configuration(1).dump() + " "},
+      {"an edition that is not above the current one", "edition", sample::Configuration(1).dump() + " "},
       {"a key of two tenants", "stamps", Changed("/senders/1/stamps/0", sample::kKey).dump()}};
 }
 
-TEST_CASE("bad configurations are each refused with one line that names the key", "[bad-configurations]") {
+TEST_CASE("Invalid configurations are rejected with one line that names the key", "[bad-configurations]") {
   Testbed testbed(3, 0, 1);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -55,8 +55,8 @@
   CHECK(testbed.AllRunning());
 }
 
-TEST_CASE("a change without If-Match is refused", "[bad-configurations]") {
-  Testbed testbed(1, 0, 1);  // of one machine alone
+TEST_CASE("A change without If-Match is rejected", "[bad-configurations]") {
+  Testbed testbed(1, 0, 1);  // a cluster of one machine
   REQUIRE(testbed.Found());
   HttpCall call;
   call.method = "PUT";
@@ -68,8 +68,8 @@
   CHECK(testbed.EditionReadBack() == 1);
 }
 
-// The answer of that dispatcher alone. 503 (no majority of disks was done in time) says that the same call
-// may be sent again, and no answer (0) means so too: it is sent until the answer is another one.
+// The response of one dispatcher. Retries after status 503 (no majority of disks in time) and after no
+// response (0), as both permit repeating the same call.
 HttpMessage AnswerOf(Testbed* testbed, std::size_t dispatcher, const Change& change) {
   System& system = testbed->system();
   HttpMessage answer;
@@ -83,7 +83,7 @@
   return answer;
 }
 
-TEST_CASE("a change that was taken is acknowledged again by each dispatcher", "[repeated-change]") {
+TEST_CASE("An accepted change is acknowledged again by each dispatcher", "[repeated-change]") {
   Testbed testbed;
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -95,19 +95,19 @@
       CHECK(AnswerOf(&testbed, index, change).status == kAccepted);
     }
   }
-  // Even when others came after it.
+  // Also after later changes.
   CHECK(AnswerOf(&testbed, 2, put).status == kAccepted);
   CHECK(testbed.EditionReadBack() == 5);
   CHECK(system.WaitEdition(5, kTimeout));
-  // Each was taken once: the first configuration, the PUT and the PATCH.
+  // Each was accepted once: the first configuration, the PUT and the PATCH.
   for (std::size_t index = 0; index < system.dispatcher_count(); ++index) {
     INFO("dispatcher " << index);
     CHECK(system.Status(index).value("revision", 0) == 3);
   }
 }
 
-// Sends both at the same time, each to a dispatcher of its own. One with no clear answer is sent again, as
-// the operator does.
+// Sends both changes at the same time, each to another dispatcher. Repeats one without a definite response,
+// as the operator does.
 std::array<int, 2> Race(Testbed* testbed, const std::array<Change, 2>& changes) {
   System& system = testbed->system();
   std::array<int, 2> statuses{-1, -1};
@@ -123,7 +123,7 @@
   return statuses;
 }
 
-TEST_CASE("of two changes on top of the same edition one is taken and one gets 412", "[race]") {
+TEST_CASE("Of two concurrent changes of the same edition one is accepted and one gets 412", "[race]") {
   Testbed testbed;
   REQUIRE(testbed.Found());
   constexpr int kRaces = 5;
@@ -143,7 +143,7 @@
   testbed.CheckNoRuleBroken();
 }
 
-TEST_CASE("SIGHUP with a bad settings file changes nothing", "[reload]") {
+TEST_CASE("A reload of an invalid settings file changes nothing", "[reload]") {
   Testbed testbed(3, 0, 2);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
@@ -171,7 +171,7 @@
   testbed.CheckNoRuleBroken();
 }
 
-TEST_CASE("a start with a bad settings file ends with one line", "[reload]") {
+TEST_CASE("A start with an invalid settings file fails with one line", "[reload]") {
   Testbed testbed(1, 0, 0);
   Dispatcher& dispatcher = testbed.system().dispatcher(0);
   dispatcher.Start(true);
--- a/tests/system/processes/separate_core_test.cpp
+++ b/tests/system/processes/separate_core_test.cpp
@@ -1,5 +1,5 @@
-// A layout of two kinds of machines: those that clients reach have no disk, a core of five has no address for
-// clients, and two disks may be lost at once.
+// A deployment with two kinds of machines: front machines without a disk, and a core of five that serves no
+// clients and tolerates the loss of two disks at once.
 #include <nlohmann/json.hpp>
 
 #include "world.h"
@@ -19,13 +19,13 @@
   return plan;
 }
 
-TEST_CASE("a core without clients holds the state of dispatchers without disks", "[separate-core]") {
+TEST_CASE("A core without clients keeps the state of dispatchers without disks", "[separate-core]") {
   Testbed testbed(Plan());
   REQUIRE(testbed.Found());
   System& system = testbed.system();
   testbed.CheckServedEverywhere();
 
-  SECTION("each process tells its roles") {
+  SECTION("each process reports its roles") {
     CHECK(system.dispatcher(0).LogHolds("roles: control, store, quorum; not on this machine: clients"));
     CHECK(
         system.dispatcher(kCore).LogHolds("roles: clients, readiness, control; not on this machine: store"));
@@ -33,7 +33,7 @@
     CHECK(system.Status(kCore).at("roles") == Json({"clients", "readiness", "control"}));
   }
 
-  SECTION("two disks are lost at once, and nothing that was acknowledged") {
+  SECTION("losing two disks at once loses no acknowledged change") {
     REQUIRE(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
     for (const std::size_t index : {1, 3}) REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (const std::size_t index : {1, 3}) system.dispatcher(index).WipeStore();
@@ -44,7 +44,7 @@
     CHECK(testbed.EditionReadBack() == 2);
   }
 
-  SECTION("all are killed at once, and serve again") {
+  SECTION("all serve again after all were killed at once") {
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index)
       REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index) system.dispatcher(index).Start();
@@ -53,7 +53,7 @@
     testbed.CheckServedEverywhere();
   }
 
-  SECTION("one of each kind is stopped") {
+  SECTION("one of each kind shuts down") {
     system.dispatcher(0).Terminate();
     system.dispatcher(kCore).Terminate();
     CHECK(system.dispatcher(0).Ended(kTimeout));
--- a/tests/system/processes/soak_test.cpp
+++ b/tests/system/processes/soak_test.cpp
@@ -1,5 +1,5 @@
-// Series of signals, restarts and changes that overlap, by seeds (lab/system/soak.h); and signals at any
-// moment of a process's life.
+// Overlapping signals, restarts and changes in a series drawn from a seed (lab/system/soak.h), and signals at
+// any moment between the start and the end of a process.
 #include "lab/system/soak.h"
 
 #include "world.h"
@@ -22,15 +22,14 @@
   CHECK(report.clients.served > 0);
 }
 
-TEST_CASE("signals, restarts and changes in series break no rule", "[soak]") {
+TEST_CASE("Overlapping signals, restarts and changes violate no rule", "[soak]") {
   const std::uint64_t seed = GENERATE(1, 2);
   SoakPlan plan;
   plan.seed = seed;
   CheckSoak(plan);
 }
 
-TEST_CASE("the same where machines with a disk serve no clients, and two disks may be lost",
-          "[separate-core-soak]") {
+TEST_CASE("The soak with a separate core violates no rule when two disks are lost", "[separate-core-soak]") {
   SoakPlan plan;
   plan.seed = 3;
   plan.system.core = 5;
@@ -40,7 +39,7 @@
   CheckSoak(plan);
 }
 
-TEST_CASE("a dispatcher takes signals from its first moment to its last", "[signals]") {
+TEST_CASE("A dispatcher handles signals from its start to its end", "[signals]") {
   Testbed testbed(3, 1, 2);
   REQUIRE(testbed.Found());
   Dispatcher& dispatcher = testbed.system().dispatcher(3);
--- a/tests/system/processes/thin_path_test.cpp
+++ b/tests/system/processes/thin_path_test.cpp
@@ -1,4 +1,4 @@
-// From the first configuration to served streams and reported usage, with real processes.
+// End-to-end path with real processes: first configuration, served streams, reported usage.
 #include <map>
 #include <set>
 
@@ -7,9 +7,9 @@
 namespace lichenlug::standins::test {
 namespace {
 
-constexpr char kThinPath[] = "the first configuration is taken and streams are served everywhere";
+constexpr char kThinPath[] = "The first configuration is accepted and all dispatchers serve streams";
 
-// True when the platform has as many runs of the tenant as the runners began.
+// True when the platform was reported at least as many runs of the tenant as the runners started.
 bool AllReported(System& system, const std::string& tenant) {
   return system.platform().Reported(tenant) >= system.ledger().begun(tenant);
 }
@@ -39,7 +39,7 @@
   testbed.CheckNoRuleBroken();
 }
 
-TEST_CASE("an unknown key and an unknown route are each refused", "[thin-path]") {
+TEST_CASE("An unknown key and an unknown route are rejected", "[thin-path]") {
   Testbed testbed(3, 0, 2);
   REQUIRE(testbed.Found());
   ClientRequest request = testbed.Request(ClientKind::kStream);
--- a/tests/system/processes/world.cpp
+++ b/tests/system/processes/world.cpp
@@ -113,7 +113,7 @@
   if (!ended) read();
   loop->RunUntil([&] { return ended; }, kRawTimeout);
   socket.close(error);
-  loop->io().poll();  // the handler that looks at this frame
+  loop->io().poll();  // runs the cancelled handler, which refers to this stack frame
   return answer;
 }
 
--- a/tests/system/processes/world.h
+++ b/tests/system/processes/world.h
@@ -1,5 +1,5 @@
-// What the tests with real processes share. Each wait ends with its event; the patience is only for failures,
-// and is long, as sanitizers and a busy machine make processes slow.
+// Shared fixture of the tests with real processes. Each wait ends with its event; the timeout only matters
+// for failures, and is long because sanitizers and a busy machine make processes slow.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
 inline constexpr Time kTimeout = 30 * kSecond;
 inline constexpr std::size_t kNoDispatcher = static_cast<std::size_t>(-1);
 
-// A system that is founded and ready; the logs are told where a test fails.
+// A running system of dispatchers, runners and clients; prints the logs if a test fails with an exception.
 class Testbed {
  public:
   explicit Testbed(int core = 3, int diskless = 1, int runners = 6);
@@ -28,16 +28,16 @@
   bool Found();
 
   ClientRequest Request(ClientKind kind, int events = 10) const;
-  // Sends one to that dispatcher, or to any, and waits for its end.
+  // Sends one request to this dispatcher, or to any, and waits for its result.
   ClientResult Send(const ClientRequest& request, std::size_t dispatcher = kNoDispatcher);
-  // One request of each kind is served through each dispatcher.
+  // Checks that each dispatcher serves one request of each kind.
   void CheckServedEverywhere();
   void CheckNoRuleBroken();
   bool AllRunning();
 
   Change Put(std::int64_t if_match, const Json& configuration) const;
   Change Patch(std::int64_t if_match, std::int64_t edition, const std::string& route) const;
-  // The edition that is read back; 0: none.
+  // The edition of the current configuration; 0 if none.
   std::int64_t EditionReadBack();
 
   bool RunUntil(const Loop::Condition& condition) { return system_.loop().RunUntil(condition, kTimeout); }
@@ -46,7 +46,7 @@
   System system_;
 };
 
-// Sends bytes to an address and reads until the other side ends, or for a while.
+// Sends bytes to an address and reads until the peer closes the connection or a timeout expires.
 std::string SendRaw(Loop* loop, const std::string& address, std::string_view bytes);
 
 }  // namespace lichenlug::standins::test
--- a/tests/system/transport/frame_test.cpp
+++ b/tests/system/transport/frame_test.cpp
@@ -1,4 +1,4 @@
-// Frames cut anywhere, and lengths beyond what is allowed.
+// Reading of frames that are split at any byte, and of lengths above the limit.
 #include "transport/frame.h"
 
 #include <catch2/catch.hpp>
@@ -37,7 +37,7 @@
   return reading;
 }
 
-TEST_CASE("frames are read whole wherever the bytes are cut") {
+TEST_CASE("Frames are reassembled wherever the byte stream is split") {
   const std::string bytes = ThreeFrames();
   for (std::size_t first = 0; first <= bytes.size(); ++first) {
     for (std::size_t second = first; second <= bytes.size(); second += 7) {
@@ -49,14 +49,14 @@
   }
 }
 
-TEST_CASE("a frame that is too long ends the reading, and nothing behind it is taken") {
+TEST_CASE("A frame above the size limit stops the reader, and nothing after it is accepted") {
   const std::string bytes = ThreeFrames();
   const auto reading = ReadIn({bytes, ThreeFrames()}, 150);  // the second frame is longer
   CHECK_FALSE(reading.readable);
   CHECK(reading.operations == std::vector<std::uint64_t>{1});
 }
 
-TEST_CASE("a frame without a body is one") {
+TEST_CASE("A frame with an empty body is valid") {
   FrameReader reader(16);
   std::size_t frames = 0;
   const std::string empty(kFrameHeaderBytes, '\0');
--- a/tests/system/transport/inbox.h
+++ b/tests/system/transport/inbox.h
@@ -1,4 +1,4 @@
-// Collects what a transport receives; tests wait on it with a deadline.
+// Collects the messages that a transport receives; tests wait for them with a timeout.
 #pragma once
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   std::vector<messages::Envelope> envelopes_;
 };
 
-// For conditions that notify nobody, such as counters: looks again each few milliseconds.
+// Polls a condition that has no notification, such as a counter, every few milliseconds.
 inline bool WaitFor(const std::function<bool()>& condition, std::chrono::milliseconds deadline) {
   const auto end = std::chrono::steady_clock::now() + deadline;
   std::mutex mutex;
--- a/tests/system/transport/loop_thread.h
+++ b/tests/system/transport/loop_thread.h
@@ -1,4 +1,4 @@
-// An event loop on a thread of its own, for tests that wait on theirs.
+// Event loop on its own thread, for tests that block on the main thread.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
 
   event_base* base() { return loop_.base(); }
 
-  // Runs the task on the loop's thread and waits for its end.
+  // Runs the task on the loop's thread and waits until it has finished.
   void Run(const std::function<void()>& task) {
     std::promise<void> done;
     loop_.Post([&] {
--- a/tests/system/transport/raw_socket.h
+++ b/tests/system/transport/raw_socket.h
@@ -1,4 +1,4 @@
-// Plain TCP sockets on the loopback interface, for peers that do not speak the protocol.
+// Plain TCP sockets on the loopback interface, for peers that do not implement the protocol.
 #pragma once
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
   return address;
 }
 
-// Listens, lets the kernel accept, and never reads.
+// Listens, lets the kernel accept connections, and never reads.
 class RawListener {
  public:
   RawListener() : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -41,7 +41,7 @@
   int port_ = 0;
 };
 
-// An address where nobody listens now.
+// An address on which no process listens now.
 inline std::string FreeAddress() { return RawListener().address(); }
 
 class RawClient {
--- a/tests/system/transport/transport_test.cpp
+++ b/tests/system/transport/transport_test.cpp
@@ -1,4 +1,4 @@
-// The transport on the loopback interface with real sockets.
+// Tests of the transport with real sockets on the loopback interface.
 #include "transport/transport.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +25,7 @@
   return envelope;
 }
 
-// A transport with its inbox, on a loop of its own.
+// A transport with an inbox, on its own event loop.
 class Node {
  public:
   explicit Node(const std::string& address, const std::string& name = "node", std::size_t longest = 8u << 20,
@@ -72,7 +72,7 @@
   std::unique_ptr<Transport> transport_;
 };
 
-// Sends again and again until the condition holds, as the state machines above do.
+// Repeats the message until it is received, as the state machines above the transport do.
 bool SendUntil(Node& sender, const std::string& address, Inbox& inbox, std::uint64_t number,
                milliseconds deadline) {
   const auto end = std::chrono::steady_clock::now() + deadline;
@@ -83,7 +83,7 @@
   return false;
 }
 
-TEST_CASE("two nodes exchange messages and learn the sender") {
+TEST_CASE("Two nodes exchange messages that name their sender") {
   const std::string first_address = FreeAddress(), second_address = FreeAddress();
   Node first(first_address, "first"), second(second_address, "second");
   first.Listen();
@@ -99,7 +99,7 @@
   CHECK(first.inbox.WaitForOperation(2, milliseconds(2000)));
 }
 
-TEST_CASE("a large message arrives whole") {
+TEST_CASE("A large message arrives complete") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress()), receiver(address);
   receiver.Listen();
@@ -108,17 +108,18 @@
   CHECK(receiver.inbox.Last().consensus().register_name().size() == 3u << 20);
 }
 
-TEST_CASE("a message sent before the peer listens arrives soon after it does") {
+TEST_CASE("A message sent before the peer listens arrives soon after it starts listening") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress());
   sender.Send(address, Numbered(1));
-  CHECK_FALSE(sender.inbox.WaitForOperation(1, milliseconds(300)));  // dials are refused meanwhile
+  CHECK_FALSE(
+      sender.inbox.WaitForOperation(1, milliseconds(300)));  // connection attempts are refused meanwhile
   Node receiver(address);
   receiver.Listen();
   CHECK(receiver.inbox.WaitForOperation(1, milliseconds(400)));
 }
 
-TEST_CASE("a restarted peer at the same address is reached again") {
+TEST_CASE("A restarted peer at the same address is reconnected") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress());
   sender.Listen();
@@ -133,7 +134,7 @@
   CHECK(SendUntil(sender, address, returned.inbox, 3, milliseconds(400)));
 }
 
-TEST_CASE("a connection that was lost is not used again, though its peer is back") {
+TEST_CASE("A lost connection is not reused after its peer has restarted") {
   const std::string address = FreeAddress();
   LoopThread loop;
   std::unique_ptr<PeerConnection> connection;
@@ -152,14 +153,15 @@
   REQUIRE(WaitFor([&] { return !connected(); }, milliseconds(2000)));
   Node returned(address);
   returned.Listen();
-  CHECK_FALSE(WaitFor([&] { return connected(); }, milliseconds(600)));  // longer than any wait to dial again
+  CHECK_FALSE(
+      WaitFor([&] { return connected(); }, milliseconds(600)));  // longer than the maximum redial delay
   loop.Run([&] {
     CHECK(connection->Send(Numbered(1)) == PeerConnection::SendResult::kLost);
     connection.reset();
   });
 }
 
-TEST_CASE("a peer that never listens costs messages, not time") {
+TEST_CASE("Sending to a peer that never listens drops messages and does not block") {
   Node sender(FreeAddress());
   sender.Listen();
   const std::string nobody = FreeAddress();
@@ -167,12 +169,13 @@
   for (std::uint64_t i = 0; i < 1000; ++i) sender.Send(nobody, Numbered(i));
   CHECK(std::chrono::steady_clock::now() - start < milliseconds(1000));
   const auto statistics = sender.statistics();
-  CHECK(statistics.dropped >= 700);  // two connections' buffers of at most 64 and more than that to spare
+  CHECK(statistics.dropped >= 700);  // two connections queue at most 64 each; the rest is margin
   CHECK(statistics.sent + statistics.dropped == 1000);
 }
 
-// The kernel accepts for it, so it counts as reached: what ends its connection is that no answer comes.
-TEST_CASE("a peer that accepts and never reads costs messages, not time, and is dialled anew") {
+// The kernel accepts the connection, so the peer counts as reached: only the missing acknowledgements reveal
+// that it does not read.
+TEST_CASE("The connection to a peer that accepts and never reads is reopened") {
   RawListener mute;
   Node sender(FreeAddress());
   sender.Listen();
@@ -195,7 +198,7 @@
   CHECK(sender.statistics().renewals <= 5);
 }
 
-TEST_CASE("a peer that only listens to us answers enough to keep the connection") {
+TEST_CASE("A peer that only receives sends enough acknowledgements to keep the connection") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress()), receiver(address);
   sender.Listen();
@@ -205,20 +208,20 @@
   while (std::chrono::steady_clock::now() - start < milliseconds(3000)) {
     sender.Send(address, Numbered(++number));
     receiver.inbox.WaitForOperation(number, milliseconds(100));
-    receiver.inbox.WaitForOperation(0, milliseconds(100));  // never comes
+    receiver.inbox.WaitForOperation(0, milliseconds(100));  // never received
   }
   CHECK(sender.statistics().renewals == 0);
-  CHECK(sender.statistics().received == 0);  // answers without a body are not given on
+  CHECK(sender.statistics().received == 0);  // acknowledgements are not passed on
   CHECK(receiver.inbox.size() == number);
 }
 
-TEST_CASE("nonsense from a raw socket harms nothing") {
+TEST_CASE("Malformed bytes from a raw socket do not disturb other connections") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress()), receiver(address);
   receiver.Listen();
   RawClient(address).Write("GET / HTTP/1.1\r\n\r\n");
   RawClient(address).Write(std::string(4096, '\xff'));
-  RawClient(address).Write(std::string(8, '\xff'));  // a length beyond all bounds
+  RawClient(address).Write(std::string(8, '\xff'));  // a length above the limit
   RawClient framed(address);
   framed.Write(std::string("\0\0\0\x05", 4) + "\xff\xff\xff\xff\xff");
   RawClient empty(address);
@@ -228,7 +231,7 @@
   CHECK(WaitFor([&] { return receiver.statistics().other_versions >= 1; }, milliseconds(2000)));
 }
 
-TEST_CASE("an envelope of another protocol version, or one without a sender, is counted and dropped") {
+TEST_CASE("Envelopes of another protocol version or without a sender are counted and dropped") {
   const std::string address = FreeAddress();
   Node receiver(address);
   receiver.Listen();
@@ -252,7 +255,7 @@
   CHECK(receiver.inbox.size() == 0);
 }
 
-TEST_CASE("an oversized message is refused and later ones arrive") {
+TEST_CASE("An oversized message is rejected and later ones arrive") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress()), receiver(address, "receiver", 1000);
   receiver.Listen();
@@ -261,7 +264,7 @@
   CHECK_FALSE(receiver.inbox.WaitForOperation(1, milliseconds(50)));
 }
 
-TEST_CASE("an address in use is an error that says so") {
+TEST_CASE("Listening on an address in use fails with an error that names it") {
   const std::string address = FreeAddress();
   Node first(address), second(address);
   first.Listen();
@@ -271,7 +274,7 @@
   CHECK(error.find('\n') == std::string::npos);
 }
 
-TEST_CASE("sockets are bounded and a forgotten peer's is closed") {
+TEST_CASE("The number of sockets is limited, and that of a forgotten peer is closed") {
   Node sender(FreeAddress(), "sender", 8u << 20, 3);
   std::string last;
   for (int i = 0; i < 10; ++i) sender.Send(last = FreeAddress(), Numbered(1));
@@ -280,7 +283,7 @@
   CHECK(sender.statistics().peers == 2);
 }
 
-TEST_CASE("closing takes no time, connected or not") {
+TEST_CASE("Closing does not block, connected or not") {
   const std::string address = FreeAddress();
   Node receiver(address);
   receiver.Listen();
