--- a/src/ctl/http_get.cpp
+++ b/src/ctl/http_get.cpp
@@ -10,22 +10,22 @@
 
 constexpr std::chrono::seconds kTimeout{5};
 
-HttpAnswer ReadAnswer(std::istream& stream) {
+HttpResponse ReadResponse(std::istream& stream) {
   std::string version, line;
-  HttpAnswer answer;
-  if (!(stream >> version >> answer.status) || !version.starts_with("HTTP/1.")) {
+  HttpResponse response;
+  if (!(stream >> version >> response.status) || !version.starts_with("HTTP/1.")) {
     return {0, "", "no HTTP response within the timeout"};
   }
   std::getline(stream, line);  // the reason phrase
   while (std::getline(stream, line) && line != "\r" && !line.empty()) {
   }
-  answer.body.assign(std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>());
-  return answer;
+  response.body.assign(std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>());
+  return response;
 }
 
 }  // namespace
 
-HttpAnswer HttpGet(const std::string& address, const std::string& path) {
+HttpResponse HttpGet(const std::string& address, const std::string& path) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos) return {0, "", "give the address as ip:port"};
   asio::ip::tcp::iostream stream;
@@ -35,7 +35,7 @@
   // HTTP/1.0, so that the body ends with the connection and is not chunked.
   stream << "GET " << path << " HTTP/1.0\r\nHost: " << address << "\r\nConnection: close\r\n\r\n"
          << std::flush;
-  return ReadAnswer(stream);
+  return ReadResponse(stream);
 }
 
 }  // namespace lichenlug::ctl
--- a/src/ctl/http_get.h
+++ b/src/ctl/http_get.h
@@ -5,13 +5,13 @@
 
 namespace lichenlug::ctl {
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;     // 0: no response
   std::string body;   // if status is not 0
   std::string error;  // if status is 0
 };
 
 // `address` is "ip:port".
-HttpAnswer HttpGet(const std::string& address, const std::string& path);
+HttpResponse HttpGet(const std::string& address, const std::string& path);
 
 }  // namespace lichenlug::ctl
--- a/src/ctl/status_command.cpp
+++ b/src/ctl/status_command.cpp
@@ -33,14 +33,14 @@
 }  // namespace
 
 ExitCode ShowStatus(const std::string& address) {
-  const HttpAnswer answer = HttpGet(address, kStatusPath);
-  if (answer.status != kStatusOk) {
+  const HttpResponse response = HttpGet(address, kStatusPath);
+  if (response.status != kStatusOk) {
     LOG(ERROR) << address << kStatusPath << ": "
-               << (answer.status == 0 ? answer.error : "HTTP status " + std::to_string(answer.status))
+               << (response.status == 0 ? response.error : "HTTP status " + std::to_string(response.status))
                << "; give the control address of a running dispatcher";
     return kFailed;
   }
-  const Json status = Json::parse(answer.body, nullptr, false);
+  const Json status = Json::parse(response.body, nullptr, false);
   if (!status.is_object()) {
     LOG(ERROR)
         << address << kStatusPath
--- a/src/ctl/store_command.cpp
+++ b/src/ctl/store_command.cpp
@@ -21,7 +21,7 @@
   return RegisterNode(settings);
 }
 
-std::optional<storage::RecordStore::OpenResult> Read(const std::string& folder) {
+std::optional<storage::RecordStore::OpenResult> OpenStoreCopy(const std::string& folder) {
   auto result = ReadStoreCopy(folder);
   if (result.opened) return result;
   LOG(ERROR) << result.error;
@@ -42,7 +42,7 @@
 }  // namespace
 
 ExitCode VerifyStore(const std::string& folder) {
-  const auto store = Read(folder);
+  const auto store = OpenStoreCopy(folder);
   if (!store) return kFailed;
   std::cout << "store " << store->replica_id << ", " << store->records.size() << " records\n";
   for (const auto& [key, value] : store->records)
@@ -60,7 +60,7 @@
 }
 
 ExitCode ExportStore(const std::string& folder) {
-  const auto store = Read(folder);
+  const auto store = OpenStoreCopy(folder);
   if (!store) return kFailed;
   RegisterNode node = NodeOf(store->replica_id);
   if (!node.Restore(store->records)) {
--- a/src/daemon/early_signals.cpp
+++ b/src/daemon/early_signals.cpp
@@ -9,23 +9,23 @@
 
 constexpr std::array kSignals = {SIGTERM, SIGINT, SIGHUP};
 
-std::atomic<bool>& Remembered(int signal) {
-  static std::array<std::atomic<bool>, NSIG> remembered;  // lock-free, so a signal handler may set it
-  return remembered.at(static_cast<std::size_t>(signal));
+std::atomic<bool>& RecordedSignal(int signal) {
+  static std::array<std::atomic<bool>, NSIG> recorded;  // lock-free, so a signal handler may set it
+  return recorded.at(static_cast<std::size_t>(signal));
 }
 
-void Remember(int signal) { Remembered(signal) = true; }
+void RecordSignal(int signal) { RecordedSignal(signal) = true; }
 
 }  // namespace
 
-void RememberSignals() {
-  Remembered(SIGTERM) = false;  // constructs the static before a handler can run
+void InstallSignalRecorders() {
+  RecordedSignal(SIGTERM) = false;  // constructs the static before a handler can run
   struct sigaction action {};
-  action.sa_handler = Remember;
+  action.sa_handler = RecordSignal;
   action.sa_flags = SA_RESTART;
   for (const int signal : kSignals) sigaction(signal, &action, nullptr);
 }
 
-bool TakeRemembered(int signal) { return Remembered(signal).exchange(false); }
+bool ConsumeRecordedSignal(int signal) { return RecordedSignal(signal).exchange(false); }
 
 }  // namespace lichenlug::daemon
--- a/src/daemon/early_signals.h
+++ b/src/daemon/early_signals.h
@@ -6,9 +6,9 @@
 
 // Installs handlers that only record SIGTERM, SIGINT and SIGHUP. The handlers of the event loop replace them
 // while the loop has them installed.
-void RememberSignals();
+void InstallSignalRecorders();
 
-// Whether the signal has arrived since RememberSignals() or the last call; clears the record.
-bool TakeRemembered(int signal);
+// Whether the signal has arrived since InstallSignalRecorders() or the last call; clears the record.
+bool ConsumeRecordedSignal(int signal);
 
 }  // namespace lichenlug::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -112,9 +112,9 @@
   std::string error;
   if (!data_plane.Start(&error)) return Fail(error);
   if (!control.Start(&error)) return Fail(error);
-  using lichenlug::daemon::TakeRemembered;
-  if (TakeRemembered(SIGHUP)) loop.Post(reload);
-  if (TakeRemembered(SIGTERM) || TakeRemembered(SIGINT)) loop.Post(drain);
+  using lichenlug::daemon::ConsumeRecordedSignal;
+  if (ConsumeRecordedSignal(SIGHUP)) loop.Post(reload);
+  if (ConsumeRecordedSignal(SIGTERM) || ConsumeRecordedSignal(SIGINT)) loop.Post(drain);
   loop.Run();
   LOG(INFO) << "ended";
   return EXIT_SUCCESS;
@@ -124,12 +124,12 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  lichenlug::daemon::RememberSignals();
+  lichenlug::daemon::InstallSignalRecorders();
   const CommandLine command_line = ReadCommandLine(argc, argv);
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(argv[0]);
-  google::InstallFailureSignalHandler();  // prints the stack on a crash, then runs the default action
-  lichenlug::daemon::RememberSignals();   // glog's handler treats SIGTERM as a failure
+  google::InstallFailureSignalHandler();        // prints the stack on a crash, then runs the default action
+  lichenlug::daemon::InstallSignalRecorders();  // glog's handler treats SIGTERM as a failure
   const auto settings = ReadNodeSettings(command_line.settings_path);
   if (const auto* problem = std::get_if<SettingsProblem>(&settings)) return Fail(problem->Line());
   LOG(INFO) << DescribeRoles(RolesOf(std::get<NodeSettings>(settings)));
--- a/src/host/event_loop.cpp
+++ b/src/host/event_loop.cpp
@@ -28,8 +28,8 @@
   timer_event_ = evtimer_new(
       base_,
       [](int, short, void* loop) {
-        auto wake = std::exchange(static_cast<EventLoop*>(loop)->wake_, nullptr);
-        if (wake) wake();
+        auto on_timer = std::exchange(static_cast<EventLoop*>(loop)->on_timer_, nullptr);
+        if (on_timer) on_timer();
       },
       this);
 }
@@ -70,8 +70,8 @@
   for (auto& task : tasks) task();
 }
 
-void EventLoop::SetTimer(Time at, std::function<void()> wake) {
-  wake_ = std::move(wake);
+void EventLoop::SetTimer(Time at, std::function<void()> on_timer) {
+  on_timer_ = std::move(on_timer);
   const Time span = std::max<Time>(at - Now(), 0);
   const timeval wait{static_cast<time_t>(span / kSecond), static_cast<suseconds_t>(span % kSecond)};
   evtimer_add(timer_event_, &wait);
--- a/src/host/event_loop.h
+++ b/src/host/event_loop.h
@@ -24,8 +24,8 @@
   static Time Now();  // the steady clock, microseconds
 
   void Post(std::function<void()> task);  // from any thread; tasks run in order on the loop's thread
-  // Calls `wake` once, at `at`. A later SetTimer() replaces the timer.
-  void SetTimer(Time at, std::function<void()> wake);
+  // Calls `on_timer` once, at `at`. A later SetTimer() replaces the timer.
+  void SetTimer(Time at, std::function<void()> on_timer);
   // Runs `handle` on the loop's thread at each arrival of the signal.
   void OnSignal(int signal, std::function<void()> handle);
   // Runs after each batch of events, before the loop waits again.
@@ -44,7 +44,7 @@
   int wake_descriptor_ = -1;
   std::mutex mutex_;
   std::vector<std::function<void()>> tasks_;
-  std::function<void()> wake_, idle_;
+  std::function<void()> on_timer_, idle_;
   std::vector<std::unique_ptr<SignalHandler>> signals_;
   bool stopped_ = false;
 };
--- a/src/host/http_client.cpp
+++ b/src/host/http_client.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t kMaxInFlight = 256;
-constexpr std::size_t kMaxAnswerBytes = 1 << 20;
+constexpr std::size_t kMaxResponseBytes = 1 << 20;
 
 evhttp_cmd_type MethodOf(const std::string& name) { return name == "GET" ? EVHTTP_REQ_GET : EVHTTP_REQ_POST; }
 
@@ -57,7 +57,7 @@
   const timeval wait{static_cast<time_t>(call.timeout / kSecond),
                      static_cast<suseconds_t>(call.timeout % kSecond)};
   evhttp_connection_set_timeout_tv(connection, &wait);
-  evhttp_connection_set_max_body_size(connection, kMaxAnswerBytes);
+  evhttp_connection_set_max_body_size(connection, kMaxResponseBytes);
   auto* exchange = new Exchange{this, connection, std::move(done)};
   evhttp_request* request = evhttp_request_new(&Exchange::Finished, exchange);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
--- a/src/host/http_server.cpp
+++ b/src/host/http_server.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-std::string TakeBody(evhttp_request* request) {
+std::string ExtractBody(evhttp_request* request) {
   evbuffer* input = evhttp_request_get_input_buffer(request);
   std::string body(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, body.data(), body.size());
@@ -87,7 +87,7 @@
   call.path = path != nullptr ? path : "";
   const char* if_match = evhttp_find_header(evhttp_request_get_input_headers(request), "If-Match");
   call.if_match = if_match != nullptr ? if_match : "";
-  call.body = TakeBody(request);
+  call.body = ExtractBody(request);
   handler_(std::move(call), [request](node::ControlResponse response) { SendResponse(request, response); });
 }
 
--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -16,23 +16,23 @@
   AntiEntropy(const MemberTable* table, Random* random) : table_(*table), random_(*random) {}
 
   // A heartbeat had a different table hash: the digest to send back, unless one was sent recently.
-  std::optional<messages::MembershipTable> OnOtherHash(Time now);
+  std::optional<messages::MembershipTable> OnHashMismatch(Time now);
   // The reply to a join: the whole table, or a random sample if the record budget is used up.
-  messages::MembershipTable AnswerJoin(Time now);
+  messages::MembershipTable ReplyToJoin(Time now);
   // The reply to a received table, after its records were merged.
-  std::optional<messages::MembershipTable> Answer(Time now, const messages::MembershipTable& table);
+  std::optional<messages::MembershipTable> ReplyToTable(Time now, const messages::MembershipTable& table);
 
  private:
-  static constexpr double kBurst = 4000, kPerSecond = 1000;  // records
+  static constexpr double kMaxBudget = 4000, kBudgetPerSecond = 1000;  // records
 
-  bool Spend(Time now, std::size_t records);
+  bool SpendBudget(Time now, std::size_t records);
   void AddHashes(messages::MembershipTable* table) const;
 
   const MemberTable& table_;
   Random& random_;
   Time next_digest_ = 0;
-  Time budget_at_ = 0;      // when the budget was last replenished
-  double budget_ = kBurst;  // token bucket of records
+  Time budget_updated_at_ = 0;  // when the budget was last replenished
+  double budget_ = kMaxBudget;  // token bucket of records
 };
 
 }  // namespace lichenlug::membership_ring
--- a/src/membership/contacts.h
+++ b/src/membership/contacts.h
@@ -18,21 +18,21 @@
   void SetSeeds(std::vector<std::string> addresses);
   void Start(Time now);
 
-  Time next_seed_call() const { return next_seed_call_; }
+  Time next_seed_contact() const { return next_seed_contact_; }
   // The seeds to contact now; empty if none is due.
-  std::vector<std::string> SeedsToCall(Time now);
+  std::vector<std::string> SeedsToContact(Time now);
   // The address of a dead member to contact now, or empty. Called once per heartbeat period.
-  std::string DeadToCall(Time now);
+  std::string DeadMemberToContact(Time now);
 
  private:
-  Time LongestSeedInterval() const;
+  Time MaxSeedInterval() const;
 
   const MemberTable& table_;
   Random& random_;
   std::vector<std::string> seeds_;
-  Time next_seed_call_ = 0;
+  Time next_seed_contact_ = 0;
   Time seed_interval_ = 0;
-  Time next_dead_call_ = 0;
+  Time next_dead_contact_ = 0;
   std::string last_dead_;
 };
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -5,18 +5,18 @@
 namespace lichenlug::membership_ring {
 namespace {
 
-constexpr Time kBetweenPings = 300 * kMillisecond;
+constexpr Time kPingInterval = 300 * kMillisecond;
 constexpr int kMaxMultiplier = 8;
-constexpr Time kAcquitAfter = 10 * kSecond;
-constexpr Time kTroubleLasts = 3 * kSecond;
-constexpr std::size_t kFewestProbes = 8, kMaxProbes = 64;  // per heartbeat period
-constexpr std::size_t kProbedShare = 10;                   // probes one in this many live members
+constexpr Time kClearSuspicionAfter = 10 * kSecond;
+constexpr Time kRandomProbingDuration = 3 * kSecond;
+constexpr std::size_t kMinProbes = 8, kMaxProbes = 64;  // per heartbeat period
+constexpr std::size_t kMembersPerProbe = 10;            // probes one in this many live members
 
 }  // namespace
 
-void FailureDetector::FollowRing(Time now) {
-  if (ring_seen_ == table_.ring_changes()) return;
-  ring_seen_ = table_.ring_changes();
+void FailureDetector::UpdateWatches(Time now) {
+  if (seen_ring_version_ == table_.ring_version()) return;
+  seen_ring_version_ = table_.ring_version();
   const auto predecessors = table_.Predecessors(table_.self().name(), settings_.monitors);
   const auto is_predecessor = [&](const std::string& name) {
     return std::ranges::find(predecessors, name) != predecessors.end();
@@ -33,7 +33,7 @@
 }
 
 void FailureDetector::Check(Time now, Findings* findings) {
-  FollowRing(now);
+  UpdateWatches(now);
   std::size_t silent = 0, predecessors = 0;
   for (auto item = watches_.begin(); item != watches_.end();) {
     auto& [name, watch] = *item;
@@ -44,14 +44,15 @@
     }
     CheckWatched(now, name, watch, findings);
     predecessors += watch.probed ? 0 : 1;
-    silent += !watch.probed && now - LastSign(*entry, watch) >= settings_.suspect_after ? 1 : 0;
+    silent += !watch.probed && now - LastSignOfLife(*entry, watch) >= settings_.suspect_after ? 1 : 0;
     ++item;
   }
-  if (silent >= 2 || (silent > 0 && silent == predecessors)) trouble_until_ = now + kTroubleLasts;
+  if (silent >= 2 || (silent > 0 && silent == predecessors))
+    random_probing_until_ = now + kRandomProbingDuration;
   CheckSuspects(now, findings);
 }
 
-Time FailureDetector::LastSign(const Entry& entry, const Watch& watch) const {
+Time FailureDetector::LastSignOfLife(const Entry& entry, const Watch& watch) const {
   return std::max(entry.last_heard, watch.since);
 }
 
@@ -59,15 +60,15 @@
   Entry& entry = *table_.Find(name);
   if (!IsLive(entry.record)) return;
   if (entry.last_heard > watch.since) watch.timeout_multiplier = 1;
-  const Time silence = now - LastSign(entry, watch);
+  const Time silence = now - LastSignOfLife(entry, watch);
   if (silence >= PingAfter() && now >= watch.next_ping) {
-    watch.next_ping = now + kBetweenPings;
+    watch.next_ping = now + kPingInterval;
     findings->ping.push_back(name);
   }
-  if (silence >= SuspectAfter(watch) && table_.Accuse(now, entry)) findings->accused.push_back(name);
-  const bool sure = silence >= DeadAfter(watch) && entry.record.state() == messages::MEMBER_SUSPECT &&
-                    now - entry.suspect_since >= kObjectionTime;
-  if (sure && MonitorsAgree(entry)) {
+  if (silence >= SuspectAfter(watch) && table_.Suspect(now, entry)) findings->suspected.push_back(name);
+  const bool timed_out = silence >= DeadAfter(watch) && entry.record.state() == messages::MEMBER_SUSPECT &&
+                         now - entry.suspect_since >= kRefutationTime;
+  if (timed_out && MonitorsAgree(entry)) {
     table_.DeclareDead(now, entry);
     findings->dead.push_back(name);
   }
@@ -79,7 +80,7 @@
   const auto trusted = std::ranges::count_if(monitors, [&](const std::string& monitor) {
     return table_.Find(monitor)->record.state() == messages::MEMBER_ALIVE;
   });
-  return entry.record.suspected_by_size() >= std::min<std::ptrdiff_t>(kMaxAccusers, trusted);
+  return entry.record.suspected_by_size() >= std::min<std::ptrdiff_t>(kMaxSuspectingMonitors, trusted);
 }
 
 // Suspicions of other members: declared dead when confirmed, or cleared after a timeout.
@@ -87,11 +88,11 @@
   const auto suspects = table_.suspects();
   for (const std::string& name : suspects) {
     Entry& entry = *table_.Find(name);
-    if (entry.death_at && now >= *entry.death_at) {
+    if (entry.declare_dead_at && now >= *entry.declare_dead_at) {
       table_.DeclareDead(now, entry);
       findings->dead.push_back(name);
-    } else if (now - entry.suspect_since >= kAcquitAfter && !watches_.contains(name)) {
-      table_.Acquit(entry);
+    } else if (now - entry.suspect_since >= kClearSuspicionAfter && !watches_.contains(name)) {
+      table_.ClearSuspicion(entry);
     }
   }
 }
@@ -104,40 +105,40 @@
   for (const auto& [name, watch] : watches_) {
     const Entry* entry = table_.Find(name);
     if (entry == nullptr) continue;
-    const Time last_sign = LastSign(*entry, watch);
-    consider(std::max(last_sign + PingAfter(), watch.next_ping));
-    consider(last_sign + SuspectAfter(watch));
-    consider(last_sign + DeadAfter(watch));
+    const Time last_sign_of_life = LastSignOfLife(*entry, watch);
+    consider(std::max(last_sign_of_life + PingAfter(), watch.next_ping));
+    consider(last_sign_of_life + SuspectAfter(watch));
+    consider(last_sign_of_life + DeadAfter(watch));
   }
   for (const std::string& name : table_.suspects()) {
     const Entry& entry = *table_.Find(name);
-    consider(entry.suspect_since + kObjectionTime);
-    if (entry.death_at) consider(*entry.death_at);
+    consider(entry.suspect_since + kRefutationTime);
+    if (entry.declare_dead_at) consider(*entry.declare_dead_at);
   }
   return next;
 }
 
-void FailureDetector::ProbeAtRandom(Time now, Findings* findings) {
+void FailureDetector::ProbeRandomMembers(Time now, Findings* findings) {
   const std::size_t live = table_.live_count();
-  if (now >= trouble_until_ || live < 2) return;
-  const std::size_t probes = std::min(std::clamp(live / kProbedShare, kFewestProbes, kMaxProbes), live);
+  if (now >= random_probing_until_ || live < 2) return;
+  const std::size_t probes = std::min(std::clamp(live / kMembersPerProbe, kMinProbes, kMaxProbes), live);
   const std::size_t start = random_.Below(live);
   for (std::size_t i = 0; i < probes; ++i) {
     const std::string& name = table_.LiveAt((start + i) % live);
     if (name == table_.self().name()) continue;
     const auto [watch, added] = watches_.try_emplace(name);
     if (!added) continue;
-    watch->second = {.since = now, .next_ping = now + kBetweenPings, .probed = true};
+    watch->second = {.since = now, .next_ping = now + kPingInterval, .probed = true};
     findings->ping.push_back(name);
   }
 }
 
-void FailureDetector::RestartAll(Time now) {
+void FailureDetector::RestartTimeouts(Time now) {
   for (auto& [name, watch] : watches_) watch.since = now;
-  trouble_until_ = 0;
+  random_probing_until_ = 0;
 }
 
-void FailureDetector::Objected(Time now, const std::string& name) {
+void FailureDetector::OnRefuted(Time now, const std::string& name) {
   const auto watch = watches_.find(name);
   if (watch == watches_.end()) return;
   watch->second.since = now;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -21,9 +21,9 @@
     std::size_t monitors;
   };
   struct Findings {
-    std::vector<std::string> ping;     // to be pinged
-    std::vector<std::string> accused;  // newly suspected, or suspected by one more monitor
-    std::vector<std::string> dead;     // newly declared dead
+    std::vector<std::string> ping;       // to be pinged
+    std::vector<std::string> suspected;  // newly suspected, or suspected by one more monitor
+    std::vector<std::string> dead;       // newly declared dead
   };
 
   FailureDetector(const Settings& settings, MemberTable* table, Random* random)
@@ -33,14 +33,14 @@
   std::optional<Time> NextCheck(Time now) const;
 
   // Called once per heartbeat period.
-  void ProbeAtRandom(Time now, Findings* findings);
+  void ProbeRandomMembers(Time now, Findings* findings);
 
   // Restarts all timeouts after this process was paused: missed heartbeats then say nothing about other
   // members.
-  void RestartAll(Time now);
+  void RestartTimeouts(Time now);
   // The member refuted a suspicion, but no heartbeat came from it directly: the path from it to this member
   // may be down. Increases the timeout until it is suspected again.
-  void Objected(Time now, const std::string& name);
+  void OnRefuted(Time now, const std::string& name);
 
  private:
   struct Watch {
@@ -50,11 +50,11 @@
     bool probed = false;         // a random probe, not a predecessor
   };
 
-  void FollowRing(Time now);
+  void UpdateWatches(Time now);
   void CheckWatched(Time now, const std::string& name, Watch& watch, Findings* findings);
   void CheckSuspects(Time now, Findings* findings);
   bool MonitorsAgree(const Entry& entry) const;
-  Time LastSign(const Entry& entry, const Watch& watch) const;
+  Time LastSignOfLife(const Entry& entry, const Watch& watch) const;
   Time SuspectAfter(const Watch& watch) const { return settings_.suspect_after * watch.timeout_multiplier; }
   Time DeadAfter(const Watch& watch) const {
     return SuspectAfter(watch) + settings_.dead_after - settings_.suspect_after;
@@ -65,8 +65,8 @@
   MemberTable& table_;
   Random& random_;
   std::map<std::string, Watch> watches_;
-  std::uint64_t ring_seen_ = 0;
-  Time trouble_until_ = 0;
+  std::uint64_t seen_ring_version_ = 0;
+  Time random_probing_until_ = 0;
 };
 
 }  // namespace lichenlug::membership_ring
--- a/src/membership/news.h
+++ b/src/membership/gossip.h
@@ -13,21 +13,21 @@
 
 namespace lichenlug::membership_ring {
 
-class News {
+class Gossip {
  public:
-  static constexpr std::size_t kMaxInMessage = 64;
-  static constexpr Time kBetweenBursts = 50 * kMillisecond;
-  static constexpr Time kRecent = 450 * kMillisecond;  // about one heartbeat
+  static constexpr std::size_t kMaxNamesPerMessage = 64;
+  static constexpr Time kBurstInterval = 50 * kMillisecond;
+  static constexpr Time kPiggybackDuration = 450 * kMillisecond;  // about one heartbeat
 
   void Add(Time now, const std::string& name) {
     pending_.insert(name);
-    recent_[name] = now + kRecent;
+    recent_[name] = now + kPiggybackDuration;
   }
 
   // When the next burst is due; none if there is nothing to send.
   std::optional<Time> DueAt() const {
     if (pending_.empty()) return std::nullopt;
-    return last_burst_ + kBetweenBursts;
+    return last_burst_ + kBurstInterval;
   }
   std::vector<std::string> TakeBurst(Time now);
   std::vector<std::string> Recent(Time now);  // to piggyback on a heartbeat
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -9,14 +9,14 @@
 using messages::MEMBER_LEFT;
 using messages::MEMBER_SUSPECT;
 
-MemberTable::MemberTable(const MemberRecord& self) : own_name_(self.name()) {
-  Entry& entry = entries_[own_name_];
+MemberTable::MemberTable(const MemberRecord& self) : self_name_(self.name()) {
+  Entry& entry = entries_[self_name_];
   entry.record = self;
   Index(entry);
 }
 
 void MemberTable::SetSelf(const MemberRecord& record) {
-  Entry& entry = *Find(own_name_);
+  Entry& entry = *Find(self_name_);
   Unindex(entry);
   entry.record = record;
   Index(entry);
@@ -32,10 +32,10 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-MemberTable::Applied MemberTable::Apply(Time now, const MemberRecord& record, bool unknown_dead) {
+MemberTable::Applied MemberTable::Apply(Time now, const MemberRecord& record, bool accept_unknown_dead) {
   if (Entry* known = Find(record.name())) return ApplyToKnown(now, record, *known);
   const bool live = IsLive(record);
-  if ((!live && !unknown_dead) || !MakeRoom()) return {};
+  if ((!live && !accept_unknown_dead) || !EnsureCapacity()) return {};
   Entry& entry = entries_[record.name()];
   entry.record = record;
   SetState(now, entry, record.state());
@@ -44,24 +44,24 @@
 }
 
 // Fast path for records that are already known, as most gossip arrives several times.
-bool MemberTable::TellsNothingNew(const MemberRecord& record, const Entry& entry) {
+bool MemberTable::IsRedundant(const MemberRecord& record, const Entry& entry) {
   const MemberRecord& known = entry.record;
   if (record.incarnation() != known.incarnation()) return record.incarnation() < known.incarnation();
   const bool newer_state =
       record.state() > known.state() || (record.state() == MEMBER_SUSPECT && known.state() == MEMBER_SUSPECT);
-  return !newer_state && CompareKnowledge(record, known) <= 0;
+  return !newer_state && CompareRecords(record, known) <= 0;
 }
 
 // A higher incarnation replaces the known record; within an incarnation, the newer fields win.
 MemberTable::Applied MemberTable::ApplyToKnown(Time now, const MemberRecord& record, Entry& entry) {
-  if (TellsNothingNew(record, entry)) return {};
+  if (IsRedundant(record, entry)) return {};
   const bool was_live = IsLive(entry.record);
   const bool newer_life = record.incarnation() > entry.record.incarnation();
-  const bool newer_fields = CompareKnowledge(record, entry.record) > 0;
+  const bool newer_fields = CompareRecords(record, entry.record) > 0;
   Unindex(entry);
   Applied applied;
   if (newer_fields) {
-    applied.objected = newer_life && entry.record.state() == MEMBER_SUSPECT && IsLive(record);
+    applied.refuted = newer_life && entry.record.state() == MEMBER_SUSPECT && IsLive(record);
     const MemberRecord before = entry.record;
     entry.record = record;
     entry.record.set_state(before.state());
@@ -86,15 +86,16 @@
   if (record.state() == MEMBER_SUSPECT) {
     bool news = entry.record.state() != MEMBER_SUSPECT;
     if (news) SetState(now, entry, MEMBER_SUSPECT);
-    for (const std::string& accuser : record.suspected_by()) news |= AddAccuser(&entry.record, accuser);
+    for (const std::string& monitor : record.suspected_by())
+      news |= AddSuspectingMonitor(&entry.record, monitor);
     return news;
   }
   if (record.state() == entry.record.state()) return false;
   if (record.state() == MEMBER_DEAD) {
     const bool was_alive = entry.record.state() == MEMBER_ALIVE;
     if (was_alive) SetState(now, entry, MEMBER_SUSPECT);
-    if (now - entry.suspect_since < kObjectionTime) {
-      entry.death_at = entry.suspect_since + kObjectionTime;
+    if (now - entry.suspect_since < kRefutationTime) {
+      entry.declare_dead_at = entry.suspect_since + kRefutationTime;
       return was_alive;
     }
   }
@@ -105,19 +106,19 @@
 void MemberTable::SetState(Time now, Entry& entry, messages::MemberState state) {
   entry.record.set_state(state);
   entry.record.clear_suspected_by();
-  entry.death_at.reset();
+  entry.declare_dead_at.reset();
   entry.suspect_since = state == MEMBER_SUSPECT ? now : 0;
   entry.dead_since = IsLive(state) ? 0 : now;
 }
 
-bool MemberTable::Accuse(Time now, Entry& entry) {
+bool MemberTable::Suspect(Time now, Entry& entry) {
   Unindex(entry);
   if (entry.record.state() == MEMBER_ALIVE) SetState(now, entry, MEMBER_SUSPECT);
   Index(entry);
-  return entry.record.state() == MEMBER_SUSPECT && AddAccuser(&entry.record, own_name_);
+  return entry.record.state() == MEMBER_SUSPECT && AddSuspectingMonitor(&entry.record, self_name_);
 }
 
-void MemberTable::Acquit(Entry& entry) {
+void MemberTable::ClearSuspicion(Entry& entry) {
   Unindex(entry);
   SetState(0, entry, MEMBER_ALIVE);
   Index(entry);
@@ -133,7 +134,7 @@
   std::vector<std::string> forgotten;
   for (const auto& [name, entry] : entries_) {
     const Time limit = entry.record.state() == MEMBER_LEFT ? left_limit : dead_limit;
-    if (!IsLive(entry.record) && entry.dead_since < limit && name != own_name_) forgotten.push_back(name);
+    if (!IsLive(entry.record) && entry.dead_since < limit && name != self_name_) forgotten.push_back(name);
   }
   for (const std::string& name : forgotten) {
     dead_.erase(name);
@@ -141,7 +142,7 @@
   }
 }
 
-bool MemberTable::MakeRoom() {
+bool MemberTable::EnsureCapacity() {
   if (entries_.size() < kMaxTableEntries) return true;
   const auto oldest = std::ranges::min_element(entries_, {}, [](const auto& item) {
     return std::pair(IsLive(item.second.record), item.second.dead_since);
@@ -163,7 +164,7 @@
   live_addresses_.insert(record.address());
   ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(RingPosition(record.name())),
                {HashName(record.name()), record.name()});
-  ++ring_changes_;
+  ++ring_version_;
 }
 
 void MemberTable::Unindex(const Entry& entry) {
@@ -176,7 +177,7 @@
   bucket_hashes_[BucketOf(record.name())] -= hash;
   live_addresses_.extract(record.address());
   ring_.erase(ring_.begin() + static_cast<std::ptrdiff_t>(RingPosition(record.name())));
-  ++ring_changes_;
+  ++ring_version_;
 }
 
 std::size_t MemberTable::RingPosition(const std::string& name) const {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -20,15 +20,15 @@
 inline constexpr std::size_t kBuckets = 64;
 
 // A suspect has at least this long to refute before it is declared dead on another member's report.
-inline constexpr Time kObjectionTime = 600 * kMillisecond;
+inline constexpr Time kRefutationTime = 600 * kMillisecond;
 
 struct Entry {
   MemberRecord record;
-  Time last_heard = 0;           // time of the last heartbeat received; 0: none
-  Time suspect_since = 0;        // if its state is suspect
-  Time dead_since = 0;           // if its state is dead or left
-  std::optional<Time> death_at;  // reported dead by others: takes effect then, unless refuted
-  Time last_told = 0;            // when it was last sent the record of itself known here
+  Time last_heard = 0;                  // time of the last heartbeat received; 0: none
+  Time suspect_since = 0;               // if its state is suspect
+  Time dead_since = 0;                  // if its state is dead or left
+  std::optional<Time> declare_dead_at;  // reported dead by others: takes effect then, unless refuted
+  Time last_owner_notice = 0;           // when it was last sent the record of itself known here
 };
 
 class MemberTable {
@@ -36,25 +36,25 @@
   struct Applied {
     bool news = false;          // to be gossiped
     bool live_changed = false;  // Live() or a field of a member in it
-    bool objected = false;      // a suspicion was refuted by a higher incarnation
+    bool refuted = false;       // a suspicion was refuted by a higher incarnation
   };
   using Hashes = std::array<std::uint64_t, kBuckets>;
 
   explicit MemberTable(const MemberRecord& self);
 
-  // Merges a record of another member. Unknown members that are not live are added only if `unknown_dead` is
-  // true: otherwise members would exchange forgotten records forever.
-  Applied Apply(Time now, const MemberRecord& record, bool unknown_dead);
+  // Merges a record of another member. Unknown members that are not live are added only if
+  // `accept_unknown_dead` is true: otherwise members would exchange forgotten records forever.
+  Applied Apply(Time now, const MemberRecord& record, bool accept_unknown_dead);
   void SetSelf(const MemberRecord& record);
 
-  bool Accuse(Time now, Entry& entry);  // by this member; true if it did not suspect it before
-  void Acquit(Entry& entry);            // the suspicion was not confirmed
+  bool Suspect(Time now, Entry& entry);  // by this member; true if it did not suspect it before
+  void ClearSuspicion(Entry& entry);     // the suspicion was not confirmed
   void DeclareDead(Time now, Entry& entry);
   void ForgetDeadBefore(Time dead_limit, Time left_limit);
 
   Entry* Find(const std::string& name);
   const Entry* Find(const std::string& name) const;
-  const MemberRecord& self() const { return Find(own_name_)->record; }
+  const MemberRecord& self() const { return Find(self_name_)->record; }
   const std::unordered_map<std::string, Entry>& entries() const { return entries_; }
   const std::set<std::string>& suspects() const { return suspects_; }
   const std::set<std::string>& dead() const { return dead_; }  // without members that left
@@ -69,26 +69,26 @@
   std::vector<std::string> Successors(const std::string& name, std::size_t count) const;
   std::vector<std::string> Predecessors(const std::string& name, std::size_t count) const;
   const std::string& LiveAt(std::size_t position) const { return ring_[position].second; }
-  std::uint64_t ring_changes() const { return ring_changes_; }
+  std::uint64_t ring_version() const { return ring_version_; }
 
  private:
   using RingKey = std::pair<std::uint64_t, std::string>;
 
   std::size_t RingPosition(const std::string& name) const;
-  static bool TellsNothingNew(const MemberRecord& record, const Entry& entry);
+  static bool IsRedundant(const MemberRecord& record, const Entry& entry);
   Applied ApplyToKnown(Time now, const MemberRecord& record, Entry& entry);
   void SetState(Time now, Entry& entry, messages::MemberState state);
   bool MergeState(Time now, const MemberRecord& record, Entry& entry);
-  bool MakeRoom();
+  bool EnsureCapacity();
   void Index(const Entry& entry);
   void Unindex(const Entry& entry);
 
-  const std::string own_name_;
+  const std::string self_name_;
   std::unordered_map<std::string, Entry> entries_;
   std::vector<RingKey> ring_;  // sorted
   std::set<std::string> suspects_, dead_;
   std::multiset<std::string> live_addresses_;
-  std::uint64_t hash_ = 0, ring_changes_ = 0;
+  std::uint64_t hash_ = 0, ring_version_ = 0;
   Hashes bucket_hashes_{};
 };
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -45,7 +45,7 @@
   return impl_->Members([](const MemberRecord& record) { return IsLive(record); });
 }
 
-std::vector<Member> Membership::Everyone() const {
+std::vector<Member> Membership::AllMembers() const {
   return impl_->Members([](const MemberRecord&) { return true; });
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -48,8 +48,8 @@
   void SetSeeds(std::vector<std::string> seed_addresses);  // after a reload of the settings
   void Leave(Time now, MembershipOutput* output);          // on SIGTERM: announces the departure
 
-  std::vector<Member> Live() const;      // alive or suspect, including this member, by name
-  std::vector<Member> Everyone() const;  // all known members, including dead ones
+  std::vector<Member> Live() const;        // alive or suspect, including this member, by name
+  std::vector<Member> AllMembers() const;  // all known members, including dead ones
   std::optional<Time> DeadSince(const std::string& name) const;  // none if alive or unknown
   const Member& self() const;                                    // with its current incarnation
 
--- a/src/membership/protocol.h
+++ b/src/membership/protocol.h
@@ -10,9 +10,9 @@
 #include "membership/anti_entropy.h"
 #include "membership/contacts.h"
 #include "membership/failure_detector.h"
+#include "membership/gossip.h"
 #include "membership/member_table.h"
 #include "membership/membership.h"
-#include "membership/news.h"
 #include "membership/random.h"
 
 namespace lichenlug::membership_ring {
@@ -35,40 +35,42 @@
 
  private:
   // Context of one call from outside.
-  struct Call {
+  struct CallContext {
     Time now;
     MembershipOutput& output;
   };
 
-  void OnHeartbeat(const Call& call, const std::string& from, const messages::MembershipHeartbeat& heartbeat);
-  void OnJoin(const Call& call, const std::string& from, const messages::MembershipJoin& join);
-  void OnTable(const Call& call, const std::string& from, const messages::MembershipTable& table);
+  void OnHeartbeat(const CallContext& call, const std::string& from,
+                   const messages::MembershipHeartbeat& heartbeat);
+  void OnJoin(const CallContext& call, const std::string& from, const messages::MembershipJoin& join);
+  void OnTable(const CallContext& call, const std::string& from, const messages::MembershipTable& table);
 
-  void Learn(const Call& call, const MemberRecord& record);
-  void LearnFromOwner(const Call& call, const std::string& from, const MemberRecord& record);
-  void LearnAboutSelf(const Call& call, const MemberRecord& record);
-  void ChangeSelf(const Call& call, const std::function<void(MemberRecord*)>& change);
+  void ApplyRecord(const CallContext& call, const MemberRecord& record);
+  void ApplyOwnerRecord(const CallContext& call, const std::string& from, const MemberRecord& record);
+  void ApplySelfRecord(const CallContext& call, const MemberRecord& record);
+  void ChangeSelf(const CallContext& call, const std::function<void(MemberRecord*)>& change);
 
-  void NotePauses(const Call& call);
-  void HeartbeatPeriod(const Call& call);
-  void CheckOthers(const Call& call);
-  void ActOn(const Call& call, const FailureDetector::Findings& findings);
-  void CallSeeds(const Call& call);
-  void GreetNewMonitors(const Call& call);
-  void SendNews(const Call& call);
-  std::vector<std::string> NewsTargets(const std::vector<std::string>& names);
+  void DetectPause(const CallContext& call);
+  void RunHeartbeatPeriod(const CallContext& call);
+  void CheckOthers(const CallContext& call);
+  void HandleFindings(const CallContext& call, const FailureDetector::Findings& findings);
+  void ContactSeeds(const CallContext& call);
+  void UpdateMonitors(const CallContext& call);
+  void SendGossip(const CallContext& call);
+  std::vector<std::string> GossipTargets(const std::vector<std::string>& names);
 
   messages::MembershipMessage MakeHeartbeat(const std::vector<std::string>& news, bool wants_reply) const;
-  void SendToMember(const Call& call, const std::string& name, messages::MembershipMessage message);
-  void SendToAddress(const Call& call, const std::string& address, messages::MembershipMessage message);
-  void SendTable(const Call& call, const std::string& address, messages::MembershipTable table);
+  void SendToMember(const CallContext& call, const std::string& name, messages::MembershipMessage message);
+  void SendToAddress(const CallContext& call, const std::string& address,
+                     messages::MembershipMessage message);
+  void SendTable(const CallContext& call, const std::string& address, messages::MembershipTable table);
 
   const MembershipSettings settings_;
   Member self_;
   Random random_;
   MemberTable table_;
   FailureDetector detector_;
-  News news_;
+  Gossip gossip_;
   Contacts contacts_;
   AntiEntropy anti_entropy_;
 
@@ -77,10 +79,10 @@
   Time last_call_ = 0;      // of Tick or Receive
   Time last_received_ = 0;  // from any member
   Time next_heartbeat_ = 0;
-  Time next_forgetting_ = 0;
+  Time next_forget_ = 0;
   std::optional<Time> next_check_;
   std::vector<std::string> monitors_;
-  std::uint64_t ring_seen_ = 0;
+  std::uint64_t seen_ring_version_ = 0;
 };
 
 }  // namespace lichenlug::membership_ring
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -6,9 +6,9 @@
 namespace lichenlug::membership_ring {
 namespace {
 
-constexpr std::size_t kLongestField = 256;
-constexpr std::uint64_t kHighestIncarnation =
-    1ull << 62;  // so that any valid record can be refuted by a higher one
+constexpr std::size_t kMaxFieldBytes = 256;
+constexpr std::uint64_t kMaxIncarnation = 1ull
+                                          << 62;  // so that any valid record can be refuted by a higher one
 
 // FNV-1a with a final mix, so that names that differ in one digit hash far apart.
 class Hasher {
@@ -39,7 +39,7 @@
                          record.counts_for_quorum(), record.ready());
 }
 
-bool IsShort(std::string_view text) { return text.size() <= kLongestField; }
+bool IsShort(std::string_view text) { return text.size() <= kMaxFieldBytes; }
 
 }  // namespace
 
@@ -71,20 +71,21 @@
   return !record.name().empty() && IsShort(record.name()) && !record.address().empty() &&
          IsShort(record.address()) && IsShort(record.control_address()) && IsShort(record.zone()) &&
          IsShort(record.region()) && IsShort(record.replica_id()) &&
-         messages::MemberState_IsValid(record.state()) && record.incarnation() <= kHighestIncarnation &&
-         record.suspected_by_size() <= kMaxAccusers && std::ranges::all_of(record.suspected_by(), IsShort);
+         messages::MemberState_IsValid(record.state()) && record.incarnation() <= kMaxIncarnation &&
+         record.suspected_by_size() <= kMaxSuspectingMonitors &&
+         std::ranges::all_of(record.suspected_by(), IsShort);
 }
 
-std::strong_ordering CompareKnowledge(const MemberRecord& left, const MemberRecord& right) {
+std::strong_ordering CompareRecords(const MemberRecord& left, const MemberRecord& right) {
   return Fields(left) <=> Fields(right);
 }
 
-bool HasAccuser(const MemberRecord& record, const std::string& name) {
+bool IsSuspectedBy(const MemberRecord& record, const std::string& name) {
   return std::ranges::find(record.suspected_by(), name) != record.suspected_by().end();
 }
 
-bool AddAccuser(MemberRecord* record, const std::string& name) {
-  if (HasAccuser(*record, name) || record->suspected_by_size() >= kMaxAccusers) return false;
+bool AddSuspectingMonitor(MemberRecord* record, const std::string& name) {
+  if (IsSuspectedBy(*record, name) || record->suspected_by_size() >= kMaxSuspectingMonitors) return false;
   record->add_suspected_by(name);
   return true;
 }
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -13,7 +13,7 @@
 
 using messages::MemberRecord;
 
-inline constexpr int kMaxAccusers = 2;  // the number needed to declare a member dead
+inline constexpr int kMaxSuspectingMonitors = 2;  // the number needed to declare a member dead
 
 // Position of a name on the ring; the same on every machine.
 std::uint64_t HashName(std::string_view name);
@@ -32,11 +32,11 @@
 
 // Orders by incarnation, version, and then the other fields except the state, so that all members decide
 // alike.
-std::strong_ordering CompareKnowledge(const MemberRecord& left, const MemberRecord& right);
+std::strong_ordering CompareRecords(const MemberRecord& left, const MemberRecord& right);
 
 // Adds a suspecting monitor unless it is listed already or the list is full. True if it was added.
-bool AddAccuser(MemberRecord* record, const std::string& name);
-bool HasAccuser(const MemberRecord& record, const std::string& name);
+bool AddSuspectingMonitor(MemberRecord* record, const std::string& name);
+bool IsSuspectedBy(const MemberRecord& record, const std::string& name);
 
 Member ToMember(const MemberRecord& record);
 MemberRecord ToRecord(const Member& member);
--- a/src/transport/frame.cpp
+++ b/src/transport/frame.cpp
@@ -23,28 +23,29 @@
   envelope.SerializeWithCachedSizesToArray(reinterpret_cast<std::uint8_t*>(bytes->data() + body));
 }
 
-bool FrameReader::Read(std::span<const std::byte> bytes, const Take& take) {
-  if (too_long_) return false;
+bool FrameReader::Read(std::span<const std::byte> bytes, const OnFrame& on_frame) {
+  if (oversized_) return false;
   if (pending_.empty()) {
-    const auto rest = TakeWhole(bytes, take);
+    const auto rest = ExtractFrames(bytes, on_frame);
     pending_.assign(reinterpret_cast<const char*>(rest.data()), rest.size());
   } else {
     pending_.append(reinterpret_cast<const char*>(bytes.data()), bytes.size());
-    const auto rest = TakeWhole(std::as_bytes(std::span(pending_)), take);
+    const auto rest = ExtractFrames(std::as_bytes(std::span(pending_)), on_frame);
     pending_ = std::string(reinterpret_cast<const char*>(rest.data()), rest.size());
   }
-  return !too_long_;
+  return !oversized_;
 }
 
-std::span<const std::byte> FrameReader::TakeWhole(std::span<const std::byte> bytes, const Take& take) {
+std::span<const std::byte> FrameReader::ExtractFrames(std::span<const std::byte> bytes,
+                                                      const OnFrame& on_frame) {
   while (bytes.size() >= kFrameHeaderBytes) {
     const std::size_t size = BodySize(bytes);
-    if (size > longest_frame_) {
-      too_long_ = true;
+    if (size > max_frame_bytes_) {
+      oversized_ = true;
       return {};
     }
     if (bytes.size() - kFrameHeaderBytes < size) break;
-    take(bytes.subspan(kFrameHeaderBytes, size));
+    on_frame(bytes.subspan(kFrameHeaderBytes, size));
     bytes = bytes.subspan(kFrameHeaderBytes + size);
   }
   return bytes;
--- a/src/transport/frame.h
+++ b/src/transport/frame.h
@@ -17,21 +17,21 @@
 // Splits the byte stream of one connection into frames.
 class FrameReader {
  public:
-  using Take = std::function<void(std::span<const std::byte>)>;
+  using OnFrame = std::function<void(std::span<const std::byte>)>;
 
-  explicit FrameReader(std::size_t longest_frame) : longest_frame_(longest_frame) {}
+  explicit FrameReader(std::size_t max_frame_bytes) : max_frame_bytes_(max_frame_bytes) {}
 
-  // Calls `take` with the body of each complete frame. Returns false after a frame above the size limit:
+  // Calls `on_frame` with the body of each complete frame. Returns false after a frame above the size limit:
   // nothing after it can be read, so the connection must be closed.
-  [[nodiscard]] bool Read(std::span<const std::byte> bytes, const Take& take);
+  [[nodiscard]] bool Read(std::span<const std::byte> bytes, const OnFrame& on_frame);
 
  private:
   // Returns the bytes after the last complete frame; empty after a frame above the size limit.
-  std::span<const std::byte> TakeWhole(std::span<const std::byte> bytes, const Take& take);
+  std::span<const std::byte> ExtractFrames(std::span<const std::byte> bytes, const OnFrame& on_frame);
 
-  const std::size_t longest_frame_;
+  const std::size_t max_frame_bytes_;
   std::string pending_;  // an incomplete frame
-  bool too_long_ = false;
+  bool oversized_ = false;
 };
 
 }  // namespace lichenlug::transport
--- a/src/transport/frame_listener.cpp
+++ b/src/transport/frame_listener.cpp
@@ -12,12 +12,12 @@
 constexpr int kBacklog = 256;
 constexpr std::size_t kMaxConnections = 1024;
 // Longer than the idle timeout of the sending side, so that only connections of vanished peers reach it.
-constexpr timeval kCloseSilentAfter{.tv_sec = 90, .tv_usec = 0};
+constexpr timeval kReceiveTimeout{.tv_sec = 90, .tv_usec = 0};
 
 }  // namespace
 
-FrameListener::FrameListener(event_base* base, std::size_t longest_frame, Handler handler)
-    : base_(base), longest_frame_(longest_frame), handler_(std::move(handler)) {}
+FrameListener::FrameListener(event_base* base, std::size_t max_frame_bytes, Handler handler)
+    : base_(base), max_frame_bytes_(max_frame_bytes), handler_(std::move(handler)) {}
 
 FrameListener::~FrameListener() = default;
 
@@ -45,19 +45,19 @@
     return;
   }
   SetConnectionOptions(descriptor);
-  Connection& connection = connections_.emplace_front(this, descriptor, longest_frame_);
-  connection.place = connections_.begin();
+  Connection& connection = connections_.emplace_front(this, descriptor, max_frame_bytes_);
+  connection.position = connections_.begin();
   const auto on_event = [](evutil_socket_t, short what, void* own) {
     auto* accepted = static_cast<Connection*>(own);
     accepted->listener->OnEvent(accepted, what);
   };
   connection.readable.reset(event_new(base_, descriptor, EV_READ | EV_PERSIST, on_event, &connection));
-  event_add(connection.readable.get(), &kCloseSilentAfter);
+  event_add(connection.readable.get(), &kReceiveTimeout);
 }
 
 void FrameListener::OnEvent(Connection* connection, short what) {
   const bool silent = (what & EV_READ) == 0;
-  if (silent || !ReadOnce(connection)) connections_.erase(connection->place);
+  if (silent || !ReadOnce(connection)) connections_.erase(connection->position);
 }
 
 bool FrameListener::ReadOnce(Connection* connection) {
--- a/src/transport/frame_listener.h
+++ b/src/transport/frame_listener.h
@@ -21,7 +21,7 @@
   using Handler = std::function<void(std::span<const std::byte>)>;
 
   // `base` must outlive the listener. Calls `handler` with the body of each frame, on the loop's thread.
-  FrameListener(event_base* base, std::size_t longest_frame, Handler handler);
+  FrameListener(event_base* base, std::size_t max_frame_bytes, Handler handler);
   ~FrameListener();
   FrameListener(const FrameListener&) = delete;
   FrameListener& operator=(const FrameListener&) = delete;
@@ -30,13 +30,13 @@
 
  private:
   struct Connection {
-    Connection(FrameListener* its_listener, int descriptor, std::size_t longest_frame)
-        : listener(its_listener), socket(descriptor), reader(longest_frame) {}
+    Connection(FrameListener* parent, int descriptor, std::size_t max_frame_bytes)
+        : listener(parent), socket(descriptor), reader(max_frame_bytes) {}
     FrameListener* listener;
     Socket socket;
     EventPointer readable;  // freed before the socket is closed
     FrameReader reader;
-    std::list<Connection>::iterator place;
+    std::list<Connection>::iterator position;
   };
   struct ListenerDeleter {
     void operator()(evconnlistener* owned) const { evconnlistener_free(owned); }
@@ -47,7 +47,7 @@
   bool ReadOnce(Connection* connection);  // false if it was closed or is unreadable
 
   event_base* const base_;
-  const std::size_t longest_frame_;
+  const std::size_t max_frame_bytes_;
   const Handler handler_;
   std::unique_ptr<evconnlistener, ListenerDeleter> listener_;
   std::list<Connection> connections_;
--- a/src/transport/link_liveness.h
+++ b/src/transport/link_liveness.h
@@ -14,51 +14,55 @@
 class LinkLiveness {
  public:
   // A message of a peer is acknowledged if nothing was sent to that peer for this long.
-  static constexpr std::chrono::milliseconds kAnswerAfter{300};
+  static constexpr std::chrono::milliseconds kAckDelay{300};
   // A message sent this long after the first unacknowledged one must be acknowledged by a peer that receives
   // it.
   static constexpr std::chrono::milliseconds kProbeAfter{400};
   // Timeout of the acknowledgement of such a message.
-  static constexpr std::chrono::milliseconds kAnswerWithin{1100};
-  static constexpr std::chrono::milliseconds kBetweenRenewals{1000};
+  static constexpr std::chrono::milliseconds kAckTimeout{1100};
+  static constexpr std::chrono::milliseconds kStaleReopenInterval{1000};
   // The same for a connection that was established and then lost.
-  static constexpr std::chrono::milliseconds kBetweenReopenings{100};
+  static constexpr std::chrono::milliseconds kLostReopenInterval{100};
 
   void Sent(SteadyTime now) {
     last_sent_ = now;
-    if (!unanswered_since_) {
-      unanswered_since_ = now;
-    } else if (!probe_sent_ && now - *unanswered_since_ >= kProbeAfter) {
+    if (!unacknowledged_since_) {
+      unacknowledged_since_ = now;
+    } else if (!probe_sent_ && now - *unacknowledged_since_ >= kProbeAfter) {
       probe_sent_ = now;
     }
   }
 
   // Acknowledgements are not acknowledged.
-  void Answered(SteadyTime now) { last_sent_ = now; }
+  void AckSent(SteadyTime now) { last_sent_ = now; }
 
   void Received() {
-    unanswered_since_.reset();
+    unacknowledged_since_.reset();
     probe_sent_.reset();
   }
 
-  bool OwesAnswer(SteadyTime now) const { return !last_sent_ || now - *last_sent_ >= kAnswerAfter; }
+  bool AckDue(SteadyTime now) const { return !last_sent_ || now - *last_sent_ >= kAckDelay; }
 
-  bool Unanswered(SteadyTime now) const { return probe_sent_ && now - *probe_sent_ >= kAnswerWithin; }
+  bool AckOverdue(SteadyTime now) const { return probe_sent_ && now - *probe_sent_ >= kAckTimeout; }
 
-  bool MayRenew(SteadyTime now) const { return !renewed_ || now - *renewed_ >= kBetweenRenewals; }
+  bool MayReopenStale(SteadyTime now) const {
+    return !reopened_at_ || now - *reopened_at_ >= kStaleReopenInterval;
+  }
 
-  bool MayReopen(SteadyTime now) const { return !renewed_ || now - *renewed_ >= kBetweenReopenings; }
+  bool MayReopenLost(SteadyTime now) const {
+    return !reopened_at_ || now - *reopened_at_ >= kLostReopenInterval;
+  }
 
-  void Renewed(SteadyTime now) {
-    renewed_ = now;
+  void Reopened(SteadyTime now) {
+    reopened_at_ = now;
     Received();
   }
 
  private:
   std::optional<SteadyTime> last_sent_;
-  std::optional<SteadyTime> unanswered_since_;
+  std::optional<SteadyTime> unacknowledged_since_;
   std::optional<SteadyTime> probe_sent_;
-  std::optional<SteadyTime> renewed_;
+  std::optional<SteadyTime> reopened_at_;
 };
 
 }  // namespace lichenlug::transport
--- a/src/transport/peer_connection.cpp
+++ b/src/transport/peer_connection.cpp
@@ -13,15 +13,15 @@
 
 constexpr std::size_t kMaxFramesBeforeConnected = 64;
 constexpr std::size_t kMaxUnsentBytes = 1u << 20;  // accepts a message while fewer are queued
-constexpr std::size_t kKeptCapacity = 64u << 10;
-constexpr std::chrono::milliseconds kFirstRedial{20};
-constexpr std::chrono::milliseconds kLongestRedial{200};
+constexpr std::size_t kMaxRetainedCapacity = 64u << 10;
+constexpr std::chrono::milliseconds kInitialReconnectDelay{20};
+constexpr std::chrono::milliseconds kMaxReconnectDelay{200};
 
 timeval ToTimeval(std::chrono::milliseconds span) {
   return {.tv_sec = span.count() / 1000, .tv_usec = span.count() % 1000 * 1000};
 }
 
-bool MayTryAgain(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
+bool IsTemporary(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
 
 }  // namespace
 
@@ -29,22 +29,24 @@
   const auto peer = ParseAddress(address);
   if (!peer) return nullptr;
   std::unique_ptr<PeerConnection> connection(new PeerConnection(base, *peer));
-  connection->Dial();
+  connection->Connect();
   return connection;
 }
 
 PeerConnection::PeerConnection(event_base* base, const sockaddr_in& peer)
-    : base_(base), peer_(peer), redial_after_(kFirstRedial) {
-  const auto dial = [](evutil_socket_t, short, void* self) { static_cast<PeerConnection*>(self)->Dial(); };
-  redial_.reset(evtimer_new(base_, dial, this));
+    : base_(base), peer_(peer), reconnect_delay_(kInitialReconnectDelay) {
+  const auto connect_again = [](evutil_socket_t, short, void* self) {
+    static_cast<PeerConnection*>(self)->Connect();
+  };
+  reconnect_timer_.reset(evtimer_new(base_, connect_again, this));
 }
 
-void PeerConnection::Dial() {
+void PeerConnection::Connect() {
   socket_ = Socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!socket_.open()) return DialLater();
+  if (!socket_.open()) return ScheduleReconnect();
   SetConnectionOptions(socket_.descriptor());
   const int result = ::connect(socket_.descriptor(), reinterpret_cast<const sockaddr*>(&peer_), sizeof peer_);
-  if (result != 0 && errno != EINPROGRESS) return DialLater();
+  if (result != 0 && errno != EINPROGRESS) return ScheduleReconnect();
   const auto on_writable = [](evutil_socket_t, short, void* self) {
     static_cast<PeerConnection*>(self)->OnWritable();
   };
@@ -52,24 +54,24 @@
   event_add(writable_.get(), nullptr);
 }
 
-void PeerConnection::DialLater() {
+void PeerConnection::ScheduleReconnect() {
   writable_.reset();
   socket_.Close();
-  const timeval wait = ToTimeval(redial_after_);
-  redial_after_ = std::min(2 * redial_after_, kLongestRedial);
-  evtimer_add(redial_.get(), &wait);
+  const timeval wait = ToTimeval(reconnect_delay_);
+  reconnect_delay_ = std::min(2 * reconnect_delay_, kMaxReconnectDelay);
+  evtimer_add(reconnect_timer_.get(), &wait);
 }
 
 void PeerConnection::OnWritable() {
-  if (state_ == State::kDialling) OnDialled();
+  if (state_ == State::kConnecting) OnConnectDone();
   if (state_ == State::kConnected) Flush();
 }
 
-void PeerConnection::OnDialled() {
+void PeerConnection::OnConnectDone() {
   int error = 0;
   socklen_t size = sizeof error;
   ::getsockopt(socket_.descriptor(), SOL_SOCKET, SO_ERROR, &error, &size);
-  if (error != 0) return DialLater();
+  if (error != 0) return ScheduleReconnect();
   state_ = State::kConnected;
   const auto on_readable = [](evutil_socket_t, short, void* self) {
     static_cast<PeerConnection*>(self)->OnReadable();
@@ -82,13 +84,13 @@
 void PeerConnection::OnReadable() {
   std::array<char, 16> bytes;
   const auto count = ::recv(socket_.descriptor(), bytes.data(), bytes.size(), 0);
-  if (count >= 0 || !MayTryAgain(errno)) Lose();
+  if (count >= 0 || !IsTemporary(errno)) Disconnect();
 }
 
 PeerConnection::SendResult PeerConnection::Send(const messages::Envelope& envelope) {
   if (state_ == State::kLost) return SendResult::kLost;
   if (unsent_.size() - flushed_ >= kMaxUnsentBytes) return SendResult::kFull;
-  if (state_ == State::kDialling && frames_before_connected_++ >= kMaxFramesBeforeConnected)
+  if (state_ == State::kConnecting && frames_before_connected_++ >= kMaxFramesBeforeConnected)
     return SendResult::kFull;
   const bool waits = !unsent_.empty();
   AppendFrame(envelope, &unsent_);
@@ -100,7 +102,7 @@
   while (flushed_ < unsent_.size()) {
     const auto count =
         ::send(socket_.descriptor(), unsent_.data() + flushed_, unsent_.size() - flushed_, MSG_NOSIGNAL);
-    if (count < 0 && !MayTryAgain(errno)) return Lose();
+    if (count < 0 && !IsTemporary(errno)) return Disconnect();
     if (count < 0) {
       unsent_.erase(0, flushed_);
       flushed_ = 0;
@@ -111,10 +113,10 @@
   }
   flushed_ = 0;
   unsent_.clear();
-  if (unsent_.capacity() > kKeptCapacity) unsent_.shrink_to_fit();
+  if (unsent_.capacity() > kMaxRetainedCapacity) unsent_.shrink_to_fit();
 }
 
-void PeerConnection::Lose() {
+void PeerConnection::Disconnect() {
   state_ = State::kLost;
   readable_.reset();
   writable_.reset();
--- a/src/transport/peer_connection.h
+++ b/src/transport/peer_connection.h
@@ -25,23 +25,23 @@
   bool connected() const { return state_ == State::kConnected; }
 
  private:
-  enum class State { kDialling, kConnected, kLost };
+  enum class State { kConnecting, kConnected, kLost };
 
   PeerConnection(event_base* base, const sockaddr_in& peer);
-  void Dial();
-  void DialLater();
-  void OnDialled();
+  void Connect();
+  void ScheduleReconnect();
+  void OnConnectDone();
   void OnReadable();
   void OnWritable();
   void Flush();
-  void Lose();
+  void Disconnect();
 
   event_base* const base_;
   const sockaddr_in peer_;
-  State state_ = State::kDialling;
+  State state_ = State::kConnecting;
   Socket socket_;
-  EventPointer readable_, writable_, redial_;  // freed before the socket is closed
-  std::chrono::milliseconds redial_after_;
+  EventPointer readable_, writable_, reconnect_timer_;  // freed before the socket is closed
+  std::chrono::milliseconds reconnect_delay_;
   std::string unsent_;  // frames; the first `flushed_` bytes were passed to the kernel
   std::size_t flushed_ = 0;
   std::size_t frames_before_connected_ = 0;
--- a/src/transport/peer_links.h
+++ b/src/transport/peer_links.h
@@ -14,7 +14,7 @@
 class PeerLinks {
  public:
   struct Counters {
-    std::uint64_t sent = 0, dropped = 0, renewals = 0;
+    std::uint64_t sent = 0, dropped = 0, reopens = 0;
   };
 
   // `base` must outlive the links; all calls must be made on its loop's thread.
@@ -23,9 +23,9 @@
   void Send(const std::string& address, const messages::Envelope& envelope);
   void Forget(const std::string& address);
 
-  // To be called for each message from this peer. Sends it `answer`, if not null, when an acknowledgement is
-  // due.
-  void Received(const std::string& address, const messages::Envelope* answer);
+  // To be called for each message from this peer. Sends it `acknowledgement`, if not null, when an
+  // acknowledgement is due.
+  void Received(const std::string& address, const messages::Envelope* acknowledgement);
 
   const Counters& counters() const { return counters_; }
   std::size_t size() const { return peers_.size(); }
@@ -35,15 +35,15 @@
     std::unique_ptr<PeerConnection> connection;
     LinkLiveness liveness;
     SteadyTime last_used;
-    SteadyTime dialled_at;
-    std::chrono::milliseconds dial_timeout{};
+    SteadyTime connect_started_at;
+    std::chrono::milliseconds connect_timeout{};
     bool reached = false;  // since the last connection attempt began
   };
 
-  static bool DialsTooLong(Peer& peer, SteadyTime now);
+  static bool ConnectTimedOut(Peer& peer, SteadyTime now);
   Peer& Find(const std::string& address, SteadyTime now);
   void SendTo(const std::string& address, Peer& peer, const messages::Envelope& envelope, SteadyTime now);
-  void Renew(const std::string& address, Peer& peer, SteadyTime now);
+  void Reopen(const std::string& address, Peer& peer, SteadyTime now);
   void CloseLeastRecentlyUsed();
   void CloseIdle(SteadyTime now);
 
--- a/src/transport/transport.cpp
+++ b/src/transport/transport.cpp
@@ -14,9 +14,9 @@
       : settings_(std::move(settings)),
         receive_(std::move(receive)),
         links_(base, settings_.max_peers),
-        listener_(base, settings_.longest_message,
+        listener_(base, settings_.max_message_bytes,
                   [this](std::span<const std::byte> bytes) { OnBytes(bytes); }) {
-    FillInSender(&answer_);
+    FillInSender(&acknowledgement_);
   }
 
   bool Listen(std::string* error) { return listener_.Listen(settings_.listen_address, error); }
@@ -35,7 +35,7 @@
             .received = received_,
             .unreadable = unreadable_,
             .other_versions = other_versions_,
-            .renewals = links_.counters().renewals,
+            .reopens = links_.counters().reopens,
             .peers = links_.size()};
   }
 
@@ -65,7 +65,7 @@
   // An envelope without a body is an acknowledgement that shows that the link works; it is not acknowledged.
   void OnEnvelope(messages::Envelope envelope) {
     const bool has_body = envelope.body_case() != messages::Envelope::BODY_NOT_SET;
-    links_.Received(envelope.sender_address(), has_body ? &answer_ : nullptr);
+    links_.Received(envelope.sender_address(), has_body ? &acknowledgement_ : nullptr);
     if (!has_body) return;
     ++received_;
     receive_(std::move(envelope));
@@ -73,7 +73,7 @@
 
   const Settings settings_;
   const std::function<void(messages::Envelope)> receive_;
-  messages::Envelope answer_;
+  messages::Envelope acknowledgement_;
   std::uint64_t received_ = 0, unreadable_ = 0, other_versions_ = 0;
   PeerLinks links_;
   FrameListener listener_;  // last member: destroyed first
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -23,7 +23,7 @@
     std::string listen_address;  // "ip:port"
     std::string sender_name;
     std::uint64_t sender_incarnation = 0;
-    std::size_t longest_message = 8u << 20;
+    std::size_t max_message_bytes = 8u << 20;
     std::size_t max_peers = 256;
   };
   struct Statistics {
@@ -32,7 +32,7 @@
     std::uint64_t received = 0;        // passed to `receive`
     std::uint64_t unreadable = 0;      // received, but not a valid envelope or without a sender
     std::uint64_t other_versions = 0;  // received with another protocol version
-    std::uint64_t renewals = 0;        // connections that were reopened
+    std::uint64_t reopens = 0;         // connections that were reopened
     std::size_t peers = 0;             // that have a connection now
   };
   // All calls, also those of `receive`, are on the thread of `base`'s loop, which must outlive the transport.
--- a/tests/system/membership/membership_test.cpp
+++ b/tests/system/membership/membership_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // A network that is started and has converged.
-SimulatedNetwork Started(const NetworkSettings& settings) {
+SimulatedNetwork StartedNetwork(const NetworkSettings& settings) {
   SimulatedNetwork network(settings);
   network.StartAll(300 * kMillisecond);
   REQUIRE(network.RunUntil([&] { return network.AllAgree(); }, 10 * kSecond));
@@ -53,10 +53,10 @@
   const int members = GENERATE(2, 3, 10, 100);
   const std::uint64_t seed = GENERATE(1, 2, 3);
   CAPTURE(members, seed);
-  SimulatedNetwork network = Started({.members = members, .seed = seed});
+  SimulatedNetwork network = StartedNetwork({.members = members, .seed = seed});
   network.Kill(1);
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 3200 * kMillisecond));
-  CHECK(network.Objections() == 0);
+  CHECK(network.Refutations() == 0);
   CHECK(network.member(0).DeadSince("member-1"));
   CHECK_FALSE(network.member(0).DeadSince("member-0"));
 }
@@ -64,7 +64,7 @@
 TEST_CASE("Several members killed at once are all detected") {
   const int members = GENERATE(10, 100);
   CAPTURE(members);
-  SimulatedNetwork network = Started({.members = members});
+  SimulatedNetwork network = StartedNetwork({.members = members});
   for (int i = 0; i < members / 2; ++i) network.Kill(i * 2);
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 10 * kSecond));
 }
@@ -72,7 +72,7 @@
 TEST_CASE("A restarted member is known with its new incarnation") {
   const Time pause = GENERATE(50 * kMillisecond, 500 * kMillisecond, 2 * kSecond, 10 * kSecond);
   CAPTURE(pause);
-  SimulatedNetwork network = Started({.members = 10});
+  SimulatedNetwork network = StartedNetwork({.members = 10});
   network.Kill(4);
   network.RunFor(pause);
   network.Start(4);
@@ -83,7 +83,7 @@
 
 TEST_CASE("A member whose clock stepped back overrides its earlier incarnation") {
   const Time pause = GENERATE(500 * kMillisecond, 10 * kSecond);
-  SimulatedNetwork network = Started({.members = 10});
+  SimulatedNetwork network = StartedNetwork({.members = 10});
   const std::uint64_t before = network.member(4).self().incarnation;
   network.Kill(4);
   network.RunFor(pause);
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("All members restarted at once find each other again") {
-  SimulatedNetwork network = Started({.members = 100});
+  SimulatedNetwork network = StartedNetwork({.members = 100});
   for (const int node : network.Running()) network.Kill(node);
   network.RunFor(kSecond);
   network.StartAll(300 * kMillisecond);
@@ -105,9 +105,9 @@
     "Both sides of a partition declare the other dead and rejoin after it heals, even with dead seeds") {
   const int members = GENERATE(4, 10, 100);
   CAPTURE(members);
-  SimulatedNetwork network = Started({.members = members});
+  SimulatedNetwork network = StartedNetwork({.members = members});
   const int middle = members / 2;
-  network.SetCut([middle](int from, int to) { return (from < middle) != (to < middle); });
+  network.SetBlockedLinks([middle](int from, int to) { return (from < middle) != (to < middle); });
   CHECK(network.RunUntil(
       [&] {
         return network.AllSeeExactly(Range(0, middle)) && network.AllSeeExactly(Range(middle, members));
@@ -116,18 +116,18 @@
   const int first_left = std::min(3, middle - 1);  // kills the seeds, but leaves one member on each side
   for (int i = 0; i < first_left; ++i) network.Kill(i);
   network.RunFor(20 * kSecond);
-  network.SetCut(nullptr);
+  network.SetBlockedLinks(nullptr);
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 5 * kSecond));
   network.RunFor(5 * kSecond);
   CHECK(network.SameRecords(network.Running()));
 }
 
 TEST_CASE("Members declared dead by the other side stay live on their own side when the partition heals") {
-  SimulatedNetwork network = Started({.members = 100});
-  network.SetCut([](int from, int to) { return (from < 50) != (to < 50); });
+  SimulatedNetwork network = StartedNetwork({.members = 100});
+  network.SetBlockedLinks([](int from, int to) { return (from < 50) != (to < 50); });
   network.RunFor(20 * kSecond);
-  network.SetCut(nullptr);
-  const auto own_side_is_whole = [&] {
+  network.SetBlockedLinks(nullptr);
+  const auto own_side_is_live = [&] {
     for (int observer = 0; observer < 100; ++observer) {
       if (!network.SeesAll(observer, observer < 50 ? Range(0, 50) : Range(50, 100))) return false;
     }
@@ -135,7 +135,7 @@
   };
   for (int step = 0; step < 100; ++step) {
     network.RunFor(50 * kMillisecond);
-    REQUIRE(own_side_is_whole());
+    REQUIRE(own_side_is_live());
   }
   CHECK(network.AllAgree());
 }
@@ -143,64 +143,64 @@
 TEST_CASE("An isolated member is declared dead by the others, and declares them dead") {
   const int members = GENERATE(10, 100);
   CAPTURE(members);
-  SimulatedNetwork network = Started({.members = members});
-  network.SetCut([](int from, int to) { return (from == 5) != (to == 5); });
+  SimulatedNetwork network = StartedNetwork({.members = members});
+  network.SetBlockedLinks([](int from, int to) { return (from == 5) != (to == 5); });
   auto others = network.Running();
   std::erase(others, 5);
   CHECK(network.RunUntil([&] { return network.AllSeeExactly(others); }, 4 * kSecond));
   CHECK(network.RunUntil([&] { return network.AllSeeExactly({5}); }, 12 * kSecond));
-  network.SetCut(nullptr);
+  network.SetBlockedLinks(nullptr);
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 8 * kSecond));
 }
 
 TEST_CASE("A one-way link failure between two members leaves them live for all others") {
-  SimulatedNetwork network = Started({.members = 10});
-  network.SetCut([](int from, int to) { return from == 4 && to == 5; });
+  SimulatedNetwork network = StartedNetwork({.members = 10});
+  network.SetBlockedLinks([](int from, int to) { return from == 4 && to == 5; });
   for (int step = 0; step < 200; ++step) {
     network.RunFor(100 * kMillisecond);
     REQUIRE(network.AllAgree());
   }
-  network.SetCut(nullptr);
+  network.SetBlockedLinks(nullptr);
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 3 * kSecond));
 }
 
 TEST_CASE("A member that cannot send is declared dead; one that cannot receive does not disturb the others") {
-  SimulatedNetwork network = Started({.members = 100});
+  SimulatedNetwork network = StartedNetwork({.members = 100});
   auto others = network.Running();
   std::erase(others, 7);
   SECTION("it cannot send") {
-    network.SetCut([](int from, int) { return from == 7; });
+    network.SetBlockedLinks([](int from, int) { return from == 7; });
     CHECK(network.RunUntil([&] { return network.AllSeeExactly(others); }, 4 * kSecond));
   }
   SECTION("it cannot receive") {
-    network.SetCut([](int, int to) { return to == 7; });
+    network.SetBlockedLinks([](int, int to) { return to == 7; });
     for (int step = 0; step < 100; ++step) {
       network.RunFor(200 * kMillisecond);
       for (const int observer : others) REQUIRE(network.SeesAll(observer, others));
     }
   }
-  network.SetCut(nullptr);
+  network.SetBlockedLinks(nullptr);
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 15 * kSecond));
 }
 
 TEST_CASE("A paused member is declared dead, suspects nobody when it resumes, and rejoins soon") {
-  const Time frozen = GENERATE(600 * kMillisecond, 2 * kSecond, 10 * kSecond);
-  CAPTURE(frozen);
-  SimulatedNetwork network = Started({.members = 10});
-  network.Freeze(5);
-  network.RunFor(frozen);
+  const Time paused = GENERATE(600 * kMillisecond, 2 * kSecond, 10 * kSecond);
+  CAPTURE(paused);
+  SimulatedNetwork network = StartedNetwork({.members = 10});
+  network.Pause(5);
+  network.RunFor(paused);
   auto others = network.Running();
   std::erase(others, 5);
-  CHECK(network.AllSeeExactly(others) == (frozen > 4 * kSecond));
-  network.Thaw(5);
+  CHECK(network.AllSeeExactly(others) == (paused > 4 * kSecond));
+  network.Resume(5);
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 2 * kSecond));
-  CHECK(network.Objections() <= 1);  // only by the paused member
+  CHECK(network.Refutations() <= 1);  // only by the paused member
 }
 
 TEST_CASE("A member that leaves is removed at once and can rejoin") {
   const int members = GENERATE(2, 10, 100);
   CAPTURE(members);
-  SimulatedNetwork network = Started({.members = members});
+  SimulatedNetwork network = StartedNetwork({.members = members});
   network.Leave(1);
   CHECK(network.RunUntil([&] { return network.AllAgree(); }, 700 * kMillisecond));
   network.RunFor(kSecond);
@@ -209,7 +209,7 @@
 }
 
 TEST_CASE("A replacement with the same name at another address takes over") {
-  SimulatedNetwork network = Started({.members = 10});
+  SimulatedNetwork network = StartedNetwork({.members = 10});
   const Time pause = GENERATE(0 * kSecond, 5 * kSecond);
   network.Kill(4);
   network.RunFor(pause);
@@ -222,7 +222,7 @@
 }
 
 TEST_CASE("An update of a member's own record reaches all members and is reported as a change") {
-  SimulatedNetwork network = Started({.members = 100});
+  SimulatedNetwork network = StartedNetwork({.members = 100});
   CHECK(network.UpdateSelf(9, true, "store-9"));
   CHECK(network.member(9).self().ready);
   CHECK(network.RunUntil([&] { return network.SameRecords(network.Running()); }, 2 * kSecond));
@@ -232,12 +232,12 @@
 TEST_CASE("With 10% message loss no member is declared dead") {
   const int members = GENERATE(10, 100);
   CAPTURE(members);
-  SimulatedNetwork network = Started({.members = members, .loss = 0.1});
+  SimulatedNetwork network = StartedNetwork({.members = members, .loss = 0.1});
   for (int step = 0; step < 300; ++step) {
     network.RunFor(200 * kMillisecond);
     REQUIRE(network.AllAgree());
   }
-  CHECK(network.Objections() <= static_cast<std::uint64_t>(members / 10));
+  CHECK(network.Refutations() <= static_cast<std::uint64_t>(members / 10));
 }
 
 }  // namespace
--- a/tests/system/membership/simulated_network.cpp
+++ b/tests/system/membership/simulated_network.cpp
@@ -5,8 +5,8 @@
 namespace lichenlug::membership_ring {
 namespace {
 
-constexpr Time kShortestDelay = kMillisecond, kDelaySpread = 4 * kMillisecond;
-constexpr Time kTimerLate = kMillisecond;
+constexpr Time kMinDelay = kMillisecond, kDelaySpread = 4 * kMillisecond;
+constexpr Time kTimerDelay = kMillisecond;
 
 }  // namespace
 
@@ -30,9 +30,9 @@
 
 void SimulatedNetwork::Start(int number) {
   Node& node = At(number);
-  ++node.life;
-  node.frozen = false;
-  node.held_up.clear();
+  ++node.start_number;
+  node.paused = false;
+  node.undelivered.clear();
   node.timer_at = 0;
   MembershipSettings settings;
   settings.self.name = node.name;
@@ -66,7 +66,7 @@
 
 void SimulatedNetwork::Kill(int node) {
   At(node).membership.reset();
-  At(node).held_up.clear();
+  At(node).undelivered.clear();
 }
 
 void SimulatedNetwork::Leave(int node) {
@@ -83,12 +83,12 @@
   return output.changed;
 }
 
-void SimulatedNetwork::Freeze(int node) { At(node).frozen = true; }
+void SimulatedNetwork::Pause(int node) { At(node).paused = true; }
 
-void SimulatedNetwork::Thaw(int number) {
+void SimulatedNetwork::Resume(int number) {
   Node& node = At(number);
-  node.frozen = false;
-  for (const auto& [from, bytes] : std::exchange(node.held_up, {})) Deliver(number, from, bytes);
+  node.paused = false;
+  for (const auto& [from, bytes] : std::exchange(node.undelivered, {})) Deliver(number, from, bytes);
   Tick(number);
 }
 
@@ -101,9 +101,9 @@
     bytes_sent_ += bytes.size();
     const int to = NodeAt(send.address);
     const bool lost = static_cast<double>(random_.Below(1'000'000)) < settings_.loss * 1e6;
-    if (to < 0 || lost || !IsRunning(to) || (cut_ && cut_(from, to))) continue;
-    const Time delay = kShortestDelay + static_cast<Time>(random_.Below(kDelaySpread));
-    Push({now_ + delay, ++numbers_, to, At(to).life, AddressOf(from), std::move(bytes)});
+    if (to < 0 || lost || !IsRunning(to) || (is_blocked_ && is_blocked_(from, to))) continue;
+    const Time delay = kMinDelay + static_cast<Time>(random_.Below(kDelaySpread));
+    Push({now_ + delay, ++event_count_, to, At(to).start_number, AddressOf(from), std::move(bytes)});
   }
   SetTimer(from);
 }
@@ -113,8 +113,8 @@
   if (node.membership == nullptr) return;
   const auto next = node.membership->NextTimer();
   if (!next || (node.timer_at > now_ && node.timer_at <= *next)) return;
-  node.timer_at = std::max(*next, now_) + kTimerLate;
-  Push({node.timer_at, ++numbers_, number, node.life, {}, {}});
+  node.timer_at = std::max(*next, now_) + kTimerDelay;
+  Push({node.timer_at, ++event_count_, number, node.start_number, {}, {}});
 }
 
 void SimulatedNetwork::Push(Event event) {
@@ -139,11 +139,11 @@
 
 void SimulatedNetwork::Handle(const Event& event) {
   Node& node = At(event.node);
-  if (node.membership == nullptr || node.life != event.life) return;
+  if (node.membership == nullptr || node.start_number != event.start_number) return;
   if (event.from.empty()) {
-    if (!node.frozen && node.timer_at == event.at) Tick(event.node);
-  } else if (node.frozen) {
-    node.held_up.emplace_back(event.from, event.bytes);
+    if (!node.paused && node.timer_at == event.at) Tick(event.node);
+  } else if (node.paused) {
+    node.undelivered.emplace_back(event.from, event.bytes);
   } else {
     Deliver(event.node, event.from, event.bytes);
   }
@@ -161,10 +161,10 @@
   now_ = end;
 }
 
-std::optional<Time> SimulatedNetwork::RunUntil(const std::function<bool()>& condition, Time longest) {
+std::optional<Time> SimulatedNetwork::RunUntil(const std::function<bool()>& condition, Time timeout) {
   const Time start = now_;
   while (!condition()) {
-    if (now_ - start >= longest) return std::nullopt;
+    if (now_ - start >= timeout) return std::nullopt;
     RunFor(10 * kMillisecond);
   }
   return now_ - start;
@@ -204,13 +204,13 @@
 }
 
 bool SimulatedNetwork::SameRecords(const std::vector<int>& group) const {
-  std::vector<Member> truth;
-  for (const int node : group) truth.push_back(member(node).self());
-  std::ranges::sort(truth, {}, &Member::name);
-  return std::ranges::all_of(group, [&](int node) { return LiveOf(node) == truth; });
+  std::vector<Member> expected;
+  for (const int node : group) expected.push_back(member(node).self());
+  std::ranges::sort(expected, {}, &Member::name);
+  return std::ranges::all_of(group, [&](int node) { return LiveOf(node) == expected; });
 }
 
-std::uint64_t SimulatedNetwork::Objections() const {
+std::uint64_t SimulatedNetwork::Refutations() const {
   std::uint64_t sum = 0;
   for (const int node : Running()) {
     sum += member(node).self().incarnation - nodes_[static_cast<std::size_t>(node)].first_incarnation;
--- a/tests/system/membership/simulated_network.h
+++ b/tests/system/membership/simulated_network.h
@@ -36,17 +36,19 @@
   void Kill(int node);
   void Leave(int node);  // announces the departure, then stops
   bool UpdateSelf(int node, bool ready, const std::string& replica_id);  // true if a change was reported
-  void Freeze(int node);
-  void Thaw(int node);
+  void Pause(int node);
+  void Resume(int node);
   int AddReplacement(const std::string& name);  // a machine at a new address; not started
-  void SetCut(std::function<bool(int from, int to)> cut) { cut_ = std::move(cut); }
+  void SetBlockedLinks(std::function<bool(int from, int to)> is_blocked) {
+    is_blocked_ = std::move(is_blocked);
+  }
   void SetLoss(double loss) { settings_.loss = loss; }
   void StepClock(int node, Time by) { nodes_[static_cast<std::size_t>(node)].clock_offset += by; }
   void SetMutator(Mutator mutator) { mutator_ = std::move(mutator); }
 
   void RunFor(Time span);
-  // Runs until the condition holds, checked every 10 ms. Returns the elapsed time, or none after `longest`.
-  std::optional<Time> RunUntil(const std::function<bool()>& condition, Time longest);
+  // Runs until the condition holds, checked every 10 ms. Returns the elapsed time, or none after `timeout`.
+  std::optional<Time> RunUntil(const std::function<bool()>& condition, Time timeout);
 
   const Membership& member(int node) const { return *nodes_[static_cast<std::size_t>(node)].membership; }
   bool IsRunning(int node) const { return nodes_[static_cast<std::size_t>(node)].membership != nullptr; }
@@ -63,24 +65,24 @@
 
   std::uint64_t bytes_sent() const { return bytes_sent_; }
   std::uint64_t messages_sent() const { return messages_sent_; }
-  std::uint64_t Objections() const;  // of running members since their last start
+  std::uint64_t Refutations() const;  // of running members since their last start
 
  private:
   struct Node {
     std::string name, address;
     std::unique_ptr<Membership> membership;
-    std::uint64_t life = 0, first_incarnation = 0;
+    std::uint64_t start_number = 0, first_incarnation = 0;
     Time clock_offset = 0;
     Time timer_at = 0;
-    bool frozen = false;
+    bool paused = false;
     mutable std::optional<std::vector<Member>> live;  // as of the last change that the member reported
-    std::vector<std::pair<std::string, std::string>> held_up;  // sender's address and bytes, while frozen
+    std::vector<std::pair<std::string, std::string>> undelivered;  // sender's address and bytes, while frozen
   };
   struct Event {
     Time at;
     std::uint64_t number;
     int node;
-    std::uint64_t life;
+    std::uint64_t start_number;
     std::string from;   // empty: a timer
     std::string bytes;  // of the message
     bool operator>(const Event& other) const {
@@ -104,10 +106,10 @@
   Random random_;
   std::vector<Node> nodes_;
   std::vector<Event> events_;  // a heap, the earliest first
-  std::function<bool(int, int)> cut_;
+  std::function<bool(int, int)> is_blocked_;
   Mutator mutator_;
   Time now_ = 1'700'000'000 * kSecond;
-  std::uint64_t numbers_ = 0, bytes_sent_ = 0, messages_sent_ = 0;
+  std::uint64_t event_count_ = 0, bytes_sent_ = 0, messages_sent_ = 0;
 };
 
 }  // namespace lichenlug::membership_ring
--- a/tests/system/processes/control_program_test.cpp
+++ b/tests/system/processes/control_program_test.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 
 #include "lab/fleet/process.h"
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
@@ -52,7 +52,7 @@
   std::filesystem::path folder_;
 };
 
-bool Holds(const Ended& ended, const std::string& text) {
+bool OutputContains(const Ended& ended, const std::string& text) {
   return ended.output.find(text) != std::string::npos;
 }
 
@@ -62,15 +62,15 @@
   const Ended valid = program.Run(&loop, {"config", "check", program.File(sample::Configuration(3).dump())});
   INFO(valid.output);
   CHECK(valid.code == kSuccess);
-  CHECK(Holds(valid, "valid, edition 3, 3 routes, 1 services, 2 tenants"));
+  CHECK(OutputContains(valid, "valid, edition 3, 3 routes, 1 services, 2 tenants"));
 
   Json configuration = sample::Configuration(3);
   configuration["routes"][1]["deadline_ms"] = 0;
   const Ended invalid = program.Run(&loop, {"config", "check", program.File(configuration.dump())});
   INFO(invalid.output);
   CHECK(invalid.code == kFailed);
-  CHECK(Holds(invalid, "deadline_ms"));
-  CHECK(Holds(invalid, "routes[1] (stream)"));
+  CHECK(OutputContains(invalid, "deadline_ms"));
+  CHECK(OutputContains(invalid, "routes[1] (stream)"));
   CHECK(std::count(invalid.output.begin(), invalid.output.end(), '\n') == 1);
 
   CHECK(program.Run(&loop, {"config", "check", "/nonexistent.json"}).code == kFailed);
@@ -95,22 +95,22 @@
   const Ended status = program.Run(&system.loop(), {"status", system.dispatcher(0).control_address()});
   INFO(status.output);
   CHECK(status.code == kSuccess);
-  CHECK(Holds(status, "name: dispatcher-1\n"));
-  CHECK(Holds(status, "ready: true\n"));
-  CHECK(Holds(status, "edition: 1\n"));
-  CHECK(Holds(status, "id: runner-2\n"));
+  CHECK(OutputContains(status, "name: dispatcher-1\n"));
+  CHECK(OutputContains(status, "ready: true\n"));
+  CHECK(OutputContains(status, "edition: 1\n"));
+  CHECK(OutputContains(status, "id: runner-2\n"));
 
   Dispatcher& stopped = system.dispatcher(2);
   REQUIRE(stopped.Kill(kTimeout));
-  const Ended gone = program.Run(&system.loop(), {"status", stopped.control_address()});
-  CHECK(gone.code == kFailed);
-  CHECK(std::count(gone.output.begin(), gone.output.end(), '\n') == 1);
+  const Ended stopped_status = program.Run(&system.loop(), {"status", stopped.control_address()});
+  CHECK(stopped_status.code == kFailed);
+  CHECK(std::count(stopped_status.output.begin(), stopped_status.output.end(), '\n') == 1);
   const Ended store = program.Run(&system.loop(), {"store", "verify", stopped.store_folder().string()});
   INFO(store.output);
   CHECK(store.code == kSuccess);
-  CHECK(Holds(store, "register configuration: "));
-  CHECK(Holds(store, "edition 1, revision 1"));
-  CHECK(Holds(store, "all records can be read\n"));
+  CHECK(OutputContains(store, "register configuration: "));
+  CHECK(OutputContains(store, "edition 1, revision 1"));
+  CHECK(OutputContains(store, "all records can be read\n"));
   CHECK(program.Run(&system.loop(), {"store", "verify", "/nonexistent"}).code == kFailed);
   stopped.Start();  // store verify has not modified its store
   REQUIRE(system.WaitReady(kTimeout));
--- a/tests/system/processes/drain_test.cpp
+++ b/tests/system/processes/drain_test.cpp
@@ -1,12 +1,12 @@
 // Planned shutdowns: draining runners, and dispatchers that receive SIGTERM.
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
 
-std::vector<ClientRequest> Mixture(const Testbed& testbed, int of_each, int events) {
+std::vector<ClientRequest> MixedRequests(const Testbed& testbed, int count_per_kind, int events) {
   std::vector<ClientRequest> requests;
-  for (int number = 0; number < of_each; ++number)
+  for (int number = 0; number < count_per_kind; ++number)
     for (const ClientKind kind : {ClientKind::kPlain, ClientKind::kStream, ClientKind::kResumable})
       requests.push_back(testbed.Request(kind, events + number));
   return requests;
@@ -16,7 +16,7 @@
   Testbed testbed;
   REQUIRE(testbed.Found());
   System& system = testbed.system();
-  system.clients().KeepUp(Mixture(testbed, 12, 5));
+  system.clients().KeepUp(MixedRequests(testbed, 12, 5));
   REQUIRE(testbed.RunUntil([&] { return system.runner(2).served() > 0 && system.runner(3).served() > 0; }));
 
   // Each drain is acknowledged by one dispatcher: one of each zone, one of them without a disk.
@@ -30,14 +30,14 @@
   CHECK(system.clients().figures().cut == 0);
   CHECK(system.clients().figures().failed == 0);
   CHECK(system.clients().figures().served > 100);
-  testbed.CheckNoRuleBroken();  // the runners check each request they receive
+  testbed.CheckNoViolations();  // the runners check each request they receive
 }
 
 TEST_CASE("A rolling restart interrupts no response", "[rolling-restart]") {
   Testbed testbed(3, 0, 6);
   REQUIRE(testbed.Found());
   System& system = testbed.system();
-  system.clients().KeepUp(Mixture(testbed, 8, 20));
+  system.clients().KeepUp(MixedRequests(testbed, 8, 20));
   for (std::size_t index = 0; index < system.dispatcher_count(); ++index) {
     Dispatcher& dispatcher = system.dispatcher(index);
     dispatcher.Terminate();
@@ -53,7 +53,7 @@
   CHECK(figures.failed == 0);
   CHECK(figures.resumed == 0);
   CHECK(figures.served > 100);
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 }  // namespace
--- a/tests/system/processes/hostile_input_test.cpp
+++ b/tests/system/processes/hostile_input_test.cpp
@@ -2,7 +2,7 @@
 #include <random>
 
 #include "lab/system/http_call.h"
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
@@ -20,13 +20,13 @@
           {wire::kCallCount, 1}};
 }
 
-std::string With(const char* key, const Json& value) {
+std::string HeartbeatWith(const char* key, const Json& value) {
   Json body = Heartbeat();
   body[key] = value;
   return body.dump();
 }
 
-std::string Without(const char* key) {
+std::string HeartbeatWithout(const char* key) {
   Json body = Heartbeat();
   body.erase(key);
   return body.dump();
@@ -51,22 +51,22 @@
                                            "\"ready\"",
                                            std::string("\0\xff\xfe", 3),
                                            std::string(2000, '['),
-                                           Without(wire::kService),
-                                           Without("address"),
-                                           Without(wire::kZone),
-                                           Without(wire::kSlots),
-                                           Without(wire::kCondition),
-                                           Without(wire::kCallCount),
-                                           With(wire::kService, 7),
-                                           With("address", "nowhere"),
-                                           With("address", "127.0.0.1:99999"),
-                                           With(wire::kSlots, -1),
-                                           With(wire::kSlots, "four"),
-                                           With(wire::kCondition, "asleep"),
-                                           With(wire::kCallCount, -1),
-                                           With(wire::kModels, "large"),
-                                           With(wire::kModels, Json::array({7})),
-                                           With(wire::kModels, Json::array({{{wire::kName, 7}}}))};
+                                           HeartbeatWithout(wire::kService),
+                                           HeartbeatWithout("address"),
+                                           HeartbeatWithout(wire::kZone),
+                                           HeartbeatWithout(wire::kSlots),
+                                           HeartbeatWithout(wire::kCondition),
+                                           HeartbeatWithout(wire::kCallCount),
+                                           HeartbeatWith(wire::kService, 7),
+                                           HeartbeatWith("address", "nowhere"),
+                                           HeartbeatWith("address", "127.0.0.1:99999"),
+                                           HeartbeatWith(wire::kSlots, -1),
+                                           HeartbeatWith(wire::kSlots, "four"),
+                                           HeartbeatWith(wire::kCondition, "asleep"),
+                                           HeartbeatWith(wire::kCallCount, -1),
+                                           HeartbeatWith(wire::kModels, "large"),
+                                           HeartbeatWith(wire::kModels, Json::array({7})),
+                                           HeartbeatWith(wire::kModels, Json::array({{{wire::kName, 7}}}))};
   for (const std::string& body : bodies) {
     INFO(body.substr(0, 200));
     CHECK(SendHeartbeat(system, "odd", body) == 400);
@@ -77,10 +77,10 @@
   CHECK(system.Status(0).at("runners").size() == 2);
   CHECK(testbed.AllRunning());
   testbed.CheckServedEverywhere();
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
-std::string Noise(std::mt19937* random, std::size_t size) {
+std::string RandomBytes(std::mt19937* random, std::size_t size) {
   std::string bytes(size, '\0');
   for (char& byte : bytes) byte = static_cast<char>((*random)());
   return bytes;
@@ -95,7 +95,7 @@
   return size + body;
 }
 
-std::vector<std::string> Nonsense() {
+std::vector<std::string> MalformedInputs() {
   std::mt19937 random(20);  // the same bytes in each run
   std::vector<std::string> pieces = {
       "\r\n\r\n",
@@ -108,11 +108,11 @@
       "GET / HTTP/1.1\r\n" + std::string(20000, 'x') + ": y\r\n\r\n",
       std::string(70000, '\0'),
       TransportGreeting() + TransportMessage(""),
-      TransportGreeting() + TransportMessage(Noise(&random, 3)),
-      TransportGreeting() + TransportMessage(Noise(&random, 5000)),
+      TransportGreeting() + TransportMessage(RandomBytes(&random, 3)),
+      TransportGreeting() + TransportMessage(RandomBytes(&random, 5000)),
       TransportGreeting() + std::string("\xff\xff\xff\xff\xff\xff\xff\xff", 8) + "x",
       TransportGreeting() + TransportMessage(std::string("\x12\x00\x1a\xff\xff\xff\xff\x0f", 8))};
-  for (const std::size_t size : {1u, 8u, 64u, 1000u, 30000u}) pieces.push_back(Noise(&random, size));
+  for (const std::size_t size : {1u, 8u, 64u, 1000u, 30000u}) pieces.push_back(RandomBytes(&random, size));
   return pieces;
 }
 
@@ -123,7 +123,7 @@
   const Dispatcher& target = system.dispatcher(0);
   for (const std::string& address : {target.front_address(), target.ready_address(), target.control_address(),
                                      target.internal_address()}) {
-    for (const std::string& bytes : Nonsense()) {
+    for (const std::string& bytes : MalformedInputs()) {
       INFO(address << " after " << bytes.size() << " bytes");
       SendRaw(&system.loop(), address, bytes);
       REQUIRE(system.dispatcher(0).Running());
@@ -132,9 +132,9 @@
   REQUIRE(system.WaitReady(kTimeout));
   testbed.CheckServedEverywhere();
   CHECK(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
-  CHECK(testbed.EditionReadBack() == 2);
+  CHECK(testbed.CurrentEdition() == 2);
   CHECK(testbed.AllRunning());
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 }  // namespace
--- a/tests/system/processes/losses_test.cpp
+++ b/tests/system/processes/losses_test.cpp
@@ -1,5 +1,5 @@
 // Loss of processes and disks: acknowledged changes are kept, and new changes are accepted.
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
@@ -18,14 +18,14 @@
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index)
       REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index) system.dispatcher(index).Start();
-    CHECK(testbed.EditionReadBack() == edition);
+    CHECK(testbed.CurrentEdition() == edition);
   }
   REQUIRE(system.WaitReady(kTimeout));
   REQUIRE(system.WaitEdition(1 + kRounds, kTimeout));
   testbed.CheckServedEverywhere();
   CHECK(system.the_operator().Read(kTimeout).at("routes").size() == 3 + kRounds);
   CHECK(testbed.AllRunning());
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 // The replicas of the configuration register according to one dispatcher; none during a change.
@@ -64,17 +64,17 @@
 
   REQUIRE(system.dispatcher(2).Kill(kTimeout));
   REQUIRE(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
-  CHECK(testbed.EditionReadBack() == 2);
+  CHECK(testbed.CurrentEdition() == 2);
   REQUIRE(testbed.Send(testbed.Request(ClientKind::kStream), 1).outcome == ClientResult::Outcome::kServed);
   system.dispatcher(2).Start();
   REQUIRE(system.WaitReady(kTimeout));
   REQUIRE(system.WaitEdition(2, kTimeout));
   testbed.CheckServedEverywhere();
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 // Power loss during the first start: after it, `kept_stores` (0 or 1) machines of the core have a store.
-void CheckFoundedWithout(std::size_t kept_stores) {
+void CheckFoundingWithStores(std::size_t kept_stores) {
   Testbed testbed;
   System& system = testbed.system();
   system.StartDispatchers();
@@ -86,18 +86,18 @@
   system.StartRunners();
   REQUIRE(system.TakeFirstConfiguration(kTimeout));
   REQUIRE(system.WaitReady(kTimeout));
-  CHECK(testbed.EditionReadBack() == 1);
+  CHECK(testbed.CurrentEdition() == 1);
   testbed.CheckServedEverywhere();
   CHECK(testbed.AllRunning());
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 TEST_CASE("A cluster is founded although its first start left no store", "[founded-without-stores]") {
-  CheckFoundedWithout(0);
+  CheckFoundingWithStores(0);
 }
 
 TEST_CASE("A cluster is founded although its first start left only one store", "[founded-with-one-store]") {
-  CheckFoundedWithout(1);
+  CheckFoundingWithStores(1);
 }
 
 }  // namespace
--- a/tests/system/processes/operator_test.cpp
+++ b/tests/system/processes/operator_test.cpp
@@ -2,13 +2,13 @@
 #include <algorithm>
 #include <array>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
 
 constexpr int kAccepted = 200, kInvalid = 400, kConflict = 412, kUnavailable = 503;
-constexpr Time kRepeatPause = 100 * kMillisecond;
+constexpr Time kRetryDelay = 100 * kMillisecond;
 
 struct BadConfiguration {
   const char* fault;
@@ -16,7 +16,7 @@
   std::string body;
 };
 
-Json Changed(const char* pointer, const Json& value) {
+Json ConfigurationWith(const char* pointer, const Json& value) {
   Json configuration = sample::Configuration(2);
   configuration[Json::json_pointer(pointer)] = value;
   return configuration;
@@ -24,15 +24,16 @@
 
 std::vector<BadConfiguration> BadConfigurations() {
   const std::string whole = sample::Configuration(2).dump();
-  return {
-      {"cut off", "JSON", whole.substr(0, whole.size() / 2)},
-      {"unknown service", "line", Changed("/routes/0/line", "nowhere").dump()},
-      {"same host and prefix", "lane_prefix", Changed("/routes/1/lane_prefix", sample::kPlainPath).dump()},
-      {"weights that add up to 0", "apportion",
-       Changed("/routes/0/apportion", Json::array({{{"line", sample::kService}, {"share", 0}}})).dump()},
-      {"a deadline of 0", "deadline_ms", Changed("/routes/0/deadline_ms", 0).dump()},
-      {"an edition that is not above the current one", "edition", sample::Configuration(1).dump() + " "},
-      {"a key of two tenants", "stamps", Changed("/senders/1/stamps/0", sample::kKey).dump()}};
+  return {{"cut off", "JSON", whole.substr(0, whole.size() / 2)},
+          {"unknown service", "line", ConfigurationWith("/routes/0/line", "nowhere").dump()},
+          {"same host and prefix", "lane_prefix",
+           ConfigurationWith("/routes/1/lane_prefix", sample::kPlainPath).dump()},
+          {"weights that add up to 0", "apportion",
+           ConfigurationWith("/routes/0/apportion", Json::array({{{"line", sample::kService}, {"share", 0}}}))
+               .dump()},
+          {"a deadline of 0", "deadline_ms", ConfigurationWith("/routes/0/deadline_ms", 0).dump()},
+          {"an edition that is not above the current one", "edition", sample::Configuration(1).dump() + " "},
+          {"a key of two tenants", "stamps", ConfigurationWith("/senders/1/stamps/0", sample::kKey).dump()}};
 }
 
 TEST_CASE("Invalid configurations are rejected with one line that names the key", "[bad-configurations]") {
@@ -51,7 +52,7 @@
     CHECK(line.find('\n') == std::string::npos);
     CHECK(line.find(sample::kKey) == std::string::npos);  // a client's key is not shown
   }
-  CHECK(testbed.EditionReadBack() == 1);
+  CHECK(testbed.CurrentEdition() == 1);
   CHECK(testbed.AllRunning());
 }
 
@@ -65,12 +66,12 @@
   const HttpMessage answer =
       CallAndWait(&testbed.system().loop(), testbed.system().dispatcher(0).control_address(), call);
   CHECK(answer.status == kInvalid);
-  CHECK(testbed.EditionReadBack() == 1);
+  CHECK(testbed.CurrentEdition() == 1);
 }
 
 // The response of one dispatcher. Retries after status 503 (no majority of disks in time) and after no
 // response (0), as both permit repeating the same call.
-HttpMessage AnswerOf(Testbed* testbed, std::size_t dispatcher, const Change& change) {
+HttpMessage SendUntilDefinite(Testbed* testbed, std::size_t dispatcher, const Change& change) {
   System& system = testbed->system();
   HttpMessage answer;
   const auto is_clear = [&] {
@@ -79,7 +80,7 @@
     return answer.status != 0 && answer.status != kUnavailable;
   };
   const Time deadline = system.loop().Now() + kTimeout;
-  while (!is_clear() && system.loop().Now() < deadline) system.loop().RunFor(kRepeatPause);
+  while (!is_clear() && system.loop().Now() < deadline) system.loop().RunFor(kRetryDelay);
   return answer;
 }
 
@@ -92,12 +93,12 @@
   for (const Change& change : {put, patch}) {
     for (std::size_t index = 0; index < system.dispatcher_count(); ++index) {
       INFO("dispatcher " << index << ", builds on " << change.if_match);
-      CHECK(AnswerOf(&testbed, index, change).status == kAccepted);
+      CHECK(SendUntilDefinite(&testbed, index, change).status == kAccepted);
     }
   }
   // Also after later changes.
-  CHECK(AnswerOf(&testbed, 2, put).status == kAccepted);
-  CHECK(testbed.EditionReadBack() == 5);
+  CHECK(SendUntilDefinite(&testbed, 2, put).status == kAccepted);
+  CHECK(testbed.CurrentEdition() == 5);
   CHECK(system.WaitEdition(5, kTimeout));
   // Each was accepted once: the first configuration, the PUT and the PATCH.
   for (std::size_t index = 0; index < system.dispatcher_count(); ++index) {
@@ -140,7 +141,7 @@
     CHECK(read.at(wire::kEdition) == edition);
     CHECK(read.at("routes").back().at(wire::kName) == winner + std::to_string(race));
   }
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 TEST_CASE("A reload of an invalid settings file changes nothing", "[reload]") {
@@ -168,7 +169,7 @@
   dispatcher.Reload(other_seeds.dump());
   REQUIRE(testbed.RunUntil([&] { return dispatcher.LogHolds("the seeds are others now"); }));
   testbed.CheckServedEverywhere();
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 TEST_CASE("A start with an invalid settings file fails with one line", "[reload]") {
--- a/tests/system/processes/separate_core_test.cpp
+++ b/tests/system/processes/separate_core_test.cpp
@@ -2,7 +2,7 @@
 // clients and tolerates the loss of two disks at once.
 #include <nlohmann/json.hpp>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
@@ -37,11 +37,11 @@
     REQUIRE(system.the_operator().Send(testbed.Patch(1, 2, "added"), kTimeout).status == 200);
     for (const std::size_t index : {1, 3}) REQUIRE(system.dispatcher(index).Kill(kTimeout));
     for (const std::size_t index : {1, 3}) system.dispatcher(index).WipeStore();
-    CHECK(testbed.EditionReadBack() == 2);
+    CHECK(testbed.CurrentEdition() == 2);
     testbed.CheckServedEverywhere();
     for (const std::size_t index : {1, 3}) system.dispatcher(index).Start();
     REQUIRE(system.WaitReady(kTimeout));
-    CHECK(testbed.EditionReadBack() == 2);
+    CHECK(testbed.CurrentEdition() == 2);
   }
 
   SECTION("all serve again after all were killed at once") {
@@ -60,9 +60,9 @@
     CHECK(system.dispatcher(kCore).Ended(kTimeout));
     CHECK(system.dispatcher(0).EndedWell());
     CHECK(system.dispatcher(kCore).EndedWell());
-    CHECK(testbed.EditionReadBack() == 1);
+    CHECK(testbed.CurrentEdition() == 1);
   }
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 }  // namespace
--- a/tests/system/processes/soak_test.cpp
+++ b/tests/system/processes/soak_test.cpp
@@ -2,7 +2,7 @@
 // any moment between the start and the end of a process.
 #include "lab/system/soak.h"
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
--- a/tests/system/processes/world.cpp
+++ b/tests/system/processes/testbed.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "testbed.h"
 
 #include <iostream>
 
@@ -48,8 +48,8 @@
   if (dispatcher != kNoDispatcher) sent.front_address = system_.dispatcher(dispatcher).front_address();
   ClientResult result;
   bool ended = false;
-  system_.clients().Send(sent, [&](const ClientResult& told) {
-    result = told;
+  system_.clients().Send(sent, [&](const ClientResult& completed) {
+    result = completed;
     ended = true;
   });
   REQUIRE(RunUntil([&] { return ended; }));
@@ -68,7 +68,7 @@
   }
 }
 
-void Testbed::CheckNoRuleBroken() {
+void Testbed::CheckNoViolations() {
   for (const std::string& what : system_.ledger().broken()) FAIL_CHECK(what);
 }
 
@@ -88,7 +88,7 @@
   return {Change::Method::kPatch, if_match, body.dump()};
 }
 
-std::int64_t Testbed::EditionReadBack() {
+std::int64_t Testbed::CurrentEdition() {
   const Json configuration = system_.the_operator().Read(kTimeout);
   return configuration.is_object() ? configuration.value(wire::kEdition, std::int64_t{0}) : 0;
 }
--- a/tests/system/processes/world.h
+++ b/tests/system/processes/testbed.h
@@ -32,13 +32,13 @@
   ClientResult Send(const ClientRequest& request, std::size_t dispatcher = kNoDispatcher);
   // Checks that each dispatcher serves one request of each kind.
   void CheckServedEverywhere();
-  void CheckNoRuleBroken();
+  void CheckNoViolations();
   bool AllRunning();
 
   Change Put(std::int64_t if_match, const Json& configuration) const;
   Change Patch(std::int64_t if_match, std::int64_t edition, const std::string& route) const;
   // The edition of the current configuration; 0 if none.
-  std::int64_t EditionReadBack();
+  std::int64_t CurrentEdition();
 
   bool RunUntil(const Loop::Condition& condition) { return system_.loop().RunUntil(condition, kTimeout); }
 
--- a/tests/system/processes/thin_path_test.cpp
+++ b/tests/system/processes/thin_path_test.cpp
@@ -2,7 +2,7 @@
 #include <map>
 #include <set>
 
-#include "world.h"
+#include "testbed.h"
 
 namespace lichenlug::standins::test {
 namespace {
@@ -36,7 +36,7 @@
     CHECK(count == 1);
   }
   CHECK(testbed.AllRunning());
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 TEST_CASE("An unknown key and an unknown route are rejected", "[thin-path]") {
@@ -48,7 +48,7 @@
   request = testbed.Request(ClientKind::kStream);
   request.path = "/no-such-route/";
   CHECK(testbed.Send(request, 0).status == 404);
-  testbed.CheckNoRuleBroken();
+  testbed.CheckNoViolations();
 }
 
 }  // namespace
--- a/tests/system/transport/frame_test.cpp
+++ b/tests/system/transport/frame_test.cpp
@@ -24,8 +24,8 @@
   std::vector<std::uint64_t> operations;
 };
 
-Reading ReadIn(const std::vector<std::string>& pieces, std::size_t longest) {
-  FrameReader reader(longest);
+Reading ReadPieces(const std::vector<std::string>& pieces, std::size_t max_bytes) {
+  FrameReader reader(max_bytes);
   Reading reading;
   for (const std::string& piece : pieces) {
     reading.readable = reader.Read(std::as_bytes(std::span(piece)), [&](std::span<const std::byte> body) {
@@ -41,8 +41,8 @@
   const std::string bytes = ThreeFrames();
   for (std::size_t first = 0; first <= bytes.size(); ++first) {
     for (std::size_t second = first; second <= bytes.size(); second += 7) {
-      const auto reading =
-          ReadIn({bytes.substr(0, first), bytes.substr(first, second - first), bytes.substr(second)}, 4096);
+      const auto reading = ReadPieces(
+          {bytes.substr(0, first), bytes.substr(first, second - first), bytes.substr(second)}, 4096);
       REQUIRE(reading.readable);
       REQUIRE(reading.operations == std::vector<std::uint64_t>{1, 2, 3});
     }
@@ -51,7 +51,7 @@
 
 TEST_CASE("A frame above the size limit stops the reader, and nothing after it is accepted") {
   const std::string bytes = ThreeFrames();
-  const auto reading = ReadIn({bytes, ThreeFrames()}, 150);  // the second frame is longer
+  const auto reading = ReadPieces({bytes, ThreeFrames()}, 150);  // the second frame is longer
   CHECK_FALSE(reading.readable);
   CHECK(reading.operations == std::vector<std::uint64_t>{1});
 }
--- a/tests/system/transport/transport_test.cpp
+++ b/tests/system/transport/transport_test.cpp
@@ -18,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-messages::Envelope Numbered(std::uint64_t number, std::size_t padding = 0) {
+messages::Envelope NumberedEnvelope(std::uint64_t number, std::size_t padding = 0) {
   messages::Envelope envelope;
   envelope.mutable_consensus()->set_operation(number);
   envelope.mutable_consensus()->set_register_name(std::string(padding, 'x'));
@@ -28,12 +28,12 @@
 // A transport with an inbox, on its own event loop.
 class Node {
  public:
-  explicit Node(const std::string& address, const std::string& name = "node", std::size_t longest = 8u << 20,
-                std::size_t max_peers = 256) {
+  explicit Node(const std::string& address, const std::string& name = "node",
+                std::size_t max_bytes = 8u << 20, std::size_t max_peers = 256) {
     const Transport::Settings settings{.listen_address = address,
                                        .sender_name = name,
                                        .sender_incarnation = 7,
-                                       .longest_message = longest,
+                                       .max_message_bytes = max_bytes,
                                        .max_peers = max_peers};
     loop_.Run([&] {
       transport_ = std::make_unique<Transport>(
@@ -77,7 +77,7 @@
                milliseconds deadline) {
   const auto end = std::chrono::steady_clock::now() + deadline;
   while (std::chrono::steady_clock::now() < end) {
-    sender.Send(address, Numbered(number));
+    sender.Send(address, NumberedEnvelope(number));
     if (inbox.WaitForOperation(number, milliseconds(20))) return true;
   }
   return false;
@@ -88,14 +88,14 @@
   Node first(first_address, "first"), second(second_address, "second");
   first.Listen();
   second.Listen();
-  first.Send(second_address, Numbered(1));
+  first.Send(second_address, NumberedEnvelope(1));
   REQUIRE(second.inbox.WaitForOperation(1, milliseconds(2000)));
   const messages::Envelope envelope = second.inbox.Last();
   CHECK(envelope.sender_name() == "first");
   CHECK(envelope.sender_incarnation() == 7);
   CHECK(envelope.sender_address() == first_address);
   CHECK(envelope.protocol_version() == kProtocolVersion);
-  second.Send(first_address, Numbered(2));
+  second.Send(first_address, NumberedEnvelope(2));
   CHECK(first.inbox.WaitForOperation(2, milliseconds(2000)));
 }
 
@@ -103,7 +103,7 @@
   const std::string address = FreeAddress();
   Node sender(FreeAddress()), receiver(address);
   receiver.Listen();
-  sender.Send(address, Numbered(1, 3u << 20));
+  sender.Send(address, NumberedEnvelope(1, 3u << 20));
   REQUIRE(receiver.inbox.WaitForOperation(1, milliseconds(5000)));
   CHECK(receiver.inbox.Last().consensus().register_name().size() == 3u << 20);
 }
@@ -111,7 +111,7 @@
 TEST_CASE("A message sent before the peer listens arrives soon after it starts listening") {
   const std::string address = FreeAddress();
   Node sender(FreeAddress());
-  sender.Send(address, Numbered(1));
+  sender.Send(address, NumberedEnvelope(1));
   CHECK_FALSE(
       sender.inbox.WaitForOperation(1, milliseconds(300)));  // connection attempts are refused meanwhile
   Node receiver(address);
@@ -128,7 +128,7 @@
     receiver.Listen();
     REQUIRE(SendUntil(sender, address, receiver.inbox, 1, milliseconds(2000)));
   }
-  for (int i = 0; i < 10; ++i) sender.Send(address, Numbered(2));
+  for (int i = 0; i < 10; ++i) sender.Send(address, NumberedEnvelope(2));
   Node returned(address);
   returned.Listen();
   CHECK(SendUntil(sender, address, returned.inbox, 3, milliseconds(400)));
@@ -156,7 +156,7 @@
   CHECK_FALSE(
       WaitFor([&] { return connected(); }, milliseconds(600)));  // longer than the maximum redial delay
   loop.Run([&] {
-    CHECK(connection->Send(Numbered(1)) == PeerConnection::SendResult::kLost);
+    CHECK(connection->Send(NumberedEnvelope(1)) == PeerConnection::SendResult::kLost);
     connection.reset();
   });
 }
@@ -166,7 +166,7 @@
   sender.Listen();
   const std::string nobody = FreeAddress();
   const auto start = std::chrono::steady_clock::now();
-  for (std::uint64_t i = 0; i < 1000; ++i) sender.Send(nobody, Numbered(i));
+  for (std::uint64_t i = 0; i < 1000; ++i) sender.Send(nobody, NumberedEnvelope(i));
   CHECK(std::chrono::steady_clock::now() - start < milliseconds(1000));
   const auto statistics = sender.statistics();
   CHECK(statistics.dropped >= 700);  // two connections queue at most 64 each; the rest is margin
@@ -182,20 +182,20 @@
   const auto start = std::chrono::steady_clock::now();
   std::uint64_t number = 0;
   Inbox nothing;
-  while (sender.statistics().renewals == 0 && std::chrono::steady_clock::now() - start < milliseconds(4000)) {
-    sender.Send(mute.address(), Numbered(++number));
+  while (sender.statistics().reopens == 0 && std::chrono::steady_clock::now() - start < milliseconds(4000)) {
+    sender.Send(mute.address(), NumberedEnvelope(++number));
     nothing.WaitForOperation(1, milliseconds(50));
   }
   const auto taken = std::chrono::steady_clock::now() - start;
-  CHECK(sender.statistics().renewals == 1);
+  CHECK(sender.statistics().reopens == 1);
   CHECK(taken > milliseconds(1000));
   CHECK(taken < milliseconds(3000));
   while (std::chrono::steady_clock::now() - start < milliseconds(5500)) {
-    sender.Send(mute.address(), Numbered(++number));
+    sender.Send(mute.address(), NumberedEnvelope(++number));
     nothing.WaitForOperation(1, milliseconds(50));
   }
-  CHECK(sender.statistics().renewals >= 2);
-  CHECK(sender.statistics().renewals <= 5);
+  CHECK(sender.statistics().reopens >= 2);
+  CHECK(sender.statistics().reopens <= 5);
 }
 
 TEST_CASE("A peer that only receives sends enough acknowledgements to keep the connection") {
@@ -206,11 +206,11 @@
   std::uint64_t number = 0;
   const auto start = std::chrono::steady_clock::now();
   while (std::chrono::steady_clock::now() - start < milliseconds(3000)) {
-    sender.Send(address, Numbered(++number));
+    sender.Send(address, NumberedEnvelope(++number));
     receiver.inbox.WaitForOperation(number, milliseconds(100));
     receiver.inbox.WaitForOperation(0, milliseconds(100));  // never received
   }
-  CHECK(sender.statistics().renewals == 0);
+  CHECK(sender.statistics().reopens == 0);
   CHECK(sender.statistics().received == 0);  // acknowledgements are not passed on
   CHECK(receiver.inbox.size() == number);
 }
@@ -239,11 +239,11 @@
     const std::string body = envelope.SerializeAsString();
     return std::string(3, '\0') + static_cast<char>(body.size()) + body;
   };
-  messages::Envelope other = Numbered(5);
+  messages::Envelope other = NumberedEnvelope(5);
   other.set_protocol_version(kProtocolVersion + 1);
   other.set_sender_name("other");
   other.set_sender_address("127.0.0.1:9");
-  messages::Envelope nameless = Numbered(6);
+  messages::Envelope nameless = NumberedEnvelope(6);
   nameless.set_protocol_version(kProtocolVersion);
   messages::Envelope needs_resolver = other;
   needs_resolver.set_protocol_version(kProtocolVersion);
@@ -259,7 +259,7 @@
   const std::string address = FreeAddress();
   Node sender(FreeAddress()), receiver(address, "receiver", 1000);
   receiver.Listen();
-  sender.Send(address, Numbered(1, 5000));
+  sender.Send(address, NumberedEnvelope(1, 5000));
   CHECK(SendUntil(sender, address, receiver.inbox, 2, milliseconds(2000)));
   CHECK_FALSE(receiver.inbox.WaitForOperation(1, milliseconds(50)));
 }
@@ -277,7 +277,7 @@
 TEST_CASE("The number of sockets is limited, and that of a forgotten peer is closed") {
   Node sender(FreeAddress(), "sender", 8u << 20, 3);
   std::string last;
-  for (int i = 0; i < 10; ++i) sender.Send(last = FreeAddress(), Numbered(1));
+  for (int i = 0; i < 10; ++i) sender.Send(last = FreeAddress(), NumberedEnvelope(1));
   CHECK(sender.statistics().peers == 3);
   sender.Forget(last);
   CHECK(sender.statistics().peers == 2);
@@ -290,7 +290,7 @@
   auto sender = std::make_unique<Node>(FreeAddress());
   sender->Listen();
   REQUIRE(SendUntil(*sender, address, receiver.inbox, 1, milliseconds(2000)));
-  sender->Send(FreeAddress(), Numbered(2));
+  sender->Send(FreeAddress(), NumberedEnvelope(2));
   const auto start = std::chrono::steady_clock::now();
   sender.reset();
   CHECK(std::chrono::steady_clock::now() - start < milliseconds(300));
