--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -1,14 +1,14 @@
-// The way for further facts beside the datagrams of holdings.h and relay.h, whose two version bits are used
-// up.
+// Envelope for additional protocols beside the datagrams of holdings.h and relay.h, whose two version bits
+// are used up.
 //
-// A datagram of an extension has an even number of bytes, and a head byte of version 0 (members, relay.h),
-// the sender's life in three bits as there, and a kind of 1 to 7 where those datagrams have a 0. Programs of
-// the version before take it for members told by a relay, find that its length cannot be, and drop it: in a
-// small tier before they look at it at all, in a large one after they have read the life, which is the one
-// they know.
+// An extension datagram has an even number of bytes. Its header byte has version 0 (the member list of
+// relay.h), the sender's life tag in three bits as there, and a kind of 1 to 7 where those datagrams have a
+// 0. Programs of the previous version take it for a member list, find that its length is invalid and drop it:
+// in a small tier before they parse anything, in a large one after they have read the life tag, which equals
+// the one they know.
 //
-// Guards against a datagram that an older program half understands: every one made here has the length that
-// it drops, whatever its body.
+// An older program therefore never parses part of an extension datagram: each one made here has a length that
+// it drops, whatever the body.
 #pragma once
 
 #include <cstdint>
@@ -20,14 +20,14 @@
 
 namespace lichenlug::extension {
 
-enum class Kind : std::uint8_t { kMembership = 1, kDeaths = 2, kJobs = 3 };  // 4 to 7: not used yet
+enum class Kind : std::uint8_t { kMembership = 1, kDeaths = 2, kJobs = 3 };  // 4 to 7: unassigned
 
 struct Read {
   Kind kind;
-  std::string_view body;  // one zero byte may stand behind what was made
+  std::string_view body;  // may end with one zero byte of padding
 };
 
-// `life`: 0 to 7, the one that Holdings says. `body`: 1 to PeerProtocol::kMaxBody bytes.
+// `life`: 0 to 7, the life tag that Holdings sends. `body`: 1 to PeerProtocol::kMaxBody bytes.
 inline std::string Make(int life, Kind kind, std::string_view body) {
   std::string bytes(1, static_cast<char>((life & 7) << 3 | static_cast<int>(kind)));
   bytes += body;
@@ -35,7 +35,7 @@
   return bytes;
 }
 
-// Nothing: it is no extension's datagram.
+// nullopt: not an extension datagram.
 inline std::optional<Read> Take(std::string_view bytes) {
   if (bytes.size() < 2 || bytes.size() % 2 != 0) return std::nullopt;
   const auto head = static_cast<std::uint8_t>(bytes[0]);
--- a/src/peers/holdings.h
+++ b/src/peers/holdings.h
@@ -1,19 +1,21 @@
-// What the dispatchers of a tier hold at the runners: own holdings told to the others, theirs added up; and
-// which runners fail jobs of which class. Without I/O and clock: times are arguments.
+// Shares the slots that each dispatcher of a tier uses at the runners: broadcasts this dispatcher's counts,
+// adds up those of the peers, and reports which runners fail jobs of which class. No I/O and no clock: times
+// are arguments.
 //
-// Guards against crowding: a hundred dispatchers that read one old report choose the same free runner, and
-// each alone sends too few jobs to notice. What all of them have out at a runner is known to them together at
-// once.
+// Prevents herding on one runner: a hundred dispatchers that read the same stale load report would choose the
+// same free runner, and each alone sends too few jobs to notice. With shared counts, each dispatcher knows at
+// once how many slots all of them together use at a runner.
 //
-// A small tier tells each change to all: a datagram (version 1) is one head byte (two bits version, three
-// life, three number) and either the sender's zone in one byte (a greeting) or up to 127 entries (sums.h):
-// the sender now holds so many slots there, or failed a job. A large tier (over kMaxDirect) tells one of its
-// own (relay.h), and reads what older programs tell all. Holdings are absolute, so what is lost is made good
-// by the next word on the same runner, and what comes twice changes nothing. What a peer said fades when it
-// says no more of it; another life of the sender takes back all that the last one said.
+// A small tier broadcasts each change: a datagram (version 1) is one header byte (two bits version, three
+// bits life tag, three bits sequence number) and either the sender's zone in one byte (a greeting) or up to
+// 127 entries (sums.h): the number of slots that the sender now uses at a runner, or a job failure there. A
+// large tier (over kMaxDirect) sends them to a relay (relay.h), and still reads the broadcasts of older
+// programs. Counts are absolute: a lost datagram is made good by the next entry of the same runner, and a
+// duplicate changes nothing. A peer's entry expires when it isn't refreshed; a restart of the sender (another
+// life tag) discards all entries of its previous life.
 //
-// Others' word is bounded: a peer adds at most 11 slots to a runner, and a failure counts only when two peers
-// have told of one within Sums::kAgree.
+// The influence of a peer is bounded: it adds at most 11 slots to a runner, and a failure counts only when
+// two peers have reported one within Sums::kAgree.
 #pragma once
 
 #include <cstdint>
@@ -33,64 +35,66 @@
 class Holdings {
  public:
   static constexpr std::size_t kMaxBytes = 256;           // of a datagram, by PROTOCOL
-  static constexpr Time kGatherEnds = 20 * kMillisecond;  // fewer slots can wait for company, more cannot
-  static constexpr Time kFade = 6 * kSecond;              // a job's longest stay, with a little to spare
+  static constexpr Time kGatherEnds = 20 * kMillisecond;  // decreases are batched, increases are not
+  static constexpr Time kFade = 6 * kSecond;  // the longest time a job occupies a slot, with a margin
 
-  // A tier up to this size tells each change to all: to one receiver more than this, a relay's digests cost
-  // less.
+  // Tiers up to this size broadcast each change; above it, a relay's digests need less traffic.
   static constexpr int kMaxDirect = 24;
 
   struct Datagram {
     int zone;  // for the peers of this zone; kNoZone: for all
     std::string bytes;
-    int peer = kUnheard;  // for this one alone, whatever its zone
+    int peer = kUnheard;  // if set, for this peer only, whatever its zone
   };
 
-  // A zone past the 254 that a byte can name counts as kNoZone, and its runners to each one's own zone.
-  struct Place {         // of this dispatcher in its tier
-    int number = 0;      // its own
-    int tier = 1;        // how many there are
-    int zone = kNoZone;  // which runners' news it wants; kNoZone: all zones alike
+  // A zone number over 254 doesn't fit in the byte and counts as kNoZone; runners of such a zone are counted
+  // to the zone of each receiver.
+  struct Place {  // of this dispatcher in its tier
+    int number = 0;
+    int tier = 1;        // number of dispatchers
+    int zone = kNoZone;  // the zone whose runners it wants updates for; kNoZone: all zones
   };
 
-  // `seed` marks this life. `classes`: how many there are; a failure in another is dropped and counted.
+  // `seed` determines the life tag of this process. `classes`: number of job classes; a failure report of any
+  // other class is dropped and counted.
   Holdings(std::uint64_t seed, const Place& place, int classes, HoldingsHeard* heard);
 
-  // A runner of the list and its zone: what is told of others is passed over until they are named.
-  // A zone not known (below 0) counts as the own one. What was told of it before is heard now.
+  // Registers a runner and its zone; the counts of unregistered runners aren't reported to the observer. An
+  // unknown zone (below 0) counts as the zone of this dispatcher. A count received earlier is reported now.
   void Name(const std::string& runner, int zone) { sums_.Name(runner, zone); }
-  void Forget(const std::string& runner) { sums_.Forget(runner); }  // it has left the list
-  void ForgetAll() { sums_.ForgetAll(); }                           // a whole list comes
+  void Forget(const std::string& runner) { sums_.Forget(runner); }  // it was removed from the runner list
+  void ForgetAll() { sums_.ForgetAll(); }                           // before a complete runner list
 
-  // This dispatcher holds so many slots more (or fewer) at a runner; the runner failed a job of this class.
+  // Hold: this dispatcher uses `slots` more (or fewer, if negative) at a runner. Failed: the runner failed a
+  // job of this class.
   void Hold(const std::string& runner, double slots, Time now);
   void Failed(const std::string& runner, int cls, Time now);
 
-  // When the next datagram is due; 0: nothing is to be told.
+  // When the next datagram is due; 0: nothing is pending.
   Time DueAt() const { return relay_ ? relay_->DueAt() : due_at_; }
 
-  // What is to be told now; empty when nothing is.
+  // The datagrams due now; may be empty.
   std::vector<Datagram> MakeDatagrams(Time now);
-  // To all: asks for an answer while this one is short of peers. To one that is to be greeted: asks while its
-  // zone is not known.
+  // Greeting, to all peers: requests answers while this dispatcher knows too few peers. Answer, to one peer:
+  // requests an answer while the peer's zone is unknown.
   std::string Greeting() const;
   std::string Answer(int peer) const;
 
-  // Greetings are said again, as they may be lost: in a large tier, where they are many, soon only by one
-  // that is short of peers: it has not heard of half of them yet, or of nobody in a zone that it has news
-  // for.
+  // Interval of repeated greetings, which may get lost. In a large tier, where they cost the most, the
+  // interval is short only while this dispatcher knows too few peers: fewer than half of the tier, or none in
+  // a zone that it has updates for.
   Time GreetEvery() const { return !relay_ ? 4 * kSecond : Short() ? 2 * kSecond : 30 * kSecond; }
 
-  // A datagram of a peer. False: it is malformed, of a version not known, or older than the last one. A peer
-  // in a life not met before knows nobody: `greet` says that it is to be greeted.
+  // Handles a datagram of a peer. False: malformed, of an unknown version, or older than the last one.
+  // `greet` is set when the peer is to be greeted: after a restart it knows no other dispatcher.
   bool HandleMessage(int peer, std::string_view bytes, Time now, bool* greet);
 
-  // The relay chosen for a zone; kUnheard: none, or the tier is small.
+  // The relay selected for a zone; kUnheard: none, or the tier is small.
   int RelayOf(int zone) const { return relay_ ? relay_->HomeOf(zone) : kUnheard; }
 
-  int ZoneOf(int peer) const;  // kUnheard: it has not greeted yet
+  int ZoneOf(int peer) const;  // kUnheard: no greeting received yet
 
-  // Lets what has not been said again for kFade go. Called now and then.
+  // Expires the entries that weren't refreshed within kFade. To be called periodically.
   void Fade(Time now);
 
   std::size_t dropped() const { return dropped_; }
@@ -105,7 +109,7 @@
     Time heard = 0;
     std::map<ShortId, Told> told;
   };
-  struct Stream {  // what is to be told to the peers of one zone
+  struct Stream {  // pending updates for the peers of one zone
     int number = 0;
     std::map<ShortId, bool> untold;
     std::vector<std::uint16_t> failed;  // whole entries
@@ -121,7 +125,7 @@
   Sums sums_;
   std::optional<Relay> relay_;
   Time due_at_ = 0;
-  std::map<ShortId, double> held_;       // own
+  std::map<ShortId, double> held_;       // slots used by this dispatcher
   std::map<int, Stream> streams_;        // by zone
   std::unordered_map<int, Peer> peers_;  // by number
   std::size_t dropped_ = 0;
--- a/src/peers/membership.h
+++ b/src/peers/membership.h
@@ -1,5 +1,5 @@
-// Who is there in a tier of dispatchers: failure detection that bears pauses, lost messages and one-sided
-// cuts. Without I/O and clock: times are arguments, random numbers come from a seed.
+// Membership and failure detection of a tier of dispatchers. Tolerates process pauses, lost messages and
+// one-way partitions. No I/O and no clock: times are arguments, random numbers come from a seed.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +17,26 @@
  public:
   struct Place {
     int number = 0;  // of this dispatcher
-    int tier = 1;    // how many the configuration names
-    int zone = -1;   // below 0: all zones alike
+    int tier = 1;    // number of dispatchers in the configuration
+    int zone = -1;   // below 0: no zones
   };
 
-  // `life`: the start of this process in Unix microseconds; a later life of the same number is greater.
+  // `life`: the start of this process in Unix microseconds; it grows with each restart of the same number.
   Membership(const Place& place, std::uint64_t life, std::uint64_t seed, Time now);
   ~Membership() override;
 
-  // A datagram of another kind came from this peer.
+  // A datagram of another protocol was received from this peer, which shows that it is alive.
   void Evidence(int peer, Time now);
 
-  // The peer's address refused a datagram (ICMP: nobody listens at that port). Such a death is sure and
-  // quick.
+  // The peer's address refused a datagram (ICMP port unreachable). Such a failure is certain and is confirmed
+  // sooner than silence.
   void Refused(int peer, Time now);
 
-  // This dispatcher ends: farewells are due at once.
+  // This dispatcher shuts down: leave messages are due at once.
   void Leave(Time now);
 
-  // The loop of this process: to be called with each turn or at least each 100 ms; a gap tells of a pause.
+  // To be called in each iteration of the event loop, at least every 100 ms; a longer gap reveals that the
+  // process was paused.
   void Beat(Time now);
 
   Time DueAt() const override;
--- a/src/peers/membership_here.h
+++ b/src/peers/membership_here.h
@@ -1,5 +1,5 @@
-// What the parts of the membership of one dispatcher work on together: its own time, its sendings, and what
-// it has itself seen of each other member.
+// The local state that the parts of the membership protocol share: process time, outgoing messages, and the
+// direct observations of each other member.
 #pragma once
 
 #include <algorithm>
@@ -15,13 +15,14 @@
 
 namespace lichenlug::membership {
 
-// Time as this process lived it: it stands still while the process is paused and does not follow a clock that
-// is set. All times in the parts of the membership are in it; 0 is long ago.
+// Process time: it doesn't advance while the process is paused and doesn't follow steps of the clock. All
+// times within the membership protocol are in it; 0 is long ago.
 //
-// Guards against a sleeper that wakes up and finds everybody silent for too long.
+// Without it, a process that resumes after a pause would find every other member silent for too long and
+// suspect them all.
 class OwnTime {
  public:
-  static constexpr Time kPause = 500 * kMillisecond;  // a longer gap is none of the loop's making
+  static constexpr Time kPause = 500 * kMillisecond;  // a longer gap isn't caused by the event loop
   static constexpr Time kLate = 200 * kMillisecond;
 
   explicit OwnTime(Time outer) : outer_(outer) {}
@@ -29,7 +30,7 @@
   Time now() const { return own_; }
   Time ToOuter(Time own) const { return outer_ + (own - own_); }
 
-  // True: this process was paused or its clock was set.
+  // Advances to clock time `outer`. True: the process was paused or the clock was stepped.
   bool Pass(Time outer) {
     const Time gap = outer - std::exchange(outer_, outer);
     if (gap < 0 || gap > kPause) return true;
@@ -43,20 +44,20 @@
   Time outer_, own_ = 3600 * kSecond, late_at_ = 0;
 };
 
-// One other member, as seen by this one alone.
+// Another member, as observed by this one.
 struct Peer {
-  Time heard = 0;                   // any datagram of its own
-  Time answered = 0;                // a ping of this one went there and back
-  Time sign = 0;                    // of life: heard, heard by another, or it has objected
-  Time since = 0;                   // accused or dead in this epoch; 0: neither
-  bool failed = false;              // the last series of probes was in vain
-  bool cut = false;                 // alive, but nothing goes there and back
-  int bad = 0, good = 0, cuts = 0;  // series in a row without and with an answer; times it was cut
-  int cleared = 0;                  // times it was accused and is alive, less one a minute
+  Time heard = 0;                   // any datagram received from it
+  Time answered = 0;                // it acknowledged a direct ping
+  Time sign = 0;                    // of life: a datagram, an indirect acknowledgement or a refutation
+  Time since = 0;                   // suspected or dead in this epoch; 0: neither
+  bool failed = false;              // the last probe failed
+  bool cut = false;                 // alive, but direct round trips fail
+  int bad = 0, good = 0, cuts = 0;  // consecutive probes without and with an answer; times it was cut off
+  int cleared = 0;                  // refuted suspicions, less one a minute
   Time cleared_at = 0;
-  Time look_at = 0;     // one ping of its own before others' word is believed; 0: none
-  Time recheck_at = 0;  // while it does not count
-  int refused = 0;      // in a row
+  Time look_at = 0;     // due time of a ping that checks a received suspicion; 0: none
+  Time recheck_at = 0;  // next probe while it is not a healthy member
+  int refused = 0;      // consecutive refusals
 };
 
 struct Sending {
@@ -64,18 +65,18 @@
   std::string body;
 };
 
-// What is sent, within a number of bytes a second.
+// Queue of outgoing messages with a rate limit in bytes per second (token bucket).
 class Outbox {
  public:
   static constexpr double kRate = 1800, kBurst = 4096;  // bytes a second; bytes
-  // What is left over for more needful things.
+  // Bytes that must be left in the bucket for messages of higher priority.
   static constexpr double kForAnswers = 0, kForProbes = 300, kForHelp = 800, kForTables = 1000,
                           kForNews = 1400, kForGreetings = 2000;
-  static constexpr Time kIntroduces = 5 * kSecond;  // a new life is named in each of its datagrams
+  static constexpr Time kIntroduces = 5 * kSecond;  // after a start, each datagram carries the own fact
 
   Outbox(Table* table, int own, Time now) : table_(table), own_(own), started_(now) {}
 
-  // News ride along where there is room for them. False: there are no bytes left for it.
+  // Piggybacks pending facts where there is room. False: the rate limit is reached, nothing is sent.
   bool Send(int peer, Message message, double reserve, Time now) {
     level_ = std::min(kBurst, level_ + kRate * static_cast<double>(now - std::exchange(at_, now)) / kSecond);
     if (level_ - kMaxHead < reserve) return false;
@@ -87,7 +88,7 @@
     sent_.push_back({peer, std::move(body)});
     return true;
   }
-  bool HasFor(double reserve) const { return level_ >= reserve; }  // as of the last sending
+  bool HasFor(double reserve) const { return level_ >= reserve; }  // as of the last message
   bool empty() const { return sent_.empty(); }
   std::vector<Sending> Take() { return std::exchange(sent_, {}); }
 
@@ -117,15 +118,15 @@
   std::vector<Peer> peers;
   Outbox out;
   std::mt19937_64 random;
-  Time trusted_at = 0;     // until then nobody is accused
-  Time stale_until = 0;    // what comes until then may have waited while this one slept
-  Time round_trip_at = 0;  // the last ping that came back from anywhere
-  Time told_deaf_at = 0;   // another said that it does not hear this one
+  Time trusted_at = 0;     // until then no member is suspected
+  Time stale_until = 0;    // datagrams read until then may have been queued while the process was paused
+  Time round_trip_at = 0;  // the last ping to any member that was acknowledged
+  Time told_deaf_at = 0;   // another member reported that it doesn't receive this one's datagrams
 
   Time now() const { return time.now(); }
   int tier() const { return table.tier(); }
   Time Below(Time most) { return static_cast<Time>(random() % static_cast<std::uint64_t>(most + 1)); }
-  // It takes part: known, neither left nor dead.
+  // Known, and neither left nor dead.
   bool Present(int member) const {
     const Fact& it = table.Of(member);
     return it.life != 0 && !it.left && !it.dead;
--- a/src/peers/membership_judge.h
+++ b/src/peers/membership_judge.h
@@ -1,7 +1,8 @@
-// When a member is accused, when it is given up for all, who speaks for it, and what that makes of it here.
+// Suspicion, confirmation of failures, refutation by witnesses, and the resulting status in the local view.
 //
-// Guards against the verdict of one who is himself cut off: it takes observers of two zones, time for the
-// accused to object, and nobody who hears it. A witness, who hears an accused one, objects in its stead.
+// A member that is itself partitioned can't declare others dead: a failure is confirmed only when observers
+// of two zones suspect the member, it had time to refute, and no member receives its datagrams. A witness,
+// which receives datagrams of a suspected member, refutes on its behalf.
 #pragma once
 
 #include <array>
@@ -14,28 +15,28 @@
 
 class Judge {
  public:
-  // From the first accusation, silent observers of two zones; the more agree, the sooner. A pause of 2 s is
-  // over before it; with 0.7 s (p99 at 300) until the first accusation and 0.2 s until all know, a death is
-  // known to all within 3 s.
+  // Suspicion timeout: from the first suspicion, with observers of two zones; shorter the more observers
+  // agree. A pause of 2 s ends before it. With 0.7 s to the first suspicion (p99 at 300 members) and 0.2 s of
+  // dissemination, all members know of a failure within 3 s.
   static constexpr Time kMaxObjection = 2400 * kMillisecond, kMinObjection = 1850 * kMillisecond;
-  static constexpr Time kRefusedObjection = 300 * kMillisecond;  // where its address itself refuses
-  static constexpr Time kWitness = 400 * kMillisecond;           // it may first object for itself
-  static constexpr Time kLook = 400 * kMillisecond;              // all look for themselves within it
-  static constexpr Time kCutTimeout = 3 * kSecond;               // of one who does not hear it, but others do
-  static constexpr Time kIsolated = 1500 * kMillisecond;         // no ping came back from anywhere
-  static constexpr Time kForget = 60 * kSecond;                  // one of its flaps
-  static constexpr int kConfirmers = 3;                          // of each zone, who probe it at once
+  static constexpr Time kRefusedObjection = 300 * kMillisecond;  // if its address refuses datagrams
+  static constexpr Time kWitness = 400 * kMillisecond;           // the member itself may refute first
+  static constexpr Time kLook = 400 * kMillisecond;  // all members probe a suspected one within it
+  static constexpr Time kCutTimeout = 3 * kSecond;   // for an observer that doesn't hear it while others do
+  static constexpr Time kIsolated = 1500 * kMillisecond;  // without any acknowledged ping
+  static constexpr Time kForget = 60 * kSecond;           // until one flap is forgiven
+  static constexpr int kConfirmers = 3;                   // per zone, which probe a suspected member at once
 
   Judge(Here* here, Prober* prober) : here_(here), prober_(prober), shown_(here->tier()) {}
 
-  void Put(int member, const Fact& told, bool news);  // what is known now
+  void Put(int member, const Fact& told, bool news);  // merges a received fact
   void ProbedInVain(int member);
   void Refused(int member);
-  void Step();  // verdicts, objections of witnesses
-  void Woke();  // from a pause
+  void Step();  // confirms failures, refutes as a witness
+  void Woke();  // after a pause
   bool Urgent() { return std::exchange(urgent_, false); }
 
-  // What it looks like here, brought into the view. True: it has changed.
+  // Updates the view with the local status of each member. True: it has changed.
   bool Show(TierView* view);
   bool Isolated() const;
 
@@ -43,7 +44,7 @@
   struct Shown {
     MemberStatus status = MemberStatus::kUnknown;
     std::uint64_t life = 0;
-    int comebacks = 0;  // less one a minute
+    int comebacks = 0;  // recoveries, less one a minute
     Time comeback_at = 0, held_until = 0;
   };
 
--- a/src/peers/membership_table.h
+++ b/src/peers/membership_table.h
@@ -1,9 +1,8 @@
-// All that is known of a tier's members, what of it others are still to be told, and the comparison of whole
-// tables slice by slice.
+// The membership table, the queue of changes to disseminate, and anti-entropy slice by slice.
 //
-// Guards against news that get lost, and against tables sent where nothing differs: a change rides on the
-// next few datagrams (as many as grow with the logarithm of the tier, after A. Das, I. Gupta, A. Motivala,
-// "SWIM", 2002), and each ping carries the hash of one slice, which is sent only where it differs.
+// A change is piggybacked on the next few datagrams (their number grows with the logarithm of the tier size,
+// after A. Das, I. Gupta, A. Motivala, "SWIM", 2002). Each ping also carries the hash of one slice, so that a
+// change that got lost is found, and a slice is sent only where the two tables differ.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +17,11 @@
 
 class Table {
  public:
-  static constexpr int kSlice = 16;  // members: as many as a datagram holds
+  static constexpr int kSlice = 16;  // members per slice: as many as fit in a datagram
 
   static constexpr int kMinTellings = 3;
-  static constexpr std::size_t kMany = 24;  // to be told at once: each is told less often
+  static constexpr std::size_t kMany =
+      24;  // pending changes above which each is sent kMinTellings times only
 
   explicit Table(int tier);
 
@@ -29,13 +29,13 @@
   const Fact& Of(int member) const { return facts_[member]; }
   const BadLinks& LinksOf(int observer) const { return links_[observer]; }
 
-  // True: it has changed what is known. `news`: it is told on.
+  // Merges a fact. True: the table has changed. `news`: the change is disseminated.
   bool Put(int member, const Fact& told, bool news);
   bool Put(int observer, const BadLinks& told);
 
-  void Queue(int member);  // to be told (again)
+  void Queue(int member);  // (re)starts dissemination of the member's fact
 
-  // Adds what is to be told, newest first, as far as it finds room. True: there was something.
+  // Piggybacks pending changes, least often sent first, as far as they fit. True: any were added.
   bool Fill(Message* message);
   bool HasNews() const { return !pending_.empty(); }
 
@@ -44,14 +44,14 @@
   void FillSlice(int slice, Message* message) const;
 
  private:
-  void QueueKey(int key);  // links: from the tier's size on
+  void QueueKey(int key);  // bad links have the keys from the tier size on
 
   int Tellings() const;
 
   std::vector<Fact> facts_;
   std::vector<BadLinks> links_;
-  std::vector<int> told_;                  // times, by key
-  std::set<std::pair<int, int>> pending_;  // times told, key
+  std::vector<int> told_;                  // times sent, by key
+  std::set<std::pair<int, int>> pending_;  // times sent, key
 };
 
 }  // namespace lichenlug::membership
--- a/src/peers/membership_words.h
+++ b/src/peers/membership_words.h
@@ -1,12 +1,12 @@
-// The datagrams of the membership: how they are written and read.
+// Encoding of the membership messages.
 //
-// Guards against half-read rubbish: a body is read whole before anything is made of it, and whatever is not
-// exactly as written here is none.
+// A body is parsed and validated as a whole before any of it is used; anything that deviates from this format
+// is rejected.
 //
-// One byte: version in the upper four bits, kind in the lower. Then a nonce (2 bytes), another member (2,
-// 65535: none), a byte of flags, where these say so the hash of a slice of the sender's table (1 and 4), and
-// items up to the end: facts (15 bytes, 3 more an accuser) and bad links. Numbers are little-endian. One zero
-// byte may stand behind (extension.h).
+// One byte: version in the upper four bits, kind in the lower. Then a nonce (2 bytes), another member (2
+// bytes, 65535: none), a byte of flags, if flagged the index (1 byte) and hash (4 bytes) of a slice of the
+// sender's table, and items up to the end: facts (15 bytes, and 3 per accuser) and bad links. Numbers are
+// little-endian. One zero byte of padding may follow (extension.h).
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,10 @@
 inline constexpr std::uint16_t kNone = 65535;
 
 enum class Kind : std::uint8_t {
-  kPing = 1,   // `other`: the one it is asked for, who is to be answered, too
-  kAck = 2,    // `nonce` as in the ping; `other`: the one it was asked for
-  kAsk = 3,    // please ping `other` for me
-  kHeard = 4,  // `other` has answered me with your nonce
+  kPing = 1,   // `other`: the member that requested the probe, which is to be answered, too
+  kAck = 2,    // `nonce` and `other` as in the ping
+  kAsk = 3,    // requests an indirect probe of `other`
+  kHeard = 4,  // `other` acknowledged the indirect probe with this nonce
   kNews = 5,
 };
 
@@ -45,13 +45,13 @@
   std::vector<std::pair<std::uint16_t, BadLinks>> links;  // by observer
 };
 
-// Facts and links that find no room are left out.
+// Facts and links that don't fit are left out.
 std::string Write(const Message& message);
 std::size_t SizeOf(const Fact& fact);
 std::size_t SizeOf(const BadLinks& links);
 inline constexpr std::size_t kMaxHead = 11;
 
-// `tier`: a number past it is malformed.
+// `tier`: number of members; a message with a higher member number is malformed.
 std::optional<Message> ReadMessage(std::string_view body, int tier);
 
 }  // namespace lichenlug::membership
--- a/src/peers/relay.h
+++ b/src/peers/relay.h
@@ -1,25 +1,27 @@
-// One dispatcher of a zone adds up what all of a large tier hold at the zone's runners, and tells the sums.
-// Without I/O and clock: times are arguments.
+// In a large tier, one dispatcher of each zone (the relay) aggregates the slots that all dispatchers use at
+// the zone's runners, and distributes the sums. No I/O and no clock: times are arguments.
 //
-// Guards against news whose price grows with the square of the tier: told by each to all, one job costs two
-// datagrams to every dispatcher of the zone. Here it costs two to one of them, and the sums go out together,
-// so that what a dispatcher hears depends on how many runners changed and no longer on how many dispatchers
-// there are.
+// Broadcast traffic would grow with the square of the tier size: each job would cost two datagrams to every
+// dispatcher of the zone. With a relay it costs two datagrams to the relay, and the sums are sent in batches,
+// so that the traffic to a dispatcher depends on how many runners changed and not on the number of
+// dispatchers.
 //
-// A word (version 2) goes from a member to its relay: all that the member holds in that zone, in entries, and
-// the failures it has met since its last word. A word without entries: nothing. A digest (version 3) goes
-// from the relay to each dispatcher of its zone: the runners whose sums have changed, some whose sums have
-// not, and failures that two have met; the receiver's own part is left out. Both are states: what is lost,
-// comes twice or comes late is made good by the next one.
+// A member update (version 2) goes from a member to its relay: entries with all slots that the member uses in
+// that zone, and the failures it has seen since its last update. Without entries, it uses none. A digest
+// (version 3) goes from the relay to each dispatcher of its zone: the runners whose sums have changed, some
+// whose sums haven't, and failures that two members have seen; the receiver's own part is left out. Both
+// carry state: a datagram that is lost, duplicated or late is made good by the next one.
 //
-// Members (version 0) go from a relay that follows a better one to that one: the numbers of those that tell
-// it, in two bytes each, so that one that came back from behind a cut hears whom it serves.
+// A member list (version 0) goes from a relay to a better-ranked active relay: the numbers of the members
+// that send updates to it, in two bytes each, so that a relay that returns from a partition learns whom it
+// serves.
 //
-// No vote is held. All rank the zone's dispatchers alike (by the hash of their numbers). A member's relay is
-// the best-ranked one that it hears digests of; hearing none, the best-ranked one that has not been tried in
-// vain. Each member has one relay at a time and tells the old one that it left, so that with two relays at
-// work the sums of both add up to the whole. What a silent member said is let go after kWordFade, what a
-// silent relay said after kDigestFade: cut off from all, a dispatcher is left with its own reports.
+// There is no election. All members rank the zone's dispatchers alike (by the hash of their numbers). A
+// member's relay is the best-ranked one whose digests it receives; if there is none, the best-ranked one that
+// hasn't been tried in vain. Each member has one relay at a time and sends an empty update to the old one
+// when it switches, so that with two active relays the sums of both add up to the total. The entries of a
+// silent member expire after kWordFade, those of a silent relay after kDigestFade: a dispatcher that is
+// partitioned from all others is left with its own load reports.
 #pragma once
 
 #include <cstdint>
@@ -39,50 +41,51 @@
  public:
   static constexpr int kMembers = 0, kWord = 2, kDigest = 3;  // versions
   static constexpr std::size_t kMaxBytes = 256;               // of a datagram, by PROTOCOL
-  static constexpr Time kGather = 20 * kMillisecond;          // between digests: changes wait for company
-  static constexpr Time kBeat = 200 * kMillisecond;           // a digest comes at least so often
-  static constexpr Time kRepeat = 250 * kMillisecond;   // a word comes at least so often while slots are held
-  static constexpr Time kSilent = 600 * kMillisecond;   // a relay not heard for so long is none
-  static constexpr Time kAnswers = 300 * kMillisecond;  // a word to a new relay brings a digest within this
-  static constexpr Time kTriedInVain = 5 * kSecond;     // and is not tried again for so long
-  static constexpr Time kWordFade = 1500 * kMillisecond;      // six words
-  static constexpr Time kDigestFade = 1500 * kMillisecond;    // of one entry, too
-  static constexpr Time kWholeInterval = 500 * kMillisecond;  // each sum is told at least so often
-  static constexpr Time kServes = 2 * kSecond;  // a relay goes on for so long after the last word
+  static constexpr Time kGather = 20 * kMillisecond;          // between digests; batches changes
+  static constexpr Time kBeat = 200 * kMillisecond;           // heartbeat: the maximum time between digests
+  static constexpr Time kRepeat =
+      250 * kMillisecond;  // maximum time between member updates while slots are in use
+  static constexpr Time kSilent = 600 * kMillisecond;       // a relay without digests for so long is inactive
+  static constexpr Time kAnswers = 300 * kMillisecond;      // a new relay must send a digest within this,
+  static constexpr Time kTriedInVain = 5 * kSecond;         // else it isn't tried again for so long
+  static constexpr Time kWordFade = 1500 * kMillisecond;    // six member updates
+  static constexpr Time kDigestFade = 1500 * kMillisecond;  // also of a single entry
+  static constexpr Time kWholeInterval = 500 * kMillisecond;  // maximum time between repeats of each sum
+  static constexpr Time kServes = 2 * kSecond;  // a relay stays active for so long after the last update
 
   struct Datagram {
     int peer;
     std::string bytes;
   };
 
-  // `life` marks this life (0 to 7), `number` is this dispatcher's in a tier of so many, `zone` its own,
-  // kNoZone where all are alike.
+  // `life`: the life tag of this process (0 to 7). `number`: this dispatcher in a tier of `tier` members.
+  // `zone`: its zone; kNoZone: all zones.
   Relay(int life, int number, int tier, int zone, Sums* sums);
 
-  void Met(int peer, int zone);  // a greeting: it is there, and which zone's news it wants
-  void Restarted(int peer);      // another life: what the last one said is void
+  void Met(int peer, int zone);  // on a greeting, with the zone it wants updates of
+  void Restarted(int peer);      // discards what its previous life sent
 
   void Hold(const std::string& runner, double slots, Time now);
   void Failed(const std::string& runner, int cls, Time now);
 
-  Time DueAt() const { return due_at_; }  // 0: nothing is to be told
+  Time DueAt() const { return due_at_; }  // 0: nothing is pending
   std::vector<Datagram> MakeDatagrams(Time now);
 
-  // A word, a digest or the members of a peer. False: older than the last one, or it makes no sense.
+  // Handles a member update, digest or member list. False: malformed, or older than the last one.
   bool HandleMessage(int peer, std::string_view bytes, Time now);
 
   void Fade(Time now);
 
-  int HomeOf(int zone) const;                         // the relay last chosen for this zone; kUnheard: none
-  bool KnowsNobody() const;                           // of some zone that it has something to tell
-  std::size_t left_out() const { return left_out_; }  // entries that did not fit in a word
+  int HomeOf(int zone) const;                         // the relay last selected for this zone; kUnheard: none
+  bool KnowsNobody() const;                           // in some zone that it has updates for
+  std::size_t left_out() const { return left_out_; }  // entries that didn't fit in an update
 
  private:
   struct Said {
     int slots = 0;
     Time at = 0;
   };
-  struct Stream {  // what comes from one peer in one version
+  struct Stream {  // datagrams of one version from one peer
     int number = -1;
     Time at = 0;
     std::map<ShortId, Said> told;
@@ -91,7 +94,7 @@
     int zone = kUnheard;
     Stream word, digest;
     Time tried_in_vain = 0;
-    Time answered = 0;  // one of another zone, whose words were heard
+    Time answered = 0;  // last acknowledgement to a member of another zone
   };
   struct Group {  // the runners of one zone
     std::map<ShortId, double> held;
@@ -129,9 +132,9 @@
   std::map<int, Group> groups_;  // by zone
   std::map<int, Peer> peers_;    // by number
   std::map<int, std::vector<std::pair<std::uint64_t, int>>>
-      ranked_;            // by zone; in the own one, with this dispatcher
-  std::set<int> relays_;  // whose digests count
-  // As a relay: what all members hold, this one among them while it is its own.
+      ranked_;            // by zone; the own one includes this dispatcher
+  std::set<int> relays_;  // active relays, whose digests count
+  // As a relay: the slots that all members use, including this one while it is its own relay.
   std::map<ShortId, Sum> total_;
   std::vector<std::uint16_t> agreed_;
   Time served_at_, digest_at_ = 0, members_at_ = 0;
--- a/src/peers/transport.h
+++ b/src/peers/transport.h
@@ -1,10 +1,9 @@
-// Datagrams between the dispatchers of a tier: what Holdings has to tell goes out, what the others tell comes
-// in.
+// UDP transport between the dispatchers of a tier: sends the datagrams of Holdings and passes it the received
+// ones.
 //
-// Guards: a datagram from an address that is not a peer's, or that Holdings cannot read, is dropped and
-// counted; one turn of the loop takes in a bounded number; a datagram that cannot be sent is as good as lost.
-// Nothing waits for any of it: a socket that cannot be opened leaves the dispatcher alone, with a line that
-// says so.
+// A datagram from an address that isn't a peer's, or that Holdings can't parse, is dropped and counted. Each
+// iteration of the event loop reads a bounded number. A datagram that can't be sent counts as lost. Nothing
+// waits for the transport: if the socket can't be opened, the dispatcher runs without peers and logs it.
 #pragma once
 
 #include <array>
@@ -19,9 +18,9 @@
 namespace lichenlug {
 
 struct PeerSettings {
-  asio::ip::udp::endpoint listen;              // peer_listen; port 0: no talk between dispatchers
-  std::vector<asio::ip::udp::endpoint> peers;  // by their number, this one among them
-  asio::ip::udp::endpoint all;                 // peers_all: reaches all of them; port 0: each is sent to
+  asio::ip::udp::endpoint listen;              // peer_listen; port 0: disabled
+  std::vector<asio::ip::udp::endpoint> peers;  // by number, including this dispatcher
+  asio::ip::udp::endpoint all;                 // peers_all: reaches all peers; port 0: unicast to each
   int own_number = 0;
 
   bool on() const { return listen.port() != 0 && peers.size() > 1; }
@@ -31,10 +30,10 @@
  public:
   PeerTransport(asio::io_context& io, const PeerSettings& settings, Holdings* holdings, Deadlines* deadlines);
 
-  // Throws std::system_error when it cannot listen.
+  // Throws std::system_error if the socket can't be bound.
   void Start();
 
-  // Something has changed in Holdings: sends it when it is due.
+  // To be called when Holdings may have new updates; schedules their sending.
   void Changed();
 
   std::size_t strangers() const { return strangers_; }
