--- a/src/peers/holdings.cpp
+++ b/src/peers/holdings.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kVersion = 1;
-constexpr int kAsks = 1;  // a greeting's number: it is to be answered
+constexpr int kAsks = 1;  // sequence number of a greeting that requests an answer
 
 char Head(int life, int number) { return static_cast<char>(kVersion << 6 | life << 3 | number); }
 
@@ -25,7 +25,7 @@
   if (due_at_ == 0 || at < due_at_) due_at_ = at;
 }
 
-// A receiver is in one zone and so hears one stream, whose datagrams it can order by their numbers.
+// A receiver is in one zone and receives one stream only, so it can order the datagrams by sequence number.
 void Holdings::Hold(const std::string& runner, double slots, Time now) {
   if (relay_) return relay_->Hold(runner, slots, now);
   const ShortId id = Sums::Short(runner);
@@ -61,7 +61,7 @@
     const auto fits = [&bytes] { return bytes.size() + kEntry <= kMaxBytes; };
     for (; !stream.failed.empty() && fits(); stream.failed.pop_back())
       AppendEntry(&bytes, stream.failed.back() >> 4, stream.failed.back() & 0xf);
-    for (const bool grown : {true, false})  // what matters most first
+    for (const bool grown : {true, false})  // increases first, as they prevent overload
       for (auto it = stream.untold.begin(); it != stream.untold.end() && fits();) {
         if (it->second != grown) {
           ++it;
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -24,13 +24,13 @@
 
 class Membership::State {
  public:
-  static constexpr Time kStep = 50 * kMillisecond;    // verdicts, view
-  static constexpr Time kPeek = 20 * kMillisecond;    // single pings
-  static constexpr Time kPush = 20 * kMillisecond;    // between news that do not wait for a ping
-  static constexpr Time kStale = 100 * kMillisecond;  // after a sleep: what waited is read within it
-  static constexpr Time kTrust = kSecond;             // a round of fresh probes
-  static constexpr Time kObjects = kSecond;           // an objection is said again
-  static constexpr Time kWarm = 2 * kSecond;          // a starter fetches what the others know
+  static constexpr Time kStep = 50 * kMillisecond;    // interval of suspicion checks and view updates
+  static constexpr Time kPeek = 20 * kMillisecond;    // interval of single pings
+  static constexpr Time kPush = 20 * kMillisecond;    // between urgent messages that don't wait for a ping
+  static constexpr Time kStale = 100 * kMillisecond;  // after a pause: queued datagrams are read within it
+  static constexpr Time kTrust = kSecond;             // one round of fresh probes
+  static constexpr Time kObjects = kSecond;           // a refutation is repeated for so long
+  static constexpr Time kWarm = 2 * kSecond;          // after a start, the tables of others are fetched
   static constexpr Time kSayLinks = 2 * kSecond;
   static constexpr int kPushTo = 3, kFarewells = 24, kFarewellTimes = 3;
 
@@ -118,7 +118,7 @@
   const Fact& Own() const { return here_.table.Of(here_.number); }
   bool Other(int peer) const { return peer >= 0 && peer < here_.tier() && peer != here_.number; }
 
-  // This one is alive, whatever was said of it up to this incarnation.
+  // Refutes all suspicions of this member up to incarnation `to`.
   void Object(std::uint16_t to) {
     Fact own = Own();
     if (own.left) return;
@@ -138,7 +138,7 @@
       return;
     }
     if (own.left) return;
-    if (told.life > own.life || told.left) {  // its clock was set back, or another bears its number
+    if (told.life > own.life || told.left) {  // its clock was set back, or another process uses its number
       if (told.life >= kMaxLife) return;
       Fact later = own;
       later.life = told.life + 1, later.incarnation = 0, later.round = 0;
@@ -148,7 +148,7 @@
       here_.told_deaf_at = here_.now();
       Object(told.incarnation);
     } else {
-      here_.table.Put(here_.number, told, true);  // witnesses spoke for it
+      here_.table.Put(here_.number, told, true);  // witnesses refuted on its behalf
     }
   }
 
@@ -180,7 +180,7 @@
       if (direct && now >= here_.stale_until) it.answered = now;
       if (now >= here_.stale_until) here_.round_trip_at = now;
       prober_.Answered(peer, message.nonce, direct);
-      if (message.slice) {  // where the two still differ, this one knows more
+      if (message.slice) {  // if the tables still differ, this one has newer facts
         answer.kind = Kind::kNews;
         if (AddSlice({message.slice->index, message.slice->hash}, &answer)) {
           answer.slice.reset();
@@ -231,15 +231,15 @@
     if (judge_.Urgent()) urgent_ = true;
   }
 
-  // A starter asks any for the parts of its table that differ, until it knows all.
+  // After a start, pings random members for differing slices of their tables, until all members are known.
   void Fetch() {
     const int member = static_cast<int>(here_.Below(here_.tier() - 1));
     for (int i = 0; i < here_.tier(); ++i)
       if (here_.table.Of(i).life == 0) return member == here_.number ? void() : prober_.Ask(member);
   }
 
-  // Those that do not count are asked now and then, all observers together no more than some hundred times a
-  // second.
+  // Probes members that aren't healthy from time to time. The interval grows with the tier, so that all
+  // observers together send no more than some hundred pings a second.
   void Recheck(int member, Peer* peer) {
     const Fact& fact = here_.table.Of(member);
     if (fact.left) return;
--- a/src/peers/membership_facts.cpp
+++ b/src/peers/membership_facts.cpp
@@ -10,8 +10,8 @@
   return std::tuple(b.weight, a.number, a.zone) < std::tuple(a.weight, b.number, b.zone);
 }
 
-// The heaviest of each zone, and the zones of the heaviest: weights only grow, so whoever is left out here
-// would be left out after any later join as well.
+// Keeps the strongest accusers of each zone, and the zones of the strongest. Weights only grow, so an accuser
+// that is dropped here would be dropped by any later join as well.
 std::vector<Accuser> Bounded(const std::vector<Accuser>& a, const std::vector<Accuser>& b) {
   std::map<std::pair<std::uint8_t, std::uint16_t>, Weight> all;
   for (const auto* some : {&a, &b})
--- a/src/peers/membership_judge.cpp
+++ b/src/peers/membership_judge.cpp
@@ -6,7 +6,7 @@
 namespace lichenlug::membership {
 namespace {
 
-std::uint64_t Rank(std::uint64_t a, std::uint64_t b) {  // SplitMix64's finish
+std::uint64_t Rank(std::uint64_t a, std::uint64_t b) {  // SplitMix64 finalizer
   std::uint64_t x = a * 0x9e3779b97f4a7c15 + b;
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9, x = (x ^ x >> 27) * 0x94d049bb133111eb;
   return x ^ x >> 31;
@@ -39,7 +39,7 @@
     urgent_ = urgent_ || (news && (before.life != 0 || fact.left));
 }
 
-// The best-ranked of each zone look at once, so that observers of more than one zone soon know.
+// The best-ranked members of each zone probe at once, so that observers of several zones agree quickly.
 bool Judge::Confirms(int member) const {
   const std::uint64_t own = Rank(member, here_->number);
   int better = 0;
@@ -71,9 +71,9 @@
   Peer& peer = here_->peers[member];
   const Time now = here_->now();
   const Fact& fact = here_->table.Of(member);
-  // Where the link is known to be bad, its silence means little.
+  // On a link that is known to be bad, silence means little.
   if (peer.cut && !fact.Accused() && now - peer.sign < kCutTimeout) return;
-  // One that was accused and spoke up time and again is not accused again at once.
+  // A member that refuted suspicions repeatedly isn't suspected again at once.
   const Time rest = 250 * kMillisecond << std::clamp(peer.cleared, 0, 4);
   if (peer.cleared > 1 && now - peer.cleared_at < rest) return;
   Accuse(member, Weight::kSilent);
@@ -93,7 +93,8 @@
     if (here_->Present(i)) ++observers_[here_->table.Of(i).zone];
 }
 
-// By observers of more than one zone; where only one zone can observe it, by more than one, or by the one.
+// Agreement takes accusers of more than one zone; if only one zone has observers, two accusers, or the only
+// observer.
 bool Judge::Agreed(int member, Weight least) const {
   const Fact& fact = here_->table.Of(member);
   int count = 0, zones = 0;
@@ -108,7 +109,7 @@
   return zones > 1 ? agreeing_zones.size() > 1 : agreeing >= std::min(2, count);
 }
 
-// After Lifeguard: the more independent accusers, the less time is left to object.
+// As in Lifeguard, the suspicion timeout shrinks with the number of independent accusers.
 Time Judge::ObjectionTime(int member) const {
   if (Agreed(member, Weight::kRefused)) return kRefusedObjection;
   int strong = 0;
@@ -165,7 +166,7 @@
   return now - peer.since < kMaxObjection + kSecond / 5 ? MemberStatus::kSuspected : MemberStatus::kCutOff;
 }
 
-// One that comes back time and again has to stay a while before it counts.
+// Flap damping: a member that recovers repeatedly must stay up for a while before it counts.
 MemberStatus Judge::Held(int member, MemberStatus status) {
   Shown& shown = shown_[member];
   const Time now = here_->now();
--- a/src/peers/membership_probe.cpp
+++ b/src/peers/membership_probe.cpp
@@ -58,7 +58,7 @@
   }
 }
 
-// Adds up what a series has shown of the link and of the tier.
+// Records the result of a probe in the peer's state and the loss estimate.
 void Prober::Ended(int member, const Series& series, bool alive) {
   Peer& peer = here_->peers[member];
   peer.failed = !alive;
@@ -94,12 +94,12 @@
   return chosen;
 }
 
-// One more ping, and others asked for one. False: there are no bytes for it now.
+// Repeats the ping and requests indirect probes. False: the rate limit is reached.
 bool Prober::Again(int member, Series* series) {
   Message ping;
   ping.kind = Kind::kPing, ping.nonce = series->nonce;
   if (!here_->out.Send(member, ping, Outbox::kForHelp, here_->now())) return false;
-  const bool helped = series->round % 2 == 0;  // each second time: what doubt adds is mostly patience
+  const bool helped = series->round % 2 == 0;  // every second round: extra rounds mostly add time
   for (const int relay : helped ? Relays(member) : std::vector<int>{}) {
     Message ask;
     ask.kind = Kind::kAsk, ask.nonce = series->nonce, ask.other = static_cast<std::uint16_t>(member);
@@ -132,7 +132,7 @@
   return in_vain;
 }
 
-// Round-robin in an order drawn anew each time (SWIM), less those that are heard anyway.
+// Round-robin in an order that is shuffled each time (SWIM), except members whose datagrams arrive anyway.
 void Prober::Next() {
   const Time now = here_->now();
   next_at_ = now + kEvery;
@@ -165,8 +165,8 @@
   return known == 0 ? 0 : static_cast<double>(failed) / known;
 }
 
-// Enough that of a thousand series to members that are alive about one is in vain: a round fails with the
-// square of the loss, over three relays each with its fourth power.
+// Enough rounds that about one in a thousand probes of live members fails: a direct round trip fails with
+// about the square of the loss, an indirect one over each of three relays with its fourth power.
 int Prober::Rounds() const {
   int rounds = kRounds;
   if (lost_ > 0.15) rounds += 2;
--- a/src/peers/membership_table.cpp
+++ b/src/peers/membership_table.cpp
@@ -10,7 +10,8 @@
 
 Table::Table(int tier) : facts_(tier), links_(tier), told_(2 * static_cast<std::size_t>(tier), 0) {}
 
-// Which of many accusers are kept is no news: only that there are more of them, or graver ones.
+// A change is disseminated only if there are more accusers or stronger ones, not if only the kept subset
+// differs.
 bool Table::Put(int member, const Fact& told, bool news) {
   Fact& fact = facts_[member];
   const auto gravity = [&fact] {
--- a/src/peers/membership_words.cpp
+++ b/src/peers/membership_words.cpp
@@ -12,7 +12,7 @@
   for (int i = 0; i < count; ++i) *bytes += static_cast<char>(value >> (8 * i) & 0xff);
 }
 
-// Past the end it reads zeros and says so.
+// Past the end it returns zeros and clears good().
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
--- a/src/peers/relay.cpp
+++ b/src/peers/relay.cpp
@@ -9,7 +9,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr std::size_t kMaxFailures = 32;  // kept to be told; more in one interval say nothing new
+constexpr std::size_t kMaxFailures = 32;  // pending reports; more in one interval add no information
 
 std::string Head(int version, int life, int number) {
   return {static_cast<char>(version << 6 | life << 3 | number)};
@@ -82,8 +82,8 @@
       groups_, [](const auto& group) { return group.second.home == kUnheard && !group.second.held.empty(); });
 }
 
-// The best-ranked relay at work, else the best-ranked dispatcher worth a try. In the own zone this one stands
-// in the ranking too, and is what is left when all others were tried in vain.
+// Selects the best-ranked active relay, else the best-ranked dispatcher that wasn't tried in vain recently.
+// The ranking of its own zone includes this dispatcher, which is selected when all others were tried in vain.
 void Relay::Choose(int zone, Group* group, Time now) {
   if (group->home != kUnheard && group->home != number_) {
     Peer& home = peers_[group->home];
@@ -134,7 +134,7 @@
     Choose(zone, group, now);
     const int home = group->home;
     if (before != home && before != kUnheard && before != number_)
-      all->push_back({before, Head(kWord, life_, group->number)});  // it is left
+      all->push_back({before, Head(kWord, life_, group->number)});  // switched away
     if (home == number_) {
       served_at_ = now;
       for (const std::uint16_t entry : group->failed)
@@ -161,7 +161,7 @@
   const Time at = digest_at_ + (changed ? kGather : kBeat);
   if (now < at) return Due(at);
   digest_at_ = now;
-  std::vector<ShortId> said;  // what has changed, and what has not been told for long
+  std::vector<ShortId> said;  // changed, or due to be repeated
   for (auto& [runner, sum] : total_) {
     if (!sum.changed && now - sum.told < kWholeInterval) continue;
     said.push_back(runner);
@@ -185,7 +185,7 @@
   Due(now + kGather);
 }
 
-// A relay at work that ranks before this one; kUnheard: none is heard.
+// The best active relay that ranks before this one; kUnheard: none.
 int Relay::Better(Time now) const {
   std::pair best{Rank(number_), kUnheard};
   for (const int relay : relays_)
@@ -193,13 +193,13 @@
   return best.second;
 }
 
-// `runners`: those whose entries begin at `first`, still without their sums, as each receiver's own part is
-// left out.
+// `runners`: those whose entries begin at byte `first` of `base`. Their sums are filled in per receiver, as
+// the receiver's own part is left out.
 void Relay::TellDigest(const std::string& base, std::size_t first, const std::vector<ShortId>& runners,
                        Time now, std::vector<Datagram>* all) {
   const bool best = Better(now) == kUnheard;
   for (auto& [number, peer] : peers_) {
-    if (peer.zone != zone_) {  // wants none of this zone's news, but has to see that its words are heard
+    if (peer.zone != zone_) {  // needs no sums of this zone, only an acknowledgement of its updates
       if (!best || peer.word.told.empty() || now - peer.answered < kBeat) continue;
       peer.answered = now;
       all->push_back({number, base.substr(0, 1)});
@@ -249,14 +249,14 @@
   const auto head = static_cast<std::uint8_t>(bytes[0]);
   if (head >> 6 == kMembers) return Members(bytes.substr(1)), true;
   Peer& from = peers_[peer];
-  if (from.zone == kUnheard) Met(peer, zone_);  // it takes part here; a greeting may put it right
+  if (from.zone == kUnheard) Met(peer, zone_);  // assume this zone until a greeting corrects it
   Stream& stream = head >> 6 == kWord ? from.word : from.digest;
   if (IsOlder(stream.number, stream.at, head & 7, now)) return false;
   stream.number = head & 7, stream.at = now;
   bytes.remove_prefix(1);
   DropSilent(now);
   if (head >> 6 == kDigest && from.zone == zone_ && relays_.insert(peer).second) {
-    Group& group = groups_[zone_];  // it begins to speak: what is held is told to the one that now ranks best
+    Group& group = groups_[zone_];  // newly active: send the slots in use to the best-ranked one
     group.untold = group.untold || !group.held.empty();
     Due(now);
   }
@@ -280,7 +280,7 @@
       sums_->Failing(entry);
     }
   }
-  std::swap(told, stream->told);  // `told`: what it said before
+  std::swap(told, stream->told);  // `told`: its previous entries
   const auto change = [&](ShortId runner, int more) { Change(runner, more, now), sums_->Add(runner, more); };
   for (const auto& [runner, said] : stream->told) {
     const auto before = told.find(runner);
@@ -291,7 +291,8 @@
   Due(std::max(now, digest_at_ + kGather));
 }
 
-// Where a relay is at work, those that have fallen silent no longer count: their members tell it.
+// Drops the sums of relays that have become silent: their members now send updates to an active relay, which
+// would count them twice.
 void Relay::DropSilent(Time now) {
   std::erase_if(relays_, [&](int relay) {
     Peer& peer = peers_[relay];
--- a/src/peers/transport.cpp
+++ b/src/peers/transport.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr int kMaxAtOnce = 64;  // datagrams taken in one turn of the loop
+constexpr int kMaxAtOnce = 64;  // datagrams read per event loop iteration
 
 }  // namespace
 
@@ -47,7 +47,7 @@
       holdings_->HandleMessage(peer->second, {bytes_.data(), size}, now, &greet);
     if (greet) Greet(from, holdings_->Answer(peer->second));
   }
-  Changed();  // what is heard may be to be passed on
+  Changed();  // a received datagram may have caused new updates
 }
 
 void PeerTransport::Changed() {
@@ -79,7 +79,7 @@
   socket_.send_to(asio::buffer(greeting), peer, 0, lost);
 }
 
-// Greetings are said again, as they may be lost.
+// Greetings are repeated, as they may get lost.
 void PeerTransport::EverySecond() {
   const Time now = deadlines_->Now();
   holdings_->Fade(now);
--- a/tests/heard.h
+++ b/tests/heard.h
@@ -1,4 +1,4 @@
-// What a dispatcher hears of others, kept for the tests of src/peers.
+// Records the sums and failures that Holdings reports, for the tests of src/peers.
 #pragma once
 
 #include <map>
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -1,5 +1,5 @@
-// What dispatchers tell one another: sums at runners, through loss, copies, restarts, lies and rubbish; and
-// what the decisions make of it.
+// Exchange of slot counts between dispatchers: the sums at runners under loss, duplication, restarts, false
+// counts and malformed datagrams; and how the scheduler uses them.
 #include "peers/holdings.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     bool greet = false;
     return holdings.HandleMessage(peer, bytes, now, &greet);
   }
-  std::string Hold(const std::string& runner, double slots, Time now) {  // and what it tells
+  std::string Hold(const std::string& runner, double slots, Time now) {  // returns its datagram
     holdings.Hold(runner, slots, now);
     return holdings.MakeDatagrams(now).at(0).bytes;
   }
@@ -104,7 +104,7 @@
 }
 
 TEST(Holdings, AZonePastWhatAByteNamesIsNone) {
-  One a(1, 300), b(2, 44);  // 300 is 44 in a byte
+  One a(1, 300), b(2, 44);  // 300 truncated to a byte is 44
   bool greet = false;
   b.holdings.HandleMessage(0, a.holdings.Greeting(), 1, &greet);
   EXPECT_EQ(b.holdings.ZoneOf(0), kNoZone);
@@ -131,13 +131,13 @@
     refused += !b.HandleMessage(static_cast<int>(random() % 100), bytes, i * 1000);
     for (const auto& [runner, slots] : b.heard.held) ASSERT_GE(slots, 0) << runner;
   }
-  EXPECT_GE(b.holdings.dropped(), refused);  // and each class that is none
+  EXPECT_GE(b.holdings.dropped(), refused);  // reports of unknown classes are counted too
   EXPECT_FALSE(b.HandleMessage(0, "", 1));
   b.holdings.Fade(20000 * 1000 + Holdings::kFade);
   for (const auto& [runner, slots] : b.heard.held) EXPECT_EQ(slots, 0) << runner;
 }
 
-// One of a hundred nodes, with two workers, told by the others what they hold.
+// One of a hundred nodes, with two workers, that receives the slot counts of the others.
 class PeerReport : public testing::Test {
  protected:
   static rookgw::Settings Site() {
@@ -164,7 +164,7 @@
     const std::vector<rookgw::ListedWorker> list{{.id = "r1", .since = first_since}, {.id = "r2"}};
     Tell(rookgw::ListChanged{rookgw::ListChanged::Form::kWhole, 1, list});
   }
-  // No reports come: the node goes by what the others tell.
+  // Without load reports, the node uses the counts of its peers.
   void Sweep() { Tell(rookgw::TimerFired{"sweep"}); }
   void Report(const std::string& worker, double free, double active) {
     rookgw::LoadReport report;
@@ -174,7 +174,7 @@
   void ReportIdle() {
     for (int i = 0; i < 3; ++i) Report("r1", 5, 0), Report("r2", 5, 0);
   }
-  std::string Place(std::uint64_t key) {  // where one more job goes, empty: it waits
+  std::string Place(std::uint64_t key) {  // the worker of one more job; empty: queued
     rookgw::RequestArrived job;
     job.id = ++jobs_, job.key = key, job.valid_until = now_ + 5 * kSecond;
     Tell(job);
@@ -200,7 +200,7 @@
   EXPECT_EQ(Place(7), other);
 }
 
-// One slot is free in the whole zone, and a hundred nodes with jobs that wait all see it.
+// One slot is free in the whole zone, and a hundred nodes with queued jobs all see it.
 TEST_F(PeerReport, FewOfThoseThatSeeOneFreeSlotChaseIt) {
   std::vector<rookgw::ListedWorker> list;
   for (int i = 1; i <= 20; ++i) list.push_back({.id = "r" + std::to_string(i)});
@@ -216,16 +216,16 @@
     bool sent = false;
     for (const auto& action : actions_) sent = sent || std::holds_alternative<rookgw::Dispatch>(action);
     if (!sent) continue;
-    ++taken, now_ += 300000;  // it runs
+    ++taken, now_ += 300000;  // it completes
     rookgw::AttemptEnded served;
     served.worker = "r1", served.id = jobs_, served.complete = true;
     Tell(served);
   }
-  EXPECT_GT(taken, 0);   // where it is in the job's own set
-  EXPECT_LT(taken, 15);  // all, where each takes what it sees
+  EXPECT_GT(taken, 0);   // r1 is in the worker set of some jobs
+  EXPECT_LT(taken, 15);  // it would be all of them if each node took every free slot that it sees
 }
 
-// Reports made while a worker is full show no free slots; they must not be taken for a small worker.
+// Load reports of a full worker show no free slots, which must not be mistaken for a low capacity.
 TEST_F(PeerReport, ReportsOfFullWorkersDoNotMakeThemLookSmall) {
   List(0);
   for (int i = 0; i < 3; ++i) Report("r1", 1, 4), Report("r2", 1, 4);
@@ -237,15 +237,15 @@
   EXPECT_EQ(Place(7), first == "r1" ? "r2" : "r1");
 }
 
-// A hundred nodes that all hear of the same free slots at a cold worker send it its budget together, not a
-// job each; and nobody sends to one that is told to be full.
+// A hundred nodes that all see the same free slots at a cold worker send it its warm-up budget in total, not
+// one job each; and none sends to a worker that the peers report as full.
 TEST_F(PeerReport, AColdWorkerThatAllSeeFreeTakesItsBudgetFromAllTogether) {
   const Time start = now_;
   int while_free = 0, while_full = 0;
   for (int ordinal = 0; ordinal < 100; ++ordinal) {
     now_ = start;
     Begin(ordinal);
-    for (std::uint64_t key = 0; key < 20; ++key) {  // it learns that a job runs for 0.3 s
+    for (std::uint64_t key = 0; key < 20; ++key) {  // it learns a run time of 0.3 s per job
       rookgw::AttemptEnded served;
       served.worker = Place(key), served.id = jobs_, served.complete = true;
       now_ += 300000;
@@ -259,19 +259,20 @@
         now_ = since + (held == 0 ? span : span + 3) * kSecond + 500000;
         ReportIdle();
         Sweep();
-        Tell(rookgw::PeerReport{"r2", 200});  // the warm one is full, as all know
+        Tell(rookgw::PeerReport{"r2", 200});  // the warm worker is full
         Tell(rookgw::PeerReport{"r1", held});
-        // One job a span: with more of them its own reports would not be scarce, and it would not go by news.
+        // One job per span: with more, its own reports would be frequent and it would ignore the peers'
+        // counts.
         (held == 0 ? while_free : while_full) += Place(1000 * span) == "r1";
       }
   }
-  // Three spans at 0.4 to 0.6 of five slots, four times their capacity, 0.3 s a job: 33 a second on average.
+  // Three spans at 0.4 to 0.6 of five slots, four times their capacity, 0.3 s a job: 33 jobs/s on average.
   EXPECT_LE(while_free, 3 * (33 + 2 * std::sqrt(33) + 2));
   EXPECT_GE(while_free, 3 * 33 / 4);
   EXPECT_EQ(while_full, 0);
 }
 
-// Where jobs and so reports are many, what is told changes nothing: small tiers stay as they were.
+// With many jobs, and so many load reports, peer counts change nothing: small tiers behave as without them.
 TEST_F(PeerReport, IsPassedOverWhereReportsAreFresh) {
   List(0);
   for (std::uint64_t key = 0; key < 200; ++key) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
-// Who is there in a tier, while datagrams are lost, copied and overtaken, links are cut one way, members die,
-// pause, restart and leave, and clocks are set.
+// Membership of a tier while datagrams are lost, duplicated and reordered, links are partitioned one way,
+// members crash, pause, restart and leave, and clocks are stepped.
 #include "peers/membership.h"
 
 #include <gtest/gtest.h>
@@ -109,7 +109,7 @@
   EXPECT_FALSE(self.HandleMessage(1, "", now));
 }
 
-// What programs before this one make of an extension's datagram, as they read it: nothing.
+// Programs without extensions drop an extension datagram without any effect.
 TEST(Extension, ProgramsBeforeDropItAndKeepTheirSums) {
   const std::string recorded[] = {
       {"\x21\x13\x01\x00\xff\xff\x00\x00", 8},  // life 4: news without items
@@ -148,7 +148,7 @@
     net.Run(100 * kMillisecond);
     ASSERT_LT(net.Seeing(0, MemberStatus::kDead), 5) << Dump(net);
   }
-  EXPECT_FALSE(net.View(0).whole());  // it knows that it hears nobody
+  EXPECT_FALSE(net.View(0).whole());  // it detects that it receives nothing
   for (int i = 1; i < 6; ++i) EXPECT_EQ(net.View(0).members[i].status, MemberStatus::kCutOff);
   net.Heal();
   EXPECT_GE(net.Until(10 * kSecond, [&] { return AllAlive(net); }), 0) << Dump(net);
@@ -166,7 +166,7 @@
   EXPECT_GE(net.Until(5 * kSecond, [&] { return AllAlive(net); }), 0) << Dump(net);
 }
 
-// A hears B, B hears C, C hears A, and none the other way.
+// A receives from B, B from C, and C from A, and none the other way.
 TEST(Membership, InAOneWayRingNobodyDies) {
   for (const int zones : {0, 3}) {
     VirtualNet net(3, zones, 3);
@@ -247,7 +247,7 @@
 
 TEST(Membership, ALaterLifeStaysThoughDatagramsOfTheOldOneCome) {
   VirtualNet net(5, 0, 9);
-  net.max_way = 400 * kMillisecond;  // much is under way
+  net.max_way = 400 * kMillisecond;  // many datagrams are in flight
   net.StartAll(), net.Run(4 * kSecond);
   for (int i = 0; i < 5; ++i) {
     net.Kill(3), net.Run(10 * kMillisecond), net.Start(3);
@@ -263,7 +263,7 @@
   VirtualNet net(12, 3, 10);
   net.StartAll(), net.Run(3 * kSecond);
   for (int i = 0; i < 12; ++i)
-    if (i != 4 && i != 5) net.Cut(4, i);  // one alone hears it
+    if (i != 4 && i != 5) net.Cut(4, i);  // only member 5 receives it
   net.Leave(4), net.Kill(4);
   const Time known = net.Until(kSecond, [&] { return net.Seeing(4, MemberStatus::kLeft) == 11; });
   EXPECT_GE(known, 0) << Dump(net);
@@ -309,7 +309,7 @@
       ASSERT_EQ(net.Seeing(member, MemberStatus::kDead), 0) << Dump(net);
     changes += std::exchange(before, net.See(1, 0)) != net.See(1, 0);
   }
-  EXPECT_LE(changes, 4);  // in a minute
+  EXPECT_LE(changes, 4);  // per minute
 }
 
 TEST(Membership, OneThatFlapsWaitsLongerEachTime) {
@@ -366,7 +366,7 @@
       << net.View(17).present();
 }
 
-// A random course of faults, then healing: in four parts, so that they can run side by side.
+// Random fault schedules, then healing: in four parts, so that they can run in parallel.
 class Schedules : public testing::TestWithParam<int> {};
 INSTANTIATE_TEST_SUITE_P(Membership, Schedules, testing::Range(0, 4));
 
@@ -377,7 +377,7 @@
   const int tier = net->tier(), who = any(tier);
   switch (any(9)) {
     case 0:
-    case 1:  // of one, one way or both
+    case 1:  // partitions one member, one way or both
       for (int i = 0; i < tier; ++i)
         if (i != who && any(4) != 0) any(2) == 0 ? net->Cut(who, i) : net->Cut(i, who);
       break;
@@ -417,7 +417,7 @@
     std::map<int, Time> down;
     std::set<int> left;
     net.StartAll(), net.Run(kSecond);
-    const auto heard = [&](int member) {  // by one that is awake, without a break
+    const auto heard = [&](int member) {  // by an awake member, continuously
       for (int i = 0; i < tier; ++i)
         if (i != member && net.HeardFor(member, i) > 3 * kSecond) return true;
       return false;
@@ -441,7 +441,7 @@
       for (int i = 0; i < tier; ++i)
         for (int j = 0; j < tier; ++j) {
           if (i == j || !net.Up(i)) continue;
-          const MemberStatus seen = net.See(i, j);  // one that came back twice may be held back a while
+          const MemberStatus seen = net.See(i, j);  // a flapping member may be kJoining for a while
           if (net.Up(j) == dead) continue;
           if (net.Up(j) ? seen != MemberStatus::kAlive && seen != MemberStatus::kJoining
                         : TierView::Counts(seen))
@@ -450,7 +450,7 @@
       return true;
     };
     ASSERT_GE(net.Until(5 * kSecond, [&] { return agree(false); }), 0) << "seed " << seed << Dump(net);
-    // One that died while links were bad may have to be found silent first.
+    // A member that crashed while links were bad may have to be detected as silent first.
     ASSERT_GE(net.Until(5 * kSecond, [&] { return agree(true); }), 0) << "seed " << seed << Dump(net);
   }
 }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,5 +1,5 @@
-// A large tier that tells a relay what it holds: the sums that all hear, while relays die, links are cut one
-// way or both, datagrams are lost and copied, and members come back in a new life.
+// Slot counts in a large tier with relays: the sums that all members receive while relays crash, links are
+// partitioned one way or both, datagrams are lost and duplicated, and members restart.
 #include "peers/relay.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   Member(std::uint64_t life, const Holdings::Place& place) : holdings(life, place, 2, &heard) {}
 };
 
-// A tier in virtual time. Datagrams take 1 to 6 ms; `lost` and `copied` are chances in a hundred.
+// Simulates a tier in virtual time. Datagrams take 1 to 6 ms; `lost` and `copied` are percentages.
 class Tier {
  public:
   static constexpr int kSize = 30, kRunners = 21;
@@ -84,7 +84,7 @@
     }
   }
 
-  // The runners on which a member's sum is not what the others of `among` hold.
+  // The number of runners whose sum at `member` differs from the slots that the others of `among` use.
   int Wrong(int member, const std::set<int>& among) const {
     int wrong = 0;
     for (int r = 0; r < kRunners; ++r) {
@@ -160,7 +160,7 @@
 TEST(Relay, ChangesCostOneReceiverEachAndTheSumsGoTogether) {
   Tier tier(2, 1, true);
   const std::size_t before = tier.sent;
-  for (int i = 0; i < 100; ++i) {  // 100 jobs a second: to all, 200 words to 29 receivers
+  for (int i = 0; i < 100; ++i) {  // 100 jobs/s: broadcast would send 200 updates to 29 receivers
     tier.Hold(i % Tier::kSize, i % Tier::kRunners, 1);
     tier.Run(5 * kMillisecond);
     tier.Hold(i % Tier::kSize, i % Tier::kRunners, -1);
@@ -184,7 +184,7 @@
   tier.Kill(first);
   tier.Run(Relay::kSilent + Relay::kRepeat + 300 * kMillisecond);
   EXPECT_EQ(tier.Wrong(Tier::All()), 0);
-  tier.Start(first);  // it ranks best again, and holds nothing in its new life
+  tier.Start(first);  // it ranks best again, and uses no slots after the restart
   tier.Run(kSecond);
   tier.Hold(first, 3, 2);
   tier.Run(2 * kSecond);
@@ -203,7 +203,7 @@
   Tier tier(6, 1, true);
   const auto left = Tier::Part(0, 15), right = Tier::Part(15, 30);
   tier.Cut(left, right), tier.Cut(right, left);
-  tier.Run(12 * kSecond);  // the worst: one after another is tried in vain
+  tier.Run(12 * kSecond);  // worst case: one relay after another is tried in vain
   EXPECT_EQ(tier.Wrong(left), 0);
   EXPECT_EQ(tier.Wrong(right), 0);
   tier.cut.clear();
@@ -211,7 +211,8 @@
   EXPECT_EQ(tier.Wrong(Tier::All()), 0);
 }
 
-// One hears nobody but is heard: the others keep its part, and it falls back to what it sees itself.
+// A member that receives nothing but whose datagrams arrive: the others keep counting its slots, and it falls
+// back to its own load reports.
 TEST(Relay, OneThatIsDeafKnowsNothingOfOthersAndIsCountedByThem) {
   Tier tier(7, 1, true);
   const int deaf = tier.Home(0) == 4 ? 5 : 4;
@@ -222,7 +223,7 @@
   for (const auto& [runner, slots] : tier.members[deaf]->heard.held) EXPECT_EQ(slots, 0) << runner;
 }
 
-// One is heard by none: its part goes, no more.
+// A member whose datagrams reach nobody: only its own entries expire.
 TEST(Relay, OneThatIsMuteIsLetGo) {
   Tier tier(8, 1, true);
   const int mute = tier.Home(0) == 4 ? 5 : 4;
@@ -262,7 +263,7 @@
   EXPECT_EQ(tier.members[c]->heard.failing, 1);
 }
 
-// Anything may happen at any time; when it ends, all agree within kHealed. Seen to fail without DropSilent.
+// After any schedule of faults, all members agree within kHealed. This fails without Relay::DropSilent.
 TEST(Relay, AfterAnyScheduleOfLossCutsDeathsAndRestartsAllAgreeAgain) {
   constexpr Time kHealed = Relay::kTriedInVain + 3 * kSecond;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -300,7 +301,7 @@
       tier.Run(static_cast<Time>(random() % 200) * kMillisecond);
     }
     tier.cut.clear(), tier.lost = 0;
-    tier.HoldAll();  // one that started cut off is met at its first job
+    tier.HoldAll();  // a member that started partitioned is discovered at its first job
     tier.Run(kHealed);
     ASSERT_EQ(tier.Wrong(Tier::All()), 0) << "seed " << seed;
   }
--- a/tests/virtual_net.h
+++ b/tests/virtual_net.h
@@ -1,5 +1,6 @@
-// A tier of memberships in virtual time, on a network that loses, copies and overtakes, with cuts one way or
-// both, members that die, pause, start again, and whose clocks are set. One seed, one course.
+// Simulates the membership of a tier in virtual time, on a network that loses, duplicates and reorders
+// datagrams, with one-way and two-way partitions, members that crash, pause and restart, and clock steps.
+// Deterministic for each seed.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,16 +22,16 @@
   struct Member {
     std::unique_ptr<Membership> self;
     std::uint64_t life = 0;
-    Time clock = 0;                                   // ahead of the net's time
+    Time clock = 0;                                   // offset to the network's time
     Time paused_until = 0, wake_at = 0, since = 0;    // `since`: awake
-    std::vector<std::pair<int, std::string>> inbox;   // while it is paused
-    std::size_t bytes = 0, datagrams = 0, heard = 0;  // `heard`: datagrams that reached it
+    std::vector<std::pair<int, std::string>> inbox;   // received during a pause
+    std::size_t bytes = 0, datagrams = 0, heard = 0;  // `heard`: datagrams received
     bool left = false;
   };
 
-  int lost = 0, copied = 0;  // in a hundred
+  int lost = 0, copied = 0;  // percent
   Time min_way = 300, max_way = 22 * kMillisecond;
-  bool refuses = false;  // the machine of a dead member says so
+  bool refuses = false;  // the host of a dead member sends ICMP port unreachable
   Time now = 1000 * kSecond;
 
   VirtualNet(int tier, int zones, std::uint64_t seed) : random_(seed), zones_(zones), members_(tier) {}
@@ -67,7 +68,7 @@
     members_[i].self->Leave(now + members_[i].clock), members_[i].left = true;
     Serve(i);
   }
-  // No datagram of `from` reaches `to`; of a hundred, `part` do not.
+  // Drops `part` percent of the datagrams from `from` to `to`.
   void Cut(int from, int to, int part = 100) { links_[{from, to}] = {part, now}; }
   void CutBoth(const std::set<int>& a, const std::set<int>& b) {
     for (const int x : a)
@@ -78,7 +79,7 @@
       if (state.first != 0) state = {0, now};
     lost = copied = 0;
   }
-  // Datagrams of `from` have reached `to` for so long.
+  // How long datagrams of `from` have been reaching `to` without a break.
   Time HeardFor(int from, int to) const {
     if (!Awake(from) || !Awake(to)) return 0;
     Time since = std::max(members_[from].since, members_[to].since);
@@ -94,7 +95,7 @@
   }
   const TierView& View(int i) const { return members_[i].self->View(); }
 
-  // How many of those awake, left out `member` itself, see it so.
+  // The number of awake members, except `member` itself, that see it with this status.
   int Seeing(int member, MemberStatus status) const {
     int count = 0;
     for (int i = 0; i < tier(); ++i) count += i != member && Awake(i) && See(i, member) == status;
@@ -119,7 +120,7 @@
       }
     }
   }
-  // Until `holds` or the time is over: how long it took; -1: it never held.
+  // Runs until `holds` or for `most`. Returns the time it took; -1: it never held.
   template <typename Holds>
   Time Until(Time most, Holds holds) {
     const Time from = now;
@@ -132,7 +133,7 @@
   struct Event {
     Time at;
     std::uint64_t order;
-    int from, to;  // `from` below 0: its own time
+    int from, to;  // `from` below 0: a timer of `to`
     std::string bytes;
     bool refusal = false;
     bool operator>(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
@@ -191,7 +192,7 @@
   std::mt19937_64 random_;
   const int zones_;
   std::vector<Member> members_;
-  std::map<std::pair<int, int>, std::pair<int, Time>> links_;  // part lost, since
+  std::map<std::pair<int, int>, std::pair<int, Time>> links_;  // percent lost, since
   std::uint64_t lives_ = 0, order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
 };
