--- a/src/main.cpp
+++ b/src/main.cpp
@@ -38,7 +38,7 @@
 };
 
 // Shares the use of runners with the other dispatchers and passes their reports to the core.
-class PeerExchange : public PeerPort, public HoldingsHeard {
+class PeerExchange : public PeerPort, public HoldingsObserver {
  public:
   PeerExchange(asio::io_context& io, const Config& config, Deadlines* deadlines, RequestTable* core)
       : deadlines_(deadlines),
--- a/src/peers/holdings.cpp
+++ b/src/peers/holdings.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Holdings::Holdings(std::uint64_t seed, const Place& place, int classes, HoldingsHeard* heard)
+Holdings::Holdings(std::uint64_t seed, const Place& place, int classes, HoldingsObserver* heard)
     : life_(static_cast<int>(seed % 8)),
       zone_(std::min(place.zone, kNoZone)),
       tier_(place.tier),
--- a/src/peers/holdings.h
+++ b/src/peers/holdings.h
@@ -57,7 +57,7 @@
 
   // `seed` determines the life tag of this process. `classes`: number of job classes; a failure report of any
   // other class is dropped and counted.
-  Holdings(std::uint64_t seed, const Place& place, int classes, HoldingsHeard* heard);
+  Holdings(std::uint64_t seed, const Place& place, int classes, HoldingsObserver* heard);
 
   // Registers a runner and its zone; the counts of unregistered runners aren't reported to the observer. An
   // unknown zone (below 0) counts as the zone of this dispatcher. A count received earlier is reported now.
--- a/src/peers/sums.h
+++ b/src/peers/sums.h
@@ -35,9 +35,9 @@
   return last >= 0 && now - heard < kSecond / 10 && (last - number + 8) % 8 < 4;
 }
 
-class HoldingsHeard {
+class HoldingsObserver {
  public:
-  virtual ~HoldingsHeard() = default;
+  virtual ~HoldingsObserver() = default;
   virtual void Held(const std::string& runner, int slots) = 0;  // sum of all other dispatchers
   virtual void Failing(const std::string& runner, int cls) = 0;
 };
@@ -47,7 +47,7 @@
   static constexpr Time kAgree = 4 * kSecond;
 
   // `zone`: of this dispatcher, also used for runners of unknown zone. `classes`: number of job classes.
-  Sums(int zone, int classes, HoldingsHeard* heard) : zone_(zone), classes_(classes), heard_(heard) {}
+  Sums(int zone, int classes, HoldingsObserver* heard) : zone_(zone), classes_(classes), heard_(heard) {}
 
   static ShortId Short(std::string_view runner);
 
@@ -68,7 +68,7 @@
 
  private:
   const int zone_, classes_;
-  HoldingsHeard* heard_;
+  HoldingsObserver* heard_;
   std::map<ShortId, int> others_;
   std::map<ShortId, std::map<std::string, int>> names_;    // runner id to zone
   std::map<std::uint16_t, std::pair<int, Time>> accused_;  // by entry: the last reporting peer and the time
--- a/tests/heard.h
+++ b/tests/heard.h
@@ -8,7 +8,7 @@
 
 namespace lichenlug {
 
-struct Heard : HoldingsHeard {
+struct Heard : HoldingsObserver {
   std::map<std::string, int> held;
   int failing = 0;
   void Held(const std::string& runner, int slots) override { held[runner] = slots; }
