--- a/src/peers/relay.h
+++ b/src/peers/relay.h
@@ -20,7 +20,7 @@
 // member's relay is the best-ranked one whose digests it receives; if there is none, the best-ranked one that
 // hasn't been tried in vain. Each member has one relay at a time and sends an empty update to the old one
 // when it switches, so that with two active relays the sums of both add up to the total. The entries of a
-// silent member expire after kWordFade, those of a silent relay after kDigestFade: a dispatcher that is
+// silent member expire after kUpdateTtl, those of a silent relay after kDigestTtl: a dispatcher that is
 // partitioned from all others is left with its own load reports.
 #pragma once
 
@@ -33,25 +33,26 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "peers/sums.h"
+#include "peers/slot_totals.h"
 
 namespace lichenlug {
 
 class Relay {
  public:
-  static constexpr int kMembers = 0, kWord = 2, kDigest = 3;  // versions
-  static constexpr std::size_t kMaxBytes = 256;               // of a datagram, by PROTOCOL
-  static constexpr Time kGather = 20 * kMillisecond;          // between digests; batches changes
-  static constexpr Time kBeat = 200 * kMillisecond;           // heartbeat: the maximum time between digests
-  static constexpr Time kRepeat =
+  static constexpr int kMemberList = 0, kMemberUpdate = 2, kDigest = 3;  // versions
+  static constexpr std::size_t kMaxBytes = 256;                          // of a datagram, by PROTOCOL
+  static constexpr Time kDigestBatchDelay = 20 * kMillisecond;           // between digests; batches changes
+  static constexpr Time kDigestHeartbeat = 200 * kMillisecond;  // heartbeat: the maximum time between digests
+  static constexpr Time kUpdateInterval =
       250 * kMillisecond;  // maximum time between member updates while slots are in use
-  static constexpr Time kSilent = 600 * kMillisecond;       // a relay without digests for so long is inactive
-  static constexpr Time kAnswers = 300 * kMillisecond;      // a new relay must send a digest within this,
-  static constexpr Time kTriedInVain = 5 * kSecond;         // else it isn't tried again for so long
-  static constexpr Time kWordFade = 1500 * kMillisecond;    // six member updates
-  static constexpr Time kDigestFade = 1500 * kMillisecond;  // also of a single entry
-  static constexpr Time kWholeInterval = 500 * kMillisecond;  // maximum time between repeats of each sum
-  static constexpr Time kServes = 2 * kSecond;  // a relay stays active for so long after the last update
+  static constexpr Time kSilenceTimeout =
+      600 * kMillisecond;  // a relay without digests for so long is inactive
+  static constexpr Time kNewRelayTimeout = 300 * kMillisecond;  // a new relay must send a digest within this,
+  static constexpr Time kRelayRetryDelay = 5 * kSecond;         // else it isn't tried again for so long
+  static constexpr Time kUpdateTtl = 1500 * kMillisecond;       // six member updates
+  static constexpr Time kDigestTtl = 1500 * kMillisecond;       // also of a single entry
+  static constexpr Time kFullDigestInterval = 500 * kMillisecond;  // maximum time between repeats of each sum
+  static constexpr Time kActiveTime = 2 * kSecond;  // a relay stays active for so long after the last update
 
   struct Datagram {
     int peer;
@@ -60,10 +61,10 @@
 
   // `life`: the life tag of this process (0 to 7). `number`: this dispatcher in a tier of `tier` members.
   // `zone`: its zone; kNoZone: all zones.
-  Relay(int life, int number, int tier, int zone, Sums* sums);
+  Relay(int life, int number, int tier, int zone, SlotTotals* totals);
 
-  void Met(int peer, int zone);  // on a greeting, with the zone it wants updates of
-  void Restarted(int peer);      // discards what its previous life sent
+  void AddPeer(int peer, int zone);  // on a greeting, with the zone it wants updates of
+  void ResetPeer(int peer);          // discards what its previous life sent
 
   void Hold(const std::string& runner, double slots, Time now);
   void Failed(const std::string& runner, int cls, Time now);
@@ -74,72 +75,72 @@
   // Handles a member update, digest or member list. False: malformed, or older than the last one.
   bool HandleMessage(int peer, std::string_view bytes, Time now);
 
-  void Fade(Time now);
+  void ExpireEntries(Time now);
 
-  int HomeOf(int zone) const;                         // the relay last selected for this zone; kUnheard: none
-  bool KnowsNobody() const;                           // in some zone that it has updates for
-  std::size_t left_out() const { return left_out_; }  // entries that didn't fit in an update
+  int RelayOf(int zone) const;  // the relay last selected for this zone; kUnset: none
+  bool LacksRelay() const;      // in some zone that it has updates for
+  std::size_t dropped_entries() const { return dropped_entries_; }  // entries that didn't fit in an update
 
  private:
-  struct Said {
+  struct SlotEntry {
     int slots = 0;
     Time at = 0;
   };
   struct Stream {  // datagrams of one version from one peer
-    int number = -1;
+    int sequence = -1;
     Time at = 0;
-    std::map<ShortId, Said> told;
+    std::map<ShortId, SlotEntry> entries;
   };
   struct Peer {
-    int zone = kUnheard;
-    Stream word, digest;
-    Time tried_in_vain = 0;
-    Time answered = 0;  // last acknowledgement to a member of another zone
+    int zone = kUnset;
+    Stream update, digest;
+    Time failed_at = 0;
+    Time acknowledged_at = 0;  // last acknowledgement to a member of another zone
   };
-  struct Group {  // the runners of one zone
-    std::map<ShortId, double> held;
-    std::vector<std::uint16_t> failed;
-    bool untold = false;
-    int home = kUnheard, number = 0;
-    Time chosen = 0, said = 0;
+  struct ZoneGroup {  // the runners of one zone
+    std::map<ShortId, double> in_use;
+    std::vector<std::uint16_t> failures;
+    bool pending = false;
+    int relay = kUnset, sequence = 0;
+    Time selected_at = 0, sent_at = 0;
   };
-  struct Sum {
+  struct RunnerTotal {
     int slots = 0;
     bool changed = false;
-    Time told = 0, empty_since = 0;
+    Time sent_at = 0, empty_since = 0;
   };
 
-  void Choose(int zone, Group* group, Time now);
-  bool Serves(Time now) const { return now - served_at_ < kServes; }
-  void Word(int peer, Stream* stream, std::string_view entries, Time now);
-  void Digest(Stream* stream, std::string_view entries, Time now);
-  void DropSilent(Time now);
-  void Change(ShortId runner, int more, Time now);
-  void TellWord(int zone, Group* group, Time now, std::vector<Datagram>* all);
-  void TellDigests(Time now, std::vector<Datagram>* all);
-  int Better(Time now) const;
-  void TellDigest(const std::string& base, std::size_t first, const std::vector<ShortId>& runners, Time now,
-                  std::vector<Datagram>* all);
-  void TellMembers(Time now, std::vector<Datagram>* all);
-  void Members(std::string_view numbers);
-  void Due(Time at);
-  void Drop(Stream* stream);
+  void SelectRelay(int zone, ZoneGroup* group, Time now);
+  bool IsActive(Time now) const { return now - last_update_at_ < kActiveTime; }
+  void HandleUpdate(int peer, Stream* stream, std::string_view entries, Time now);
+  void HandleDigest(Stream* stream, std::string_view entries, Time now);
+  void DropSilentRelays(Time now);
+  void AdjustTotal(ShortId runner, int delta, Time now);
+  void SendUpdate(int zone, ZoneGroup* group, Time now, std::vector<Datagram>* datagrams);
+  void SendDigests(Time now, std::vector<Datagram>* datagrams);
+  int BetterActiveRelay(Time now) const;
+  void SendDigest(const std::string& base, std::size_t first, const std::vector<ShortId>& runners, Time now,
+                  std::vector<Datagram>* datagrams);
+  void SendMemberList(Time now, std::vector<Datagram>* datagrams);
+  void HandleMemberList(std::string_view numbers);
+  void ScheduleAt(Time at);
+  void DropEntries(Stream* stream);
   static std::uint64_t Rank(int peer);
 
   const int life_, number_, tier_, zone_;
-  Sums* sums_;
+  SlotTotals* totals_;
   Time due_at_ = 0;
-  std::map<int, Group> groups_;  // by zone
-  std::map<int, Peer> peers_;    // by number
+  std::map<int, ZoneGroup> groups_;  // by zone
+  std::map<int, Peer> peers_;        // by number
   std::map<int, std::vector<std::pair<std::uint64_t, int>>>
-      ranked_;            // by zone; the own one includes this dispatcher
-  std::set<int> relays_;  // active relays, whose digests count
+      ranked_;                   // by zone; the own one includes this dispatcher
+  std::set<int> active_relays_;  // active relays, whose digests count
   // As a relay: the slots that all members use, including this one while it is its own relay.
-  std::map<ShortId, Sum> total_;
-  std::vector<std::uint16_t> agreed_;
-  Time served_at_, digest_at_ = 0, members_at_ = 0;
+  std::map<ShortId, RunnerTotal> zone_totals_;
+  std::vector<std::uint16_t> confirmed_failures_;
+  Time last_update_at_, digest_at_ = 0, members_at_ = 0;
   int digest_number_ = 0;
-  std::size_t left_out_ = 0;
+  std::size_t dropped_entries_ = 0;
 };
 
 }  // namespace lichenlug
--- a/src/peers/sums.h
+++ b/src/peers/slot_totals.h
@@ -21,18 +21,18 @@
 
 using ShortId = std::uint16_t;  // twelve bits
 
-inline constexpr std::size_t kEntry = 2;
-inline constexpr int kMaxSlots = 11, kFailed = 12, kMaxClasses = 4;
-inline constexpr int kNoZone = 255, kUnheard = -1;  // no zones; unknown peer or zone
+inline constexpr std::size_t kEntryBytes = 2;
+inline constexpr int kMaxSlots = 11, kFailureBase = 12, kMaxClasses = 4;
+inline constexpr int kNoZone = 255, kUnset = -1;  // no zones; unknown peer or zone
 
-void AppendEntry(std::string* bytes, ShortId runner, int said);
+void AppendEntry(std::string* bytes, ShortId runner, int value);
 std::uint16_t EntryAt(std::string_view bytes, std::size_t at);
-int SlotsToSay(double slots);
+int ToWireSlots(double slots);
 
 // Detects reordered datagrams by their sequence number (0 to 7). Reordering spans milliseconds only: shortly
 // after a datagram, one with a number just behind it is older. `last` below 0: none was received yet.
-inline bool IsOlder(int last, Time heard, int number, Time now) {
-  return last >= 0 && now - heard < kSecond / 10 && (last - number + 8) % 8 < 4;
+inline bool IsReordered(int last, Time last_at, int number, Time now) {
+  return last >= 0 && now - last_at < kSecond / 10 && (last - number + 8) % 8 < 4;
 }
 
 class HoldingsObserver {
@@ -42,36 +42,39 @@
   virtual void Failing(const std::string& runner, int cls) = 0;
 };
 
-class Sums {
+class SlotTotals {
  public:
-  static constexpr Time kAgree = 4 * kSecond;
+  static constexpr Time kAgreementWindow = 4 * kSecond;
 
   // `zone`: of this dispatcher, also used for runners of unknown zone. `classes`: number of job classes.
-  Sums(int zone, int classes, HoldingsObserver* heard) : zone_(zone), classes_(classes), heard_(heard) {}
+  SlotTotals(int zone, int classes, HoldingsObserver* observer)
+      : zone_(zone), classes_(classes), observer_(observer) {}
 
-  static ShortId Short(std::string_view runner);
+  static ShortId ToShortId(std::string_view runner);
 
   // Registers a runner and its zone. Sums of unregistered runners are kept and reported on registration.
-  void Name(const std::string& runner, int zone);
-  void Forget(const std::string& runner);
-  void ForgetAll() { names_.clear(); }
+  void RegisterRunner(const std::string& runner, int zone);
+  void RemoveRunner(const std::string& runner);
+  void RemoveAllRunners() { runners_.clear(); }
   int ZoneOf(const std::string& runner) const;
 
   void Add(ShortId runner, int slots);  // to the slots used there by others; may be negative
-  void Say(ShortId runner);             // reports the unchanged sum again, as fresh
+  void Republish(ShortId runner);       // reports the unchanged sum again, as fresh
 
-  // A peer reports a failure. True: another peer has reported it within kAgree.
-  bool Accuse(std::uint16_t entry, int peer, Time now);
-  void Failing(std::uint16_t entry);  // passes a confirmed failure to the observer
-  bool Known(std::uint16_t entry) const { return (entry & 0xf) - kFailed < classes_; }  // the class exists
-  void Fade(Time now);
+  // A peer reports a failure. True: another peer has reported it within kAgreementWindow.
+  bool RecordFailure(std::uint16_t entry, int peer, Time now);
+  void ReportFailing(std::uint16_t entry);  // passes a confirmed failure to the observer
+  bool IsKnownClass(std::uint16_t entry) const {
+    return (entry & 0xf) - kFailureBase < classes_;
+  }  // the class exists
+  void ExpireEntries(Time now);
 
  private:
   const int zone_, classes_;
-  HoldingsObserver* heard_;
-  std::map<ShortId, int> others_;
-  std::map<ShortId, std::map<std::string, int>> names_;    // runner id to zone
-  std::map<std::uint16_t, std::pair<int, Time>> accused_;  // by entry: the last reporting peer and the time
+  HoldingsObserver* observer_;
+  std::map<ShortId, int> totals_;
+  std::map<ShortId, std::map<std::string, int>> runners_;   // runner id to zone
+  std::map<std::uint16_t, std::pair<int, Time>> failures_;  // by entry: the last reporting peer and the time
 };
 
 }  // namespace lichenlug
--- a/src/peers/transport.h
+++ b/src/peers/transport.h
@@ -36,25 +36,25 @@
   // To be called when Holdings may have new updates; schedules their sending.
   void Changed();
 
-  std::size_t strangers() const { return strangers_; }
+  std::size_t unknown_senders() const { return unknown_senders_; }
 
  private:
-  void Await();
-  void Take();
+  void AwaitDatagrams();
+  void ReceiveAvailable();
   void Send();
-  void EverySecond();
+  void RunPeriodicTasks();
   void Greet(const asio::ip::udp::endpoint& peer, const std::string& greeting);
 
   const PeerSettings settings_;
   Holdings* holdings_;
   Deadlines* deadlines_;
   asio::ip::udp::socket socket_;
-  std::map<asio::ip::udp::endpoint, int> numbers_;
-  std::array<char, Holdings::kMaxBytes + 1> bytes_;
+  std::map<asio::ip::udp::endpoint, int> peer_numbers_;
+  std::array<char, Holdings::kMaxBytes + 1> receive_buffer_;
   Deadlines::Key due_;
   Time due_at_ = 0;
-  Time greeted_ = 0;
-  std::size_t strangers_ = 0;
+  Time last_greeting_at_ = 0;
+  std::size_t unknown_senders_ = 0;
 };
 
 }  // namespace lichenlug
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -9,16 +9,16 @@
 #include <random>
 #include <variant>
 
-#include "heard.h"
+#include "recording_observer.h"
 #include "rookgw/brain.h"
 
 namespace lichenlug {
 namespace {
 
-struct One {
-  Heard heard;
+struct Dispatcher {
+  RecordingObserver observer;
   Holdings holdings;
-  explicit One(std::uint64_t seed, int zone = kNoZone) : holdings(seed, {0, 3, zone}, 2, &heard) {
+  explicit Dispatcher(std::uint64_t seed, int zone = kNoZone) : holdings(seed, {0, 3, zone}, 2, &observer) {
     for (const char* runner : {"r1", "r2"}) holdings.Name(runner, 0);
   }
   bool HandleMessage(int peer, const std::string& bytes, Time now) {
@@ -35,76 +35,76 @@
   }
 };
 
-TEST(Holdings, AddsUpWhatPeersHoldAndALiarAddsABoundedNumber) {
-  One a(1), b(2), c(3);
+TEST(Holdings, AddsUpPeerSlotsAndBoundsExcessiveCounts) {
+  Dispatcher a(1), b(2), c(3);
   EXPECT_TRUE(c.HandleMessage(0, a.Hold("r1", 2, 1), 1));
   EXPECT_TRUE(c.HandleMessage(1, b.Hold("r1", 1, 1), 1));
   EXPECT_TRUE(c.HandleMessage(1, b.Hold("r2", 1e6, 2), 2));
-  EXPECT_EQ(c.heard.held, (std::map<std::string, int>{{"r1", 3}, {"r2", 11}}));
+  EXPECT_EQ(c.observer.held, (std::map<std::string, int>{{"r1", 3}, {"r2", 11}}));
 }
 
-TEST(Holdings, EndsWaitForCompanyAndSendsDoNot) {
-  One a(1);
+TEST(Holdings, BatchesDecreasesAndSendsIncreasesAtOnce) {
+  Dispatcher a(1);
   EXPECT_EQ(a.Hold("r1", 1, 1000).size(), 3u);
   a.holdings.Hold("r1", -1, 2000);
-  EXPECT_EQ(a.holdings.DueAt(), 2000 + Holdings::kGatherEnds);
+  EXPECT_EQ(a.holdings.DueAt(), 2000 + Holdings::kDecreaseDelay);
   EXPECT_TRUE(a.holdings.MakeDatagrams(2000).empty());
   EXPECT_EQ(a.Hold("r2", 1, 3000).size(), 5u);
   EXPECT_EQ(a.holdings.DueAt(), 0);
 }
 
-TEST(Holdings, LossCopiesAndOvertakingLeaveTheLatestWord) {
-  One a(1), b(2);
+TEST(Holdings, LossDuplicatesAndReorderingLeaveTheLatestCount) {
+  Dispatcher a(1), b(2);
   const std::string late = a.Hold("r1", 1, 1), last = a.Hold("r1", 1, 5);
   EXPECT_TRUE(b.HandleMessage(0, last, 10));
   EXPECT_FALSE(b.HandleMessage(0, late, 20));
   b.HandleMessage(0, last, 30);
-  EXPECT_EQ(b.heard.held["r1"], 2);
+  EXPECT_EQ(b.observer.held["r1"], 2);
 }
 
-TEST(Holdings, ANewLifeTakesBackWhatTheOldOneSaidAndIsGreeted) {
-  One old(1), fresh(2), b(3);
+TEST(Holdings, RestartDiscardsOldEntriesAndIsGreeted) {
+  Dispatcher old(1), fresh(2), b(3);
   b.HandleMessage(0, old.Hold("r1", 4, 1), 1);
-  EXPECT_EQ(b.heard.held["r1"], 4);
+  EXPECT_EQ(b.observer.held["r1"], 4);
   bool greet = false;
   b.holdings.HandleMessage(0, fresh.holdings.Greeting(), 1000, &greet);
   EXPECT_TRUE(greet);
-  EXPECT_EQ(b.heard.held["r1"], 0);
+  EXPECT_EQ(b.observer.held["r1"], 0);
 }
 
-TEST(Holdings, WhatAVanishedPeerSaidFades) {
-  One a(1), b(2);
+TEST(Holdings, EntriesOfAVanishedPeerExpire) {
+  Dispatcher a(1), b(2);
   b.HandleMessage(0, a.Hold("r1", 1, 1), 1);
-  b.holdings.Fade(Holdings::kFade);
-  EXPECT_EQ(b.heard.held["r1"], 1);
-  b.holdings.Fade(Holdings::kFade + 1);
-  EXPECT_EQ(b.heard.held["r1"], 0);
+  b.holdings.ExpireEntries(Holdings::kEntryTtl);
+  EXPECT_EQ(b.observer.held["r1"], 1);
+  b.holdings.ExpireEntries(Holdings::kEntryTtl + 1);
+  EXPECT_EQ(b.observer.held["r1"], 0);
 }
 
-TEST(Holdings, OneAccuserIsNotBelievedTwoAreAndAClassThatIsNoneNever) {
-  One a(1), b(2), c(3);
+TEST(Holdings, FailuresNeedTwoReportersAndAKnownClass) {
+  Dispatcher a(1), b(2), c(3);
   for (int i = 1; i <= 5; ++i) c.HandleMessage(0, a.Failed(1, i * kSecond), i * kSecond);
-  EXPECT_EQ(c.heard.failing, 0);
+  EXPECT_EQ(c.observer.failing, 0);
   c.HandleMessage(1, b.Failed(1, 6 * kSecond), 6 * kSecond);
-  EXPECT_EQ(c.heard.failing, 1);
+  EXPECT_EQ(c.observer.failing, 1);
   c.HandleMessage(0, a.Failed(2, 7 * kSecond), 7 * kSecond),
       c.HandleMessage(1, b.Failed(2, 7 * kSecond), 7 * kSecond);
-  EXPECT_EQ(c.heard.failing, 1);
+  EXPECT_EQ(c.observer.failing, 1);
   EXPECT_EQ(c.holdings.dropped(), 2u);
 }
 
-TEST(Holdings, TellsOnlyTheRunnersZoneAndTheOwnOneOfWhatIsUnknown) {
-  One a(1, 0);
+TEST(Holdings, SendsUpdatesToTheRunnersZoneOrOwnZoneIfUnknown) {
+  Dispatcher a(1, 0);
   a.holdings.Name("far", 2), a.holdings.Name("nowhere", -1);
   for (const char* runner : {"r1", "far", "nowhere", "gone"}) a.holdings.Hold(runner, 1, 1);
-  const auto told = a.holdings.MakeDatagrams(1);
-  ASSERT_EQ(told.size(), 2u);
-  EXPECT_EQ(told[0].zone, 0);
-  EXPECT_EQ(told[1].zone, 2);
+  const auto datagrams = a.holdings.MakeDatagrams(1);
+  ASSERT_EQ(datagrams.size(), 2u);
+  EXPECT_EQ(datagrams[0].zone, 0);
+  EXPECT_EQ(datagrams[1].zone, 2);
 }
 
-TEST(Holdings, AZonePastWhatAByteNamesIsNone) {
-  One a(1, 300), b(2, 44);  // 300 truncated to a byte is 44
+TEST(Holdings, ZoneOutOfByteRangeCountsAsNone) {
+  Dispatcher a(1, 300), b(2, 44);  // 300 truncated to a byte is 44
   bool greet = false;
   b.holdings.HandleMessage(0, a.holdings.Greeting(), 1, &greet);
   EXPECT_EQ(b.holdings.ZoneOf(0), kNoZone);
@@ -112,29 +112,29 @@
   EXPECT_EQ(b.holdings.MakeDatagrams(1).at(0).zone, 44);
 }
 
-TEST(Holdings, ARunnerThatLeavesAndComesBackIsHeardOfWithItsSum) {
-  One a(1), b(2);
+TEST(Holdings, RunnerThatIsRemovedAndAddedAgainKeepsItsSum) {
+  Dispatcher a(1), b(2);
   b.holdings.Forget("r1");
   b.HandleMessage(0, a.Hold("r1", 2, 1), 1);
-  EXPECT_EQ(b.heard.held.count("r1"), 0u);
+  EXPECT_EQ(b.observer.held.count("r1"), 0u);
   b.holdings.Name("r1", 0);
-  EXPECT_EQ(b.heard.held["r1"], 2);
+  EXPECT_EQ(b.observer.held["r1"], 2);
 }
 
-TEST(Holdings, RubbishIsDroppedCountedAndHarmless) {
-  One b(2);
+TEST(Holdings, MalformedDatagramsAreDroppedAndCounted) {
+  Dispatcher b(2);
   std::mt19937_64 random(7);
   std::size_t refused = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string bytes(random() % 300, '\0');
     for (char& c : bytes) c = static_cast<char>(random());
     refused += !b.HandleMessage(static_cast<int>(random() % 100), bytes, i * 1000);
-    for (const auto& [runner, slots] : b.heard.held) ASSERT_GE(slots, 0) << runner;
+    for (const auto& [runner, slots] : b.observer.held) ASSERT_GE(slots, 0) << runner;
   }
   EXPECT_GE(b.holdings.dropped(), refused);  // reports of unknown classes are counted too
   EXPECT_FALSE(b.HandleMessage(0, "", 1));
-  b.holdings.Fade(20000 * 1000 + Holdings::kFade);
-  for (const auto& [runner, slots] : b.heard.held) EXPECT_EQ(slots, 0) << runner;
+  b.holdings.ExpireEntries(20000 * 1000 + Holdings::kEntryTtl);
+  for (const auto& [runner, slots] : b.observer.held) EXPECT_EQ(slots, 0) << runner;
 }
 
 // One of a hundred nodes, with two workers, that receives the slot counts of the others.
@@ -148,28 +148,28 @@
     s.classes.push_back({.name = "c", .aim = 300000, .stretch = 2, .deadline = 5000000});
     return s;
   }
-  void SetUp() override { Begin(0); }
-  void Begin(int ordinal) {
+  void SetUp() override { StartNode(0); }
+  void StartNode(int ordinal) {
     rookgw::Settings site = Site();
     site.ordinal = ordinal;
     scheduler_ = rookgw::Scheduler(site, 1 + static_cast<std::uint64_t>(ordinal));
     scheduler_.Start(1, &actions_);
     List(0);
   }
-  void Tell(const rookgw::Event& event) {
+  void HandleEvent(const rookgw::Event& event) {
     actions_.clear();
     scheduler_.Handle(now_ += 1000, event, &actions_);
   }
   void List(Time first_since) {
     const std::vector<rookgw::ListedWorker> list{{.id = "r1", .since = first_since}, {.id = "r2"}};
-    Tell(rookgw::ListChanged{rookgw::ListChanged::Form::kWhole, 1, list});
+    HandleEvent(rookgw::ListChanged{rookgw::ListChanged::Form::kWhole, 1, list});
   }
   // Without load reports, the node uses the counts of its peers.
-  void Sweep() { Tell(rookgw::TimerFired{"sweep"}); }
+  void Sweep() { HandleEvent(rookgw::TimerFired{"sweep"}); }
   void Report(const std::string& worker, double free, double active) {
     rookgw::LoadReport report;
     report.free_slots = free, report.active = active;
-    Tell(rookgw::ProbeEnded{worker, true, 1, report});
+    HandleEvent(rookgw::ProbeEnded{worker, true, 1, report});
   }
   void ReportIdle() {
     for (int i = 0; i < 3; ++i) Report("r1", 5, 0), Report("r2", 5, 0);
@@ -177,7 +177,7 @@
   std::string Place(std::uint64_t key) {  // the worker of one more job; empty: queued
     rookgw::RequestArrived job;
     job.id = ++jobs_, job.key = key, job.valid_until = now_ + 5 * kSecond;
-    Tell(job);
+    HandleEvent(job);
     for (const auto& action : actions_)
       if (const auto* sent = std::get_if<rookgw::Dispatch>(&action)) return sent->worker;
     return {};
@@ -189,29 +189,29 @@
   std::uint64_t jobs_ = 0;
 };
 
-TEST_F(PeerReport, ANodeDoesNotCrowdARunnerThatOthersHaveFilled) {
+TEST_F(PeerReport, AvoidsARunnerThatOthersHaveFilled) {
   List(0);
   ReportIdle();
   Sweep();
   const std::string home = Place(7), other = home == "r1" ? "r2" : "r1";
-  Tell(rookgw::PeerReport{home, 2}), Tell(rookgw::PeerReport{other, 4});
+  HandleEvent(rookgw::PeerReport{home, 2}), HandleEvent(rookgw::PeerReport{other, 4});
   EXPECT_EQ(Place(7), home);
-  Tell(rookgw::PeerReport{home, 4});
+  HandleEvent(rookgw::PeerReport{home, 4});
   EXPECT_EQ(Place(7), other);
 }
 
 // One slot is free in the whole zone, and a hundred nodes with queued jobs all see it.
-TEST_F(PeerReport, FewOfThoseThatSeeOneFreeSlotChaseIt) {
+TEST_F(PeerReport, FewNodesSendToASingleFreeSlot) {
   std::vector<rookgw::ListedWorker> list;
   for (int i = 1; i <= 20; ++i) list.push_back({.id = "r" + std::to_string(i)});
-  Tell(rookgw::ListChanged{rookgw::ListChanged::Form::kWhole, 1, list});
+  HandleEvent(rookgw::ListChanged{rookgw::ListChanged::Form::kWhole, 1, list});
   ReportIdle();
   Sweep();
   int taken = 0;
   for (std::uint64_t key = 0; key < 30; ++key) {
-    for (const auto& worker : list) Tell(rookgw::PeerReport{worker.id, 50});
+    for (const auto& worker : list) HandleEvent(rookgw::PeerReport{worker.id, 50});
     EXPECT_EQ(Place(key), "");
-    Tell(rookgw::PeerReport{"r1", 4});
+    HandleEvent(rookgw::PeerReport{"r1", 4});
     Sweep();
     bool sent = false;
     for (const auto& action : actions_) sent = sent || std::holds_alternative<rookgw::Dispatch>(action);
@@ -219,7 +219,7 @@
     ++taken, now_ += 300000;  // it completes
     rookgw::AttemptEnded served;
     served.worker = "r1", served.id = jobs_, served.complete = true;
-    Tell(served);
+    HandleEvent(served);
   }
   EXPECT_GT(taken, 0);   // r1 is in the worker set of some jobs
   EXPECT_LT(taken, 15);  // it would be all of them if each node took every free slot that it sees
@@ -231,7 +231,7 @@
   for (int i = 0; i < 3; ++i) Report("r1", 1, 4), Report("r2", 1, 4);
   for (int i = 0; i < 300; ++i) Report("r1", 0, 5), Report("r2", 0, 5);
   Sweep();
-  Tell(rookgw::PeerReport{"r1", 4}), Tell(rookgw::PeerReport{"r2", 4});
+  HandleEvent(rookgw::PeerReport{"r1", 4}), HandleEvent(rookgw::PeerReport{"r2", 4});
   const std::string first = Place(7);
   EXPECT_FALSE(first.empty());
   EXPECT_EQ(Place(7), first == "r1" ? "r2" : "r1");
@@ -239,17 +239,17 @@
 
 // A hundred nodes that all see the same free slots at a cold worker send it its warm-up budget in total, not
 // one job each; and none sends to a worker that the peers report as full.
-TEST_F(PeerReport, AColdWorkerThatAllSeeFreeTakesItsBudgetFromAllTogether) {
+TEST_F(PeerReport, ColdWorkerReceivesItsBudgetFromAllNodesTogether) {
   const Time start = now_;
   int while_free = 0, while_full = 0;
   for (int ordinal = 0; ordinal < 100; ++ordinal) {
     now_ = start;
-    Begin(ordinal);
+    StartNode(ordinal);
     for (std::uint64_t key = 0; key < 20; ++key) {  // it learns a run time of 0.3 s per job
       rookgw::AttemptEnded served;
       served.worker = Place(key), served.id = jobs_, served.complete = true;
       now_ += 300000;
-      Tell(served);
+      HandleEvent(served);
     }
     const Time since = start + 20 * kSecond;
     now_ = since + 10000;
@@ -259,8 +259,8 @@
         now_ = since + (held == 0 ? span : span + 3) * kSecond + 500000;
         ReportIdle();
         Sweep();
-        Tell(rookgw::PeerReport{"r2", 200});  // the warm worker is full
-        Tell(rookgw::PeerReport{"r1", held});
+        HandleEvent(rookgw::PeerReport{"r2", 200});  // the warm worker is full
+        HandleEvent(rookgw::PeerReport{"r1", held});
         // One job per span: with more, its own reports would be frequent and it would ignore the peers'
         // counts.
         (held == 0 ? while_free : while_full) += Place(1000 * span) == "r1";
@@ -273,16 +273,16 @@
 }
 
 // With many jobs, and so many load reports, peer counts change nothing: small tiers behave as without them.
-TEST_F(PeerReport, IsPassedOverWhereReportsAreFresh) {
+TEST_F(PeerReport, IsIgnoredWhileReportsAreFresh) {
   List(0);
   for (std::uint64_t key = 0; key < 200; ++key) {
     rookgw::AttemptEnded served;
     served.worker = Place(key), served.id = jobs_, served.complete = true;
-    Tell(served);
+    HandleEvent(served);
   }
   Sweep();
   ReportIdle();
-  Tell(rookgw::PeerReport{"r1", 1e5}), Tell(rookgw::PeerReport{"r2", 1e5});
+  HandleEvent(rookgw::PeerReport{"r1", 1e5}), HandleEvent(rookgw::PeerReport{"r2", 1e5});
   EXPECT_FALSE(Place(8).empty());
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -5,11 +5,11 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "heard.h"
 #include "peers/extension.h"
 #include "peers/holdings.h"
 #include "peers/membership_facts.h"
 #include "peers/membership_words.h"
+#include "recording_observer.h"
 #include "virtual_net.h"
 
 namespace lichenlug {
@@ -118,15 +118,15 @@
       std::string("\x23") + std::string(255, '\x7f'),
   };
   for (const int tier : {3, 100}) {
-    Heard heard;
-    Holdings older(4, {0, tier, 0}, 2, &heard);
+    RecordingObserver observer;
+    Holdings older(4, {0, tier, 0}, 2, &observer);
     older.Name("r1", 0);
     bool greet = false;
     for (int peer = 1; peer < 3; ++peer) older.HandleMessage(peer, {"\x60\x00", 2}, 1, &greet);
     std::string word = "\x60";  // version 1, life 4
-    AppendEntry(&word, Sums::Short("r1"), 3);
+    AppendEntry(&word, SlotTotals::ToShortId("r1"), 3);
     ASSERT_TRUE(older.HandleMessage(1, word, 2, &greet));
-    const auto before = heard.held;
+    const auto before = observer.held;
     const std::size_t dropped = older.dropped();
     ASSERT_EQ(before.at("r1"), 3);
     for (const std::string& bytes : recorded) {
@@ -134,7 +134,7 @@
       EXPECT_FALSE(older.HandleMessage(1, bytes, 3, &greet)) << tier;
       EXPECT_FALSE(greet);
     }
-    EXPECT_EQ(heard.held, before);
+    EXPECT_EQ(observer.held, before);
     EXPECT_EQ(older.dropped(), dropped + std::size(recorded));
     EXPECT_TRUE(older.MakeDatagrams(kSecond).empty());
   }
--- a/tests/heard.h
+++ b/tests/recording_observer.h
@@ -4,11 +4,11 @@
 #include <map>
 #include <string>
 
-#include "peers/sums.h"
+#include "peers/slot_totals.h"
 
 namespace lichenlug {
 
-struct Heard : HoldingsObserver {
+struct RecordingObserver : HoldingsObserver {
   std::map<std::string, int> held;
   int failing = 0;
   void Held(const std::string& runner, int slots) override { held[runner] = slots; }
