--- a/cmake/parts.cmake
+++ b/cmake/parts.cmake
@@ -8,8 +8,8 @@
 find_library(XXHASH_LIBRARY xxhash REQUIRED)
 
 static_library(lichenlug_membership
-               SOURCES src/peers/membership.cpp src/peers/membership_facts.cpp src/peers/membership_judge.cpp
-                       src/peers/membership_probe.cpp src/peers/membership_table.cpp src/peers/membership_words.cpp
+               SOURCES src/peers/membership.cpp src/peers/membership_facts.cpp src/peers/membership_suspicion.cpp
+                       src/peers/membership_probe.cpp src/peers/membership_table.cpp src/peers/membership_codec.cpp
                USES lichenlug_base)
 target_include_directories(lichenlug_membership SYSTEM PRIVATE ${XXHASH_INCLUDE})
 static_library(lichenlug_checkpoints
--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -22,13 +22,13 @@
 
 enum class Kind : std::uint8_t { kMembership = 1, kDeaths = 2, kJobs = 3 };  // 4 to 7: unassigned
 
-struct Read {
+struct Decoded {
   Kind kind;
   std::string_view body;  // may end with one zero byte of padding
 };
 
 // `life`: 0 to 7, the life tag that Holdings sends. `body`: 1 to PeerProtocol::kMaxBody bytes.
-inline std::string Make(int life, Kind kind, std::string_view body) {
+inline std::string Encode(int life, Kind kind, std::string_view body) {
   std::string bytes(1, static_cast<char>((life & 7) << 3 | static_cast<int>(kind)));
   bytes += body;
   if (bytes.size() % 2 != 0) bytes += '\0';
@@ -36,12 +36,12 @@
 }
 
 // nullopt: not an extension datagram.
-inline std::optional<Read> Take(std::string_view bytes) {
+inline std::optional<Decoded> Decode(std::string_view bytes) {
   if (bytes.size() < 2 || bytes.size() % 2 != 0) return std::nullopt;
-  const auto head = static_cast<std::uint8_t>(bytes[0]);
-  const int kind = head & 7;
-  if (head >> 6 != 0 || kind < 1 || kind > 7) return std::nullopt;
-  return Read{static_cast<Kind>(kind), bytes.substr(1)};
+  const auto header = static_cast<std::uint8_t>(bytes[0]);
+  const int kind = header & 7;
+  if (header >> 6 != 0 || kind < 1 || kind > 7) return std::nullopt;
+  return Decoded{static_cast<Kind>(kind), bytes.substr(1)};
 }
 
 }  // namespace lichenlug::extension
--- a/src/peers/membership.h
+++ b/src/peers/membership.h
@@ -15,18 +15,18 @@
 
 class Membership : public PeerProtocol {
  public:
-  struct Place {
+  struct Identity {
     int number = 0;  // of this dispatcher
     int tier = 1;    // number of dispatchers in the configuration
     int zone = -1;   // below 0: no zones
   };
 
   // `life`: the start of this process in Unix microseconds; it grows with each restart of the same number.
-  Membership(const Place& place, std::uint64_t life, std::uint64_t seed, Time now);
+  Membership(const Identity& identity, std::uint64_t life, std::uint64_t seed, Time now);
   ~Membership() override;
 
   // A datagram of another protocol was received from this peer, which shows that it is alive.
-  void Evidence(int peer, Time now);
+  void RecordContact(int peer, Time now);
 
   // The peer's address refused a datagram (ICMP port unreachable). Such a failure is certain and is confirmed
   // sooner than silence.
--- a/src/peers/membership_words.cpp
+++ b/src/peers/membership_codec.cpp
@@ -1,4 +1,4 @@
-#include "peers/membership_words.h"
+#include "peers/membership_codec.h"
 
 #include <concepts>
 
@@ -16,12 +16,12 @@
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::size_t remaining() const { return bytes_.size() - at_; }
   bool good() const { return good_; }
-  void Need(bool holds) { good_ = good_ && holds; }
+  void Require(bool condition) { good_ = good_ && condition; }
 
   std::uint64_t Get(int count) {
-    if (left() < static_cast<std::size_t>(count)) return good_ = false, 0;
+    if (remaining() < static_cast<std::size_t>(count)) return good_ = false, 0;
     std::uint64_t value = 0;
     for (int i = 0; i < count; ++i)
       value |= std::uint64_t{static_cast<std::uint8_t>(bytes_[at_++])} << (8 * i);
@@ -54,13 +54,13 @@
   fact.round = in->Get<std::uint8_t>(), fact.zone = in->Get<std::uint8_t>();
   const int flags = in->Get<std::uint8_t>(), count = flags >> kCountShift;
   fact.left = flags & kLeft, fact.dead = flags & kDead;
-  in->Need(number < tier && fact.life != 0 && (flags & 0xc) == 0 &&
-           count <= Fact::kMaxPerZone * Fact::kMaxZones);
+  in->Require(number < tier && fact.life != 0 && (flags & 0xc) == 0 &&
+              count <= Fact::kMaxPerZone * Fact::kMaxZones);
   for (int i = 0; i < count && in->good(); ++i) {
     const auto who = in->Get<std::uint16_t>();
     const auto zone = in->Get<std::uint8_t>();
     const int weight = who >> kWeightShift, accuser = who & ((1 << kWeightShift) - 1);
-    in->Need(weight <= static_cast<int>(Weight::kRefused) && accuser < tier && accuser != number);
+    in->Require(weight <= static_cast<int>(Weight::kRefused) && accuser < tier && accuser != number);
     fact.accusers.push_back({static_cast<std::uint16_t>(accuser), zone, static_cast<Weight>(weight)});
   }
   message->facts.emplace_back(number, std::move(fact));
@@ -68,8 +68,8 @@
 
 void PutLinks(std::string* bytes, std::uint16_t number, const BadLinks& links) {
   Put(bytes, kLinks, 1), Put(bytes, number, 2), Put(bytes, links.life, kLifeBytes);
-  Put(bytes, links.version, 2), Put(bytes, links.unheard.size(), 1);
-  for (const std::uint16_t it : links.unheard) Put(bytes, it, 2);
+  Put(bytes, links.version, 2), Put(bytes, links.silent.size(), 1);
+  for (const std::uint16_t it : links.silent) Put(bytes, it, 2);
 }
 
 void GetLinks(Reader* in, int tier, Message* message) {
@@ -78,10 +78,10 @@
   links.life = in->Get(kLifeBytes);
   links.version = in->Get<std::uint16_t>();
   const std::size_t count = in->Get<std::uint8_t>();
-  in->Need(number < tier && links.life != 0 && count <= BadLinks::kMax);
+  in->Require(number < tier && links.life != 0 && count <= BadLinks::kMax);
   for (std::size_t i = 0; i < count && in->good(); ++i) {
-    links.unheard.push_back(in->Get<std::uint16_t>());
-    in->Need(links.unheard.back() < tier);
+    links.silent.push_back(in->Get<std::uint16_t>());
+    in->Require(links.silent.back() < tier);
   }
   message->links.emplace_back(number, std::move(links));
 }
@@ -89,9 +89,9 @@
 }  // namespace
 
 std::size_t SizeOf(const Fact& fact) { return 15 + 3 * fact.accusers.size(); }
-std::size_t SizeOf(const BadLinks& links) { return 13 + 2 * links.unheard.size(); }
+std::size_t SizeOf(const BadLinks& links) { return 13 + 2 * links.silent.size(); }
 
-std::string Write(const Message& message) {
+std::string EncodeMessage(const Message& message) {
   std::string bytes;
   Put(&bytes, kVersion << 4 | static_cast<int>(message.kind), 1);
   Put(&bytes, message.nonce, 2), Put(&bytes, message.other, 2), Put(&bytes, message.slice ? kHasSlice : 0, 1);
@@ -103,7 +103,7 @@
   return bytes;
 }
 
-std::optional<Message> ReadMessage(std::string_view body, int tier) {
+std::optional<Message> DecodeMessage(std::string_view body, int tier) {
   if (body.size() > PeerProtocol::kMaxBody + 1) return std::nullopt;
   Reader in(body);
   Message message;
@@ -111,20 +111,20 @@
   message.kind = static_cast<Kind>(head & 0xf);
   message.nonce = in.Get<std::uint16_t>(), message.other = in.Get<std::uint16_t>();
   const auto flags = in.Get<std::uint8_t>();
-  in.Need(head >> 4 == kVersion && message.kind >= Kind::kPing && message.kind <= Kind::kNews &&
-          flags <= kHasSlice && (message.other == kNone || message.other < tier));
+  in.Require(head >> 4 == kVersion && message.kind >= Kind::kPing && message.kind <= Kind::kGossip &&
+             flags <= kHasSlice && (message.other == kNoMember || message.other < tier));
   if (in.good() && flags == kHasSlice) {
     message.slice.emplace();
     message.slice->index = in.Get<std::uint8_t>(), message.slice->hash = in.Get<std::uint32_t>();
   }
-  while (in.good() && in.left() > 0) {
+  while (in.good() && in.remaining() > 0) {
     const auto tag = in.Get<std::uint8_t>();
     if (tag == kFact)
       GetFact(&in, tier, &message);
     else if (tag == kLinks)
       GetLinks(&in, tier, &message);
     else
-      in.Need(tag == 0 && in.left() == 0);
+      in.Require(tag == 0 && in.remaining() == 0);
   }
   if (!in.good()) return std::nullopt;
   return message;
--- a/src/peers/membership_words.h
+++ b/src/peers/membership_codec.h
@@ -21,14 +21,14 @@
 
 namespace lichenlug::membership {
 
-inline constexpr std::uint16_t kNone = 65535;
+inline constexpr std::uint16_t kNoMember = 65535;
 
 enum class Kind : std::uint8_t {
-  kPing = 1,   // `other`: the member that requested the probe, which is to be answered, too
-  kAck = 2,    // `nonce` and `other` as in the ping
-  kAsk = 3,    // requests an indirect probe of `other`
-  kHeard = 4,  // `other` acknowledged the indirect probe with this nonce
-  kNews = 5,
+  kPing = 1,         // `other`: the member that requested the probe, which is to be answered, too
+  kAck = 2,          // `nonce` and `other` as in the ping
+  kPingRequest = 3,  // requests an indirect probe of `other`
+  kIndirectAck = 4,  // `other` acknowledged the indirect probe with this nonce
+  kGossip = 5,
 };
 
 struct Slice {
@@ -37,21 +37,21 @@
 };
 
 struct Message {
-  Kind kind = Kind::kNews;
+  Kind kind = Kind::kGossip;
   std::uint16_t nonce = 0;
-  std::uint16_t other = kNone;
+  std::uint16_t other = kNoMember;
   std::optional<Slice> slice;
   std::vector<std::pair<std::uint16_t, Fact>> facts;      // by member
   std::vector<std::pair<std::uint16_t, BadLinks>> links;  // by observer
 };
 
 // Facts and links that don't fit are left out.
-std::string Write(const Message& message);
+std::string EncodeMessage(const Message& message);
 std::size_t SizeOf(const Fact& fact);
 std::size_t SizeOf(const BadLinks& links);
-inline constexpr std::size_t kMaxHead = 11;
+inline constexpr std::size_t kMaxHeaderBytes = 11;
 
 // `tier`: number of members; a message with a higher member number is malformed.
-std::optional<Message> ReadMessage(std::string_view body, int tier);
+std::optional<Message> DecodeMessage(std::string_view body, int tier);
 
 }  // namespace lichenlug::membership
--- a/src/peers/membership_facts.cpp
+++ b/src/peers/membership_facts.cpp
@@ -6,13 +6,13 @@
 namespace lichenlug::membership {
 namespace {
 
-bool Heavier(const Accuser& a, const Accuser& b) {
+bool IsStronger(const Accuser& a, const Accuser& b) {
   return std::tuple(b.weight, a.number, a.zone) < std::tuple(a.weight, b.number, b.zone);
 }
 
 // Keeps the strongest accusers of each zone, and the zones of the strongest. Weights only grow, so an accuser
 // that is dropped here would be dropped by any later join as well.
-std::vector<Accuser> Bounded(const std::vector<Accuser>& a, const std::vector<Accuser>& b) {
+std::vector<Accuser> KeepStrongest(const std::vector<Accuser>& a, const std::vector<Accuser>& b) {
   std::map<std::pair<std::uint8_t, std::uint16_t>, Weight> all;
   for (const auto* some : {&a, &b})
     for (const Accuser& it : *some) {
@@ -23,7 +23,7 @@
   for (const auto& [key, weight] : all) zones[key.first].push_back({key.second, key.first, weight});
   std::vector<std::vector<Accuser>> ranked;
   for (auto& [zone, some] : zones) {
-    std::ranges::sort(some, Heavier);
+    std::ranges::sort(some, IsStronger);
     if (some.size() > Fact::kMaxPerZone) some.resize(Fact::kMaxPerZone);
     ranked.push_back(std::move(some));
   }
@@ -39,20 +39,20 @@
 
 }  // namespace
 
-bool Merge(Fact* known, const Fact& told) {
-  if (told.Epoch() < known->Epoch()) return false;
+bool Merge(Fact* known, const Fact& received) {
+  if (received.Epoch() < known->Epoch()) return false;
   const Fact before = *known;
-  if (told.Epoch() > known->Epoch()) *known = told;
-  known->dead = known->dead || told.dead;
-  known->zone = std::min(known->zone, told.zone);
-  known->accusers = Bounded(known->accusers, told.accusers);
+  if (received.Epoch() > known->Epoch()) *known = received;
+  known->dead = known->dead || received.dead;
+  known->zone = std::min(known->zone, received.zone);
+  known->accusers = KeepStrongest(known->accusers, received.accusers);
   return *known != before;
 }
 
-bool Merge(BadLinks* known, const BadLinks& told) {
-  const auto order = [](const BadLinks& it) { return std::tie(it.life, it.version, it.unheard); };
-  if (order(told) <= order(*known)) return false;
-  *known = told;
+bool Merge(BadLinks* known, const BadLinks& received) {
+  const auto order = [](const BadLinks& it) { return std::tie(it.life, it.version, it.silent); };
+  if (order(received) <= order(*known)) return false;
+  *known = received;
   return true;
 }
 
--- a/src/peers/membership_facts.h
+++ b/src/peers/membership_facts.h
@@ -42,12 +42,12 @@
   std::vector<Accuser> accusers;  // sorted by number; of this epoch only
 
   auto Epoch() const { return std::tuple(life, left, incarnation, round); }
-  bool Accused() const { return !accusers.empty() || dead; }
+  bool IsSuspectedOrDead() const { return !accusers.empty() || dead; }
   bool operator==(const Fact&) const = default;
 };
 
 // Merges a received fact into the known one. True: the known one has changed.
-bool Merge(Fact* known, const Fact& told);
+bool Merge(Fact* known, const Fact& received);
 
 // The members whose datagrams one observer doesn't receive. Written by the observer only.
 struct BadLinks {
@@ -55,11 +55,11 @@
 
   std::uint64_t life = 0;
   std::uint16_t version = 0;
-  std::vector<std::uint16_t> unheard;  // sorted by number
+  std::vector<std::uint16_t> silent;  // sorted by number
 
   bool operator==(const BadLinks&) const = default;
 };
 
-bool Merge(BadLinks* known, const BadLinks& told);
+bool Merge(BadLinks* known, const BadLinks& received);
 
 }  // namespace lichenlug::membership
--- a/src/peers/membership_table.cpp
+++ b/src/peers/membership_table.cpp
@@ -8,44 +8,44 @@
 
 namespace lichenlug::membership {
 
-Table::Table(int tier) : facts_(tier), links_(tier), told_(2 * static_cast<std::size_t>(tier), 0) {}
+Table::Table(int tier) : facts_(tier), links_(tier), times_sent_(2 * static_cast<std::size_t>(tier), 0) {}
 
 // A change is disseminated only if there are more accusers or stronger ones, not if only the kept subset
 // differs.
-bool Table::Put(int member, const Fact& told, bool news) {
+bool Table::Put(int member, const Fact& received, bool disseminate) {
   Fact& fact = facts_[member];
-  const auto gravity = [&fact] {
+  const auto strength = [&fact] {
     int sum = 0;
     for (const Accuser& it : fact.accusers) sum += 1 + static_cast<int>(it.weight);
     return std::tuple(fact.Epoch(), fact.dead, sum);
   };
-  const auto before = gravity();
-  if (!Merge(&fact, told)) return false;
-  if (news && gravity() != before) Queue(member);
+  const auto before = strength();
+  if (!Merge(&fact, received)) return false;
+  if (disseminate && strength() != before) Queue(member);
   return true;
 }
 
-bool Table::Put(int observer, const BadLinks& told) {
-  if (!Merge(&links_[observer], told)) return false;
+bool Table::Put(int observer, const BadLinks& received) {
+  if (!Merge(&links_[observer], received)) return false;
   QueueKey(tier() + observer);
   return true;
 }
 
-int Table::Tellings() const {
+int Table::Transmissions() const {
   const int all = 2 + std::bit_width(static_cast<unsigned>(tier()));
-  return pending_.size() > kMany ? kMinTellings : all;
+  return pending_.size() > kManyPending ? kMinTransmissions : all;
 }
 
 void Table::Queue(int member) { QueueKey(member); }
 
 void Table::QueueKey(int key) {
-  pending_.erase({told_[key], key});
-  told_[key] = 0;
+  pending_.erase({times_sent_[key], key});
+  times_sent_[key] = 0;
   pending_.insert({0, key});
 }
 
 bool Table::Fill(Message* message) {
-  std::size_t size = kMaxHead;
+  std::size_t size = kMaxHeaderBytes;
   for (const auto& [number, fact] : message->facts) size += SizeOf(fact);
   std::vector<int> chosen;
   for (const auto& [times, key] : pending_) {
@@ -60,27 +60,27 @@
              message->facts.end())
       message->facts.emplace_back(static_cast<std::uint16_t>(key), facts_[key]);
   }
-  const int tellings = Tellings();
+  const int transmissions = Transmissions();
   for (const int key : chosen) {
-    pending_.erase({told_[key], key});
-    if (++told_[key] < tellings) pending_.insert({told_[key], key});
+    pending_.erase({times_sent_[key], key});
+    if (++times_sent_[key] < transmissions) pending_.insert({times_sent_[key], key});
   }
   return !chosen.empty();
 }
 
 std::uint32_t Table::HashOf(int slice) const {
-  std::vector<std::uint64_t> words;
-  for (int i = slice * kSlice; i < std::min((slice + 1) * kSlice, tier()); ++i) {
+  std::vector<std::uint64_t> datagrams;
+  for (int i = slice * kSliceSize; i < std::min((slice + 1) * kSliceSize, tier()); ++i) {
     const Fact& it = facts_[i];
-    words.push_back(it.life);
-    words.push_back(std::uint64_t{it.incarnation} << 32 | it.round << 16 | it.zone << 8 | it.left << 1 |
-                    static_cast<int>(it.dead));
+    datagrams.push_back(it.life);
+    datagrams.push_back(std::uint64_t{it.incarnation} << 32 | it.round << 16 | it.zone << 8 | it.left << 1 |
+                        static_cast<int>(it.dead));
   }
-  return static_cast<std::uint32_t>(XXH3_64bits(words.data(), words.size() * sizeof(words[0])));
+  return static_cast<std::uint32_t>(XXH3_64bits(datagrams.data(), datagrams.size() * sizeof(datagrams[0])));
 }
 
 void Table::FillSlice(int slice, Message* message) const {
-  for (int i = slice * kSlice; i < std::min((slice + 1) * kSlice, tier()); ++i)
+  for (int i = slice * kSliceSize; i < std::min((slice + 1) * kSliceSize, tier()); ++i)
     if (facts_[i].life != 0) message->facts.emplace_back(static_cast<std::uint16_t>(i), facts_[i]);
 }
 
--- a/src/peers/membership_table.h
+++ b/src/peers/membership_table.h
@@ -10,47 +10,47 @@
 #include <utility>
 #include <vector>
 
+#include "peers/membership_codec.h"
 #include "peers/membership_facts.h"
-#include "peers/membership_words.h"
 
 namespace lichenlug::membership {
 
 class Table {
  public:
-  static constexpr int kSlice = 16;  // members per slice: as many as fit in a datagram
+  static constexpr int kSliceSize = 16;  // members per slice: as many as fit in a datagram
 
-  static constexpr int kMinTellings = 3;
-  static constexpr std::size_t kMany =
-      24;  // pending changes above which each is sent kMinTellings times only
+  static constexpr int kMinTransmissions = 3;
+  // With more pending changes than this, each is sent only kMinTransmissions times.
+  static constexpr std::size_t kManyPending = 24;
 
   explicit Table(int tier);
 
   int tier() const { return static_cast<int>(facts_.size()); }
-  const Fact& Of(int member) const { return facts_[member]; }
+  const Fact& FactOf(int member) const { return facts_[member]; }
   const BadLinks& LinksOf(int observer) const { return links_[observer]; }
 
-  // Merges a fact. True: the table has changed. `news`: the change is disseminated.
-  bool Put(int member, const Fact& told, bool news);
-  bool Put(int observer, const BadLinks& told);
+  // Merges a fact. True: the table has changed. `disseminate`: the change is disseminated.
+  bool Put(int member, const Fact& received, bool disseminate);
+  bool Put(int observer, const BadLinks& received);
 
   void Queue(int member);  // (re)starts dissemination of the member's fact
 
   // Piggybacks pending changes, least often sent first, as far as they fit. True: any were added.
   bool Fill(Message* message);
-  bool HasNews() const { return !pending_.empty(); }
+  bool HasPending() const { return !pending_.empty(); }
 
-  int slices() const { return (tier() + kSlice - 1) / kSlice; }
+  int slices() const { return (tier() + kSliceSize - 1) / kSliceSize; }
   std::uint32_t HashOf(int slice) const;
   void FillSlice(int slice, Message* message) const;
 
  private:
   void QueueKey(int key);  // bad links have the keys from the tier size on
 
-  int Tellings() const;
+  int Transmissions() const;
 
   std::vector<Fact> facts_;
   std::vector<BadLinks> links_;
-  std::vector<int> told_;                  // times sent, by key
+  std::vector<int> times_sent_;            // by key
   std::set<std::pair<int, int>> pending_;  // times sent, key
 };
 
