--- a/src/peers/holdings.h
+++ b/src/peers/holdings.h
@@ -62,10 +62,10 @@
   // Registers a runner and its zone; the counts of unregistered runners aren't reported to the observer. An
   // unknown zone (below 0) counts as the zone of this dispatcher. A count received earlier is reported now.
   void Name(const std::string& runner, int zone) { totals_.RegisterRunner(runner, zone); }
-  void Forget(const std::string& runner) {
-    totals_.RemoveRunner(runner);
-  }                                                 // it was removed from the runner list
-  void ForgetAll() { totals_.RemoveAllRunners(); }  // before a complete runner list
+  // The runner was removed from the runner list.
+  void Forget(const std::string& runner) { totals_.RemoveRunner(runner); }
+  // To be called before a complete runner list.
+  void ForgetAll() { totals_.RemoveAllRunners(); }
 
   // Hold: this dispatcher uses `slots` more (or fewer, if negative) at a runner. Failed: the runner failed a
   // job of this class.
@@ -77,7 +77,7 @@
 
   // The datagrams due now; may be empty.
   std::vector<Datagram> MakeDatagrams(Time now);
-  // Greeting, to all peers: requests answers while this dispatcher knows too few peers. Answer, to one peer:
+  // Greeting, to all peers: requests answers while this dispatcher knows too few peers. Reply, to one peer:
   // requests an answer while the peer's zone is unknown.
   std::string Greeting() const;
   std::string GreetingReply(int peer) const;
--- a/src/peers/membership_probe.h
+++ b/src/peers/membership_probe.h
@@ -16,7 +16,7 @@
 class Prober {
  public:
   static constexpr Time kProbeInterval = 100 * kMillisecond;      // between starts of probes
-  static constexpr Time kReceivedFreshness = 250 * kMillisecond;  // heard within it: no probe is needed
+  static constexpr Time kReceivedFreshness = 250 * kMillisecond;  // a datagram within it: no probe is needed
   static constexpr Time kAckFreshness = 500 * kMillisecond;       // if it also answered within this
   static constexpr Time kMinDirectTimeout = 60 * kMillisecond, kMaxDirectTimeout = 100 * kMillisecond;
   static constexpr Time kIndirectTimeout = 120 * kMillisecond;  // four hops of up to 22 ms each
--- a/src/peers/membership_suspicion.h
+++ b/src/peers/membership_suspicion.h
@@ -23,7 +23,8 @@
   static constexpr Time kRefusedSuspicionTimeout = 300 * kMillisecond;  // if its address refuses datagrams
   static constexpr Time kWitnessDelay = 400 * kMillisecond;             // the member itself may refute first
   static constexpr Time kMaxCheckDelay = 400 * kMillisecond;  // all members probe a suspected one within it
-  static constexpr Time kCutOffTimeout = 3 * kSecond;  // for an observer that doesn't hear it while others do
+  static constexpr Time kCutOffTimeout =
+      3 * kSecond;  // for an observer that is cut off from it while others aren't
   static constexpr Time kIsolationTimeout = 1500 * kMillisecond;  // without any acknowledged ping
   static constexpr Time kFlapMemory = 60 * kSecond;               // until one flap is forgiven
   static constexpr int kConfirmersPerZone = 3;  // per zone, which probe a suspected member at once
--- a/src/peers/relay.h
+++ b/src/peers/relay.h
@@ -42,15 +42,17 @@
   static constexpr int kMemberList = 0, kMemberUpdate = 2, kDigest = 3;  // versions
   static constexpr std::size_t kMaxBytes = 256;                          // of a datagram, by PROTOCOL
   static constexpr Time kDigestBatchDelay = 20 * kMillisecond;           // between digests; batches changes
-  static constexpr Time kDigestHeartbeat = 200 * kMillisecond;  // heartbeat: the maximum time between digests
-  static constexpr Time kUpdateInterval =
-      250 * kMillisecond;  // maximum time between member updates while slots are in use
-  static constexpr Time kSilenceTimeout =
-      600 * kMillisecond;  // a relay without digests for so long is inactive
-  static constexpr Time kNewRelayTimeout = 300 * kMillisecond;  // a new relay must send a digest within this,
-  static constexpr Time kRelayRetryDelay = 5 * kSecond;         // else it isn't tried again for so long
-  static constexpr Time kUpdateTtl = 1500 * kMillisecond;       // six member updates
-  static constexpr Time kDigestTtl = 1500 * kMillisecond;       // also of a single entry
+  static constexpr Time kDigestHeartbeat = 200 * kMillisecond;           // maximum time between digests
+  // Maximum time between member updates while slots are in use.
+  static constexpr Time kUpdateInterval = 250 * kMillisecond;
+  // A relay without digests for so long is inactive.
+  static constexpr Time kSilenceTimeout = 600 * kMillisecond;
+  // A newly selected relay must send a digest within kNewRelayTimeout, else it isn't tried again for
+  // kRelayRetryDelay.
+  static constexpr Time kNewRelayTimeout = 300 * kMillisecond;
+  static constexpr Time kRelayRetryDelay = 5 * kSecond;
+  static constexpr Time kUpdateTtl = 1500 * kMillisecond;          // six member updates
+  static constexpr Time kDigestTtl = 1500 * kMillisecond;          // also of a single entry
   static constexpr Time kFullDigestInterval = 500 * kMillisecond;  // maximum time between repeats of each sum
   static constexpr Time kActiveTime = 2 * kSecond;  // a relay stays active for so long after the last update
 
@@ -132,9 +134,9 @@
   Time due_at_ = 0;
   std::map<int, ZoneGroup> groups_;  // by zone
   std::map<int, Peer> peers_;        // by number
-  std::map<int, std::vector<std::pair<std::uint64_t, int>>>
-      ranked_;                   // by zone; the own one includes this dispatcher
-  std::set<int> active_relays_;  // active relays, whose digests count
+  // By zone; the own one includes this dispatcher.
+  std::map<int, std::vector<std::pair<std::uint64_t, int>>> ranked_;
+  std::set<int> active_relays_;  // their digests count
   // As a relay: the slots that all members use, including this one while it is its own relay.
   std::map<ShortId, RunnerTotal> zone_totals_;
   std::vector<std::uint16_t> confirmed_failures_;
--- a/src/peers/slot_totals.h
+++ b/src/peers/slot_totals.h
@@ -64,9 +64,7 @@
   // A peer reports a failure. True: another peer has reported it within kAgreementWindow.
   bool RecordFailure(std::uint16_t entry, int peer, Time now);
   void ReportFailing(std::uint16_t entry);  // passes a confirmed failure to the observer
-  bool IsKnownClass(std::uint16_t entry) const {
-    return (entry & 0xf) - kFailureBase < classes_;
-  }  // the class exists
+  bool IsKnownClass(std::uint16_t entry) const { return (entry & 0xf) - kFailureBase < classes_; }
   void ExpireEntries(Time now);
 
  private:
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -113,7 +113,7 @@
 // Programs without extensions drop an extension datagram without any effect.
 TEST(Extension, OlderProgramsDropItAndKeepTheirSums) {
   const std::string recorded[] = {
-      {"\x21\x13\x01\x00\xff\xff\x00\x00", 8},  // life 4: news without items
+      {"\x21\x13\x01\x00\xff\xff\x00\x00", 8},  // life 4: gossip without items
       {"\x21\x11\x34\x12\xff\xff\x01\x00\xef\xbe\xad\xde", 12},
       {"\x22\x01", 2},
       std::string("\x23") + std::string(255, '\x7f'),
