--- a/src/peers/extension.h
+++ b/src/peers/extension.h
@@ -20,7 +20,7 @@
 
 namespace lichenlug::extension {
 
-enum class Kind : std::uint8_t { kMembership = 1, kDeaths = 2, kJobs = 3 };  // 4 to 7: unassigned
+enum class Kind : std::uint8_t { kMembership = 1, kFailures = 2, kJobs = 3 };  // 4 to 7: unassigned
 
 struct Decoded {
   Kind kind;
--- a/src/peers/membership_codec.cpp
+++ b/src/peers/membership_codec.cpp
@@ -57,9 +57,9 @@
   in->Require(number < tier && fact.life != 0 && (flags & 0xc) == 0 &&
               count <= Fact::kMaxPerZone * Fact::kMaxZones);
   for (int i = 0; i < count && in->good(); ++i) {
-    const auto who = in->Get<std::uint16_t>();
+    const auto packed_accuser = in->Get<std::uint16_t>();
     const auto zone = in->Get<std::uint8_t>();
-    const int weight = who >> kWeightShift, accuser = who & ((1 << kWeightShift) - 1);
+    const int weight = packed_accuser >> kWeightShift, accuser = packed_accuser & ((1 << kWeightShift) - 1);
     in->Require(weight <= static_cast<int>(Weight::kRefused) && accuser < tier && accuser != number);
     fact.accusers.push_back({static_cast<std::uint16_t>(accuser), zone, static_cast<Weight>(weight)});
   }
--- a/src/peers/relay.cpp
+++ b/src/peers/relay.cpp
@@ -172,8 +172,8 @@
   }
   std::size_t next = 0;
   do {
-    std::string base = Header(kDigest, life_, digest_number_);
-    digest_number_ = (digest_number_ + 1) % 8;
+    std::string base = Header(kDigest, life_, digest_sequence_);
+    digest_sequence_ = (digest_sequence_ + 1) % 8;
     const auto fits = [&base] { return base.size() + kEntryBytes <= kMaxBytes; };
     for (; !confirmed_failures_.empty() && fits(); confirmed_failures_.pop_back())
       AppendEntry(&base, confirmed_failures_.back() >> 4, confirmed_failures_.back() & 0xf);
--- a/src/peers/relay.h
+++ b/src/peers/relay.h
@@ -141,7 +141,7 @@
   std::map<ShortId, RunnerTotal> zone_totals_;
   std::vector<std::uint16_t> confirmed_failures_;
   Time last_update_at_, digest_at_ = 0, members_at_ = 0;
-  int digest_number_ = 0;
+  int digest_sequence_ = 0;
   std::size_t dropped_entries_ = 0;
 };
 
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -154,13 +154,13 @@
     site.ordinal = ordinal;
     scheduler_ = rookgw::Scheduler(site, 1 + static_cast<std::uint64_t>(ordinal));
     scheduler_.Start(1, &actions_);
-    List(0);
+    ListWorkers(0);
   }
   void HandleEvent(const rookgw::Event& event) {
     actions_.clear();
     scheduler_.Handle(now_ += 1000, event, &actions_);
   }
-  void List(Time first_since) {
+  void ListWorkers(Time first_since) {
     const std::vector<rookgw::ListedWorker> list{{.id = "r1", .since = first_since}, {.id = "r2"}};
     HandleEvent(rookgw::ListChanged{rookgw::ListChanged::Form::kWhole, 1, list});
   }
@@ -174,7 +174,7 @@
   void ReportIdle() {
     for (int i = 0; i < 3; ++i) Report("r1", 5, 0), Report("r2", 5, 0);
   }
-  std::string Place(std::uint64_t key) {  // the worker of one more job; empty: queued
+  std::string PlaceJob(std::uint64_t key) {  // the worker of one more job; empty: queued
     rookgw::RequestArrived job;
     job.id = ++jobs_, job.key = key, job.valid_until = now_ + 5 * kSecond;
     HandleEvent(job);
@@ -190,14 +190,14 @@
 };
 
 TEST_F(PeerReport, AvoidsARunnerThatOthersHaveFilled) {
-  List(0);
+  ListWorkers(0);
   ReportIdle();
   Sweep();
-  const std::string home = Place(7), other = home == "r1" ? "r2" : "r1";
+  const std::string home = PlaceJob(7), other = home == "r1" ? "r2" : "r1";
   HandleEvent(rookgw::PeerReport{home, 2}), HandleEvent(rookgw::PeerReport{other, 4});
-  EXPECT_EQ(Place(7), home);
+  EXPECT_EQ(PlaceJob(7), home);
   HandleEvent(rookgw::PeerReport{home, 4});
-  EXPECT_EQ(Place(7), other);
+  EXPECT_EQ(PlaceJob(7), other);
 }
 
 // One slot is free in the whole zone, and a hundred nodes with queued jobs all see it.
@@ -210,7 +210,7 @@
   int taken = 0;
   for (std::uint64_t key = 0; key < 30; ++key) {
     for (const auto& worker : list) HandleEvent(rookgw::PeerReport{worker.id, 50});
-    EXPECT_EQ(Place(key), "");
+    EXPECT_EQ(PlaceJob(key), "");
     HandleEvent(rookgw::PeerReport{"r1", 4});
     Sweep();
     bool sent = false;
@@ -227,14 +227,14 @@
 
 // Load reports of a full worker show no free slots, which must not be mistaken for a low capacity.
 TEST_F(PeerReport, ReportsOfFullWorkersDoNotMakeThemLookSmall) {
-  List(0);
+  ListWorkers(0);
   for (int i = 0; i < 3; ++i) Report("r1", 1, 4), Report("r2", 1, 4);
   for (int i = 0; i < 300; ++i) Report("r1", 0, 5), Report("r2", 0, 5);
   Sweep();
   HandleEvent(rookgw::PeerReport{"r1", 4}), HandleEvent(rookgw::PeerReport{"r2", 4});
-  const std::string first = Place(7);
+  const std::string first = PlaceJob(7);
   EXPECT_FALSE(first.empty());
-  EXPECT_EQ(Place(7), first == "r1" ? "r2" : "r1");
+  EXPECT_EQ(PlaceJob(7), first == "r1" ? "r2" : "r1");
 }
 
 // A hundred nodes that all see the same free slots at a cold worker send it its warm-up budget in total, not
@@ -247,13 +247,13 @@
     StartNode(ordinal);
     for (std::uint64_t key = 0; key < 20; ++key) {  // it learns a run time of 0.3 s per job
       rookgw::AttemptEnded served;
-      served.worker = Place(key), served.id = jobs_, served.complete = true;
+      served.worker = PlaceJob(key), served.id = jobs_, served.complete = true;
       now_ += 300000;
       HandleEvent(served);
     }
     const Time since = start + 20 * kSecond;
     now_ = since + 10000;
-    List(since);
+    ListWorkers(since);
     for (const double held : {0.0, 5.0})
       for (int span = 1; span <= 3; ++span) {
         now_ = since + (held == 0 ? span : span + 3) * kSecond + 500000;
@@ -263,7 +263,7 @@
         HandleEvent(rookgw::PeerReport{"r1", held});
         // One job per span: with more, its own reports would be frequent and it would ignore the peers'
         // counts.
-        (held == 0 ? while_free : while_full) += Place(1000 * span) == "r1";
+        (held == 0 ? while_free : while_full) += PlaceJob(1000 * span) == "r1";
       }
   }
   // Three spans at 0.4 to 0.6 of five slots, four times their capacity, 0.3 s a job: 33 jobs/s on average.
@@ -274,16 +274,16 @@
 
 // With many jobs, and so many load reports, peer counts change nothing: small tiers behave as without them.
 TEST_F(PeerReport, IsIgnoredWhileReportsAreFresh) {
-  List(0);
+  ListWorkers(0);
   for (std::uint64_t key = 0; key < 200; ++key) {
     rookgw::AttemptEnded served;
-    served.worker = Place(key), served.id = jobs_, served.complete = true;
+    served.worker = PlaceJob(key), served.id = jobs_, served.complete = true;
     HandleEvent(served);
   }
   Sweep();
   ReportIdle();
   HandleEvent(rookgw::PeerReport{"r1", 1e5}), HandleEvent(rookgw::PeerReport{"r2", 1e5});
-  EXPECT_FALSE(Place(8).empty());
+  EXPECT_FALSE(PlaceJob(8).empty());
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -124,9 +124,9 @@
     older.Name("r1", 0);
     bool greet = false;
     for (int peer = 1; peer < 3; ++peer) older.HandleMessage(peer, {"\x60\x00", 2}, 1, &greet);
-    std::string bytes_sent = "\x60";  // version 1, life 4
-    AppendEntry(&bytes_sent, SlotTotals::ToShortId("r1"), 3);
-    ASSERT_TRUE(older.HandleMessage(1, bytes_sent, 2, &greet));
+    std::string broadcast = "\x60";  // version 1, life 4
+    AppendEntry(&broadcast, SlotTotals::ToShortId("r1"), 3);
+    ASSERT_TRUE(older.HandleMessage(1, broadcast, 2, &greet));
     const auto before = observer.held;
     const std::size_t dropped = older.dropped();
     ASSERT_EQ(before.at("r1"), 3);
@@ -376,12 +376,12 @@
   const auto any = [random](int below) {
     return static_cast<int>((*random)() % static_cast<unsigned>(below));
   };
-  const int tier = net->tier(), who = any(tier);
+  const int tier = net->tier(), member = any(tier);
   switch (any(9)) {
     case 0:
     case 1:  // partitions one member, one way or both
       for (int i = 0; i < tier; ++i)
-        if (i != who && any(4) != 0) any(2) == 0 ? net->BlockLink(who, i) : net->BlockLink(i, who);
+        if (i != member && any(4) != 0) any(2) == 0 ? net->BlockLink(member, i) : net->BlockLink(i, member);
       break;
     case 2: {
       std::set<int> parts[2];
@@ -394,17 +394,18 @@
       break;
     case 4:
     case 5:
-      if (net->Up(who)) net->Pause(who, (1 + any(40)) * 100 * kMillisecond);
+      if (net->Up(member)) net->Pause(member, (1 + any(40)) * 100 * kMillisecond);
       break;
     case 6:
-      if (net->Awake(who)) net->Crash(who), down->emplace(who, net->now);
+      if (net->Awake(member)) net->Crash(member), down->emplace(member, net->now);
       break;
     case 7:
-      if (!net->Up(who)) net->Start(who), down->erase(who), left->erase(who);
+      if (!net->Up(member)) net->Start(member), down->erase(member), left->erase(member);
       break;
     default:
-      if (any(2) == 0) return net->SetClock(who, (any(2000) - 1000) * kSecond);
-      if (net->Awake(who)) net->Leave(who), net->Crash(who), down->emplace(who, net->now), left->insert(who);
+      if (any(2) == 0) return net->SetClock(member, (any(2000) - 1000) * kSecond);
+      if (net->Awake(member))
+        net->Leave(member), net->Crash(member), down->emplace(member, net->now), left->insert(member);
   }
 }
 
