--- a/src/host/event_loop.cpp
+++ b/src/host/event_loop.cpp
@@ -81,7 +81,7 @@
   auto handler = std::make_unique<SignalHandler>();
   handler->handle = std::move(handle);
   handler->signal_event = evsignal_new(
-      base_, signal, [](int, short, void* own) { static_cast<SignalHandler*>(own)->handle(); },
+      base_, signal, [](int, short, void* context) { static_cast<SignalHandler*>(context)->handle(); },
       handler.get());
   event_add(handler->signal_event, nullptr);
   signals_.push_back(std::move(handler));
--- a/src/host/http_client.cpp
+++ b/src/host/http_client.cpp
@@ -23,8 +23,8 @@
   evhttp_connection* connection;
   Done done;
 
-  static void Finished(evhttp_request* request, void* own) {
-    auto* exchange = static_cast<Exchange*>(own);
+  static void Finished(evhttp_request* request, void* context) {
+    auto* exchange = static_cast<Exchange*>(context);
     duties::HttpResult result;
     if (request != nullptr && evhttp_request_get_response_code(request) > 0) {
       result.status = evhttp_request_get_response_code(request);
--- a/src/host/http_server.cpp
+++ b/src/host/http_server.cpp
@@ -64,7 +64,8 @@
   evhttp_set_max_headers_size(server_, 16 * 1024);
   evhttp_set_timeout(server_, kIdleSeconds);
   evhttp_set_gencb(
-      server_, [](evhttp_request* request, void* own) { static_cast<HttpServer*>(own)->Handle(request); },
+      server_,
+      [](evhttp_request* request, void* context) { static_cast<HttpServer*>(context)->Handle(request); },
       this);
 }
 
--- a/src/membership/contacts.cpp
+++ b/src/membership/contacts.cpp
@@ -51,8 +51,9 @@
   last_dead_ = *next;
   const Entry& entry = *table_.Find(last_dead_);
   const bool old = now - entry.dead_since > kOldDeadAfter;
-  const Time shared = static_cast<Time>(table_.live_count() / dead.size()) * kSecond / kMaxContactsPerSecond;
-  const Time interval = std::max(old ? kOldDeadContactInterval : kDeadContactInterval, shared);
+  const Time shared_interval =
+      static_cast<Time>(table_.live_count() / dead.size()) * kSecond / kMaxContactsPerSecond;
+  const Time interval = std::max(old ? kOldDeadContactInterval : kDeadContactInterval, shared_interval);
   next_dead_contact_ =
       now + interval * 3 / 4 + static_cast<Time>(random_.Below(static_cast<std::uint64_t>(interval / 2)));
   const std::string& address = entry.record.address();
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -40,7 +40,7 @@
   entry.record = record;
   SetState(now, entry, record.state());
   Index(entry);
-  return {.news = live, .live_changed = live};
+  return {.is_new = live, .live_changed = live};
 }
 
 // Fast path for records that are already known, as most gossip arrives several times.
@@ -71,10 +71,10 @@
     entry.last_heard = now;  // it was alive when it restarted or refuted
     if (was_live || IsLive(record)) SetState(now, entry, MEMBER_ALIVE);
   }
-  const bool state_news = MergeState(now, record, entry);
+  const bool state_changed = MergeState(now, record, entry);
   Index(entry);
   const bool live = IsLive(entry.record);
-  applied.news = newer_fields || state_news;
+  applied.is_new = newer_fields || state_changed;
   applied.live_changed = was_live != live || (live && newer_fields);
   return applied;
 }
@@ -84,11 +84,11 @@
 bool MemberTable::MergeState(Time now, const MemberRecord& record, Entry& entry) {
   if (record.state() < entry.record.state()) return false;
   if (record.state() == MEMBER_SUSPECT) {
-    bool news = entry.record.state() != MEMBER_SUSPECT;
-    if (news) SetState(now, entry, MEMBER_SUSPECT);
+    bool changed = entry.record.state() != MEMBER_SUSPECT;
+    if (changed) SetState(now, entry, MEMBER_SUSPECT);
     for (const std::string& monitor : record.suspected_by())
-      news |= AddSuspectingMonitor(&entry.record, monitor);
-    return news;
+      changed |= AddSuspectingMonitor(&entry.record, monitor);
+    return changed;
   }
   if (record.state() == entry.record.state()) return false;
   if (record.state() == MEMBER_DEAD) {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -34,7 +34,7 @@
 class MemberTable {
  public:
   struct Applied {
-    bool news = false;          // to be gossiped
+    bool is_new = false;        // to be gossiped
     bool live_changed = false;  // Live() or a field of a member in it
     bool refuted = false;       // a suspicion was refuted by a higher incarnation
   };
--- a/src/membership/protocol.cpp
+++ b/src/membership/protocol.cpp
@@ -58,7 +58,7 @@
   if (!started_ || left_) return std::nullopt;
   Time next = std::min(next_heartbeat_, contacts_.next_seed_contact());
   if (next_check_) next = std::min(next, *next_check_);
-  if (const auto news = gossip_.DueAt()) next = std::min(next, *news);
+  if (const auto due = gossip_.DueAt()) next = std::min(next, *due);
   return next;
 }
 
@@ -184,12 +184,12 @@
   gossip_.Add(call.now, self_.name);
 }
 
-messages::MembershipMessage Protocol::MakeHeartbeat(const std::vector<std::string>& news,
+messages::MembershipMessage Protocol::MakeHeartbeat(const std::vector<std::string>& gossip,
                                                     bool wants_reply) const {
   messages::MembershipMessage message;
   messages::MembershipHeartbeat& heartbeat = *message.mutable_heartbeat();
   *heartbeat.mutable_self() = table_.self();
-  for (const std::string& name : news) {
+  for (const std::string& name : gossip) {
     const Entry* entry = table_.Find(name);
     if (entry != nullptr && name != self_.name) *heartbeat.add_news() = entry->record;
   }
--- a/src/membership/protocol.h
+++ b/src/membership/protocol.h
@@ -59,7 +59,7 @@
   void SendGossip(const CallContext& call);
   std::vector<std::string> GossipTargets(const std::vector<std::string>& names);
 
-  messages::MembershipMessage MakeHeartbeat(const std::vector<std::string>& news, bool wants_reply) const;
+  messages::MembershipMessage MakeHeartbeat(const std::vector<std::string>& gossip, bool wants_reply) const;
   void SendToMember(const CallContext& call, const std::string& name, messages::MembershipMessage message);
   void SendToAddress(const CallContext& call, const std::string& address,
                      messages::MembershipMessage message);
--- a/src/membership/protocol_receive.cpp
+++ b/src/membership/protocol_receive.cpp
@@ -63,8 +63,8 @@
   const Entry* known = table_.Find(record.name());
   const bool suspected_here = known != nullptr && IsSuspectedBy(known->record, self_.name);
   const auto applied = table_.Apply(call.now, record, call.now - started_at_ < kLearnDeadDuration);
-  if (applied.news) gossip_.Add(call.now, record.name());
-  if (applied.news && record.state() != messages::MEMBER_ALIVE) {
+  if (applied.is_new) gossip_.Add(call.now, record.name());
+  if (applied.is_new && record.state() != messages::MEMBER_ALIVE) {
     next_check_ =
         std::min(next_check_.value_or(call.now + kSuspicionCheckDelay), call.now + kSuspicionCheckDelay);
   }
--- a/src/transport/frame_listener.cpp
+++ b/src/transport/frame_listener.cpp
@@ -47,8 +47,8 @@
   SetConnectionOptions(descriptor);
   Connection& connection = connections_.emplace_front(this, descriptor, max_frame_bytes_);
   connection.position = connections_.begin();
-  const auto on_event = [](evutil_socket_t, short what, void* own) {
-    auto* accepted = static_cast<Connection*>(own);
+  const auto on_event = [](evutil_socket_t, short what, void* context) {
+    auto* accepted = static_cast<Connection*>(context);
     accepted->listener->OnEvent(accepted, what);
   };
   connection.readable.reset(event_new(base_, descriptor, EV_READ | EV_PERSIST, on_event, &connection));
--- a/tests/system/membership/measures_test.cpp
+++ b/tests/system/membership/measures_test.cpp
@@ -10,8 +10,8 @@
 
 struct Measures {
   double start_s = 0, first_detects_s = 0, all_detect_s = 0, leave_s = 0;
-  double messages_per_s = 0, bytes_per_s = 0;          // per member, without faults
-  double objections_per_minute = 0, wrong_deaths = 0;  // sum over all members at 10% message loss
+  double messages_per_s = 0, bytes_per_s = 0;           // per member, without faults
+  double refutations_per_minute = 0, wrong_deaths = 0;  // sum over all members at 10% message loss
   double partition_s = 0, heal_s = 0,
          partition_bytes_per_s = 0;  // partition into halves; bytes per member from partition to recovery
 };
@@ -42,7 +42,7 @@
     measures->wrong_deaths += network.AllAgree() ? 0 : 1;
   }
   network.SetLoss(0);
-  measures->objections_per_minute = 60.0 / seconds * static_cast<double>(network.Refutations() - before);
+  measures->refutations_per_minute = 60.0 / seconds * static_cast<double>(network.Refutations() - before);
 }
 
 void MeasureKill(SimulatedNetwork& network, Measures* measures) {
@@ -98,12 +98,12 @@
     const Measures m = Measure(members);
     std::printf("%-8d %6.2fs %6.2fs %6.2fs %6.2fs %8.1f %8.0f %10.1f %7.0f %6.2fs %6.2fs %9.0f\n", members,
                 m.start_s, m.first_detects_s, m.all_detect_s, m.leave_s, m.messages_per_s, m.bytes_per_s,
-                m.objections_per_minute, m.wrong_deaths, m.partition_s, m.heal_s, m.partition_bytes_per_s);
+                m.refutations_per_minute, m.wrong_deaths, m.partition_s, m.heal_s, m.partition_bytes_per_s);
     CHECK(m.start_s < 3);
     CHECK(m.all_detect_s < 3.2);
     CHECK(m.leave_s < 0.7);
     CHECK(m.bytes_per_s < 2000);
-    CHECK(m.objections_per_minute <= members / 10.0);
+    CHECK(m.refutations_per_minute <= members / 10.0);
     CHECK(m.wrong_deaths == 0);
     CHECK(m.partition_s < 8);
     CHECK(m.heal_s < 5);
--- a/tests/system/processes/control_program_test.cpp
+++ b/tests/system/processes/control_program_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kSuccess = 0, kFailed = 1, kUsage = 2;
 
-struct Ended {
+struct ProgramResult {
   int code = -1;
   std::string output;  // of both streams
 };
@@ -30,12 +30,12 @@
     std::filesystem::remove_all(folder_, ignored);
   }
 
-  Ended Run(Loop* loop, std::vector<std::string> words) {
-    words.insert(words.begin(), LICHENLUGCTL_PATH);
+  ProgramResult Run(Loop* loop, std::vector<std::string> arguments) {
+    arguments.insert(arguments.begin(), LICHENLUGCTL_PATH);
     const std::filesystem::path output = folder_ / "output";
     std::filesystem::remove(output);
     lab::Process process;
-    process.Start(words, {}, output.string());
+    process.Start(arguments, {}, output.string());
     REQUIRE(loop->RunUntil([&] { return !process.Running(); }, kTimeout));
     std::stringstream text;
     text << std::ifstream(output).rdbuf();
@@ -52,21 +52,22 @@
   std::filesystem::path folder_;
 };
 
-bool OutputContains(const Ended& ended, const std::string& text) {
+bool OutputContains(const ProgramResult& ended, const std::string& text) {
   return ended.output.find(text) != std::string::npos;
 }
 
 TEST_CASE("config check accepts a valid configuration and rejects an invalid one", "[control-program]") {
   Loop loop;
   ControlProgram program;
-  const Ended valid = program.Run(&loop, {"config", "check", program.File(sample::Configuration(3).dump())});
+  const ProgramResult valid =
+      program.Run(&loop, {"config", "check", program.File(sample::Configuration(3).dump())});
   INFO(valid.output);
   CHECK(valid.code == kSuccess);
   CHECK(OutputContains(valid, "valid, edition 3, 3 routes, 1 services, 2 tenants"));
 
   Json configuration = sample::Configuration(3);
   configuration["routes"][1]["deadline_ms"] = 0;
-  const Ended invalid = program.Run(&loop, {"config", "check", program.File(configuration.dump())});
+  const ProgramResult invalid = program.Run(&loop, {"config", "check", program.File(configuration.dump())});
   INFO(invalid.output);
   CHECK(invalid.code == kFailed);
   CHECK(OutputContains(invalid, "deadline_ms"));
@@ -92,7 +93,8 @@
   REQUIRE(testbed.Found());
   System& system = testbed.system();
   ControlProgram program;
-  const Ended status = program.Run(&system.loop(), {"status", system.dispatcher(0).control_address()});
+  const ProgramResult status =
+      program.Run(&system.loop(), {"status", system.dispatcher(0).control_address()});
   INFO(status.output);
   CHECK(status.code == kSuccess);
   CHECK(OutputContains(status, "name: dispatcher-1\n"));
@@ -102,10 +104,11 @@
 
   Dispatcher& stopped = system.dispatcher(2);
   REQUIRE(stopped.Kill(kTimeout));
-  const Ended stopped_status = program.Run(&system.loop(), {"status", stopped.control_address()});
+  const ProgramResult stopped_status = program.Run(&system.loop(), {"status", stopped.control_address()});
   CHECK(stopped_status.code == kFailed);
   CHECK(std::count(stopped_status.output.begin(), stopped_status.output.end(), '\n') == 1);
-  const Ended store = program.Run(&system.loop(), {"store", "verify", stopped.store_folder().string()});
+  const ProgramResult store =
+      program.Run(&system.loop(), {"store", "verify", stopped.store_folder().string()});
   INFO(store.output);
   CHECK(store.code == kSuccess);
   CHECK(OutputContains(store, "register configuration: "));
