--- a/tests/system/membership/simulated_network.h
+++ b/tests/system/membership/simulated_network.h
@@ -76,7 +76,7 @@
     Time timer_at = 0;
     bool paused = false;
     mutable std::optional<std::vector<Member>> live;  // as of the last change that the member reported
-    std::vector<std::pair<std::string, std::string>> undelivered;  // sender's address and bytes, while frozen
+    std::vector<std::pair<std::string, std::string>> undelivered;  // sender's address and bytes, while paused
   };
   struct Event {
     Time at;
--- a/tests/system/processes/soak_test.cpp
+++ b/tests/system/processes/soak_test.cpp
@@ -29,7 +29,7 @@
   CheckSoak(plan);
 }
 
-TEST_CASE("The soak with a separate core violates no rule when two disks are lost", "[separate-core-soak]") {
+TEST_CASE("A separate core that tolerates the loss of two disks violates no rule", "[separate-core-soak]") {
   SoakPlan plan;
   plan.seed = 3;
   plan.system.core = 5;
--- a/tests/system/transport/transport_test.cpp
+++ b/tests/system/transport/transport_test.cpp
@@ -154,7 +154,7 @@
   Node returned(address);
   returned.Listen();
   CHECK_FALSE(
-      WaitFor([&] { return connected(); }, milliseconds(600)));  // longer than the maximum redial delay
+      WaitFor([&] { return connected(); }, milliseconds(600)));  // longer than the maximum reconnect delay
   loop.Run([&] {
     CHECK(connection->Send(NumberedEnvelope(1)) == PeerConnection::SendResult::kLost);
     connection.reset();
