--- a/src/membership/contacts.cpp
+++ b/src/membership/contacts.cpp
@@ -11,7 +11,7 @@
 constexpr Time kDeadContactInterval = kSecond;
 constexpr Time kOldDeadContactInterval = 5 * kSecond;
 constexpr Time kOldDeadAfter = 120 * kSecond;
-// Limit of the calls to one unresponsive address from all members together.
+// Approximate limit of the rate at which all members together contact one unresponsive address.
 constexpr Time kMaxContactsPerSecond = 20;
 
 }  // namespace
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -35,8 +35,7 @@
   // Called once per heartbeat period.
   void ProbeRandomMembers(Time now, Findings* findings);
 
-  // Restarts all timeouts after this process was paused: missed heartbeats then say nothing about other
-  // members.
+  // Restarts all timeouts after a pause of this process: missed heartbeats then say nothing about others.
   void RestartTimeouts(Time now);
   // The member refuted a suspicion, but no heartbeat came from it directly: the path from it to this member
   // may be down. Increases the timeout until it is suspected again.
--- a/src/transport/link_liveness.h
+++ b/src/transport/link_liveness.h
@@ -15,13 +15,13 @@
  public:
   // A message of a peer is acknowledged if nothing was sent to that peer for this long.
   static constexpr std::chrono::milliseconds kAckDelay{300};
-  // A message sent this long after the first unacknowledged one must be acknowledged by a peer that receives
-  // it.
+  // A message sent this long after the first unacknowledged one must be acknowledged if it is received.
   static constexpr std::chrono::milliseconds kProbeAfter{400};
   // Timeout of the acknowledgement of such a message.
   static constexpr std::chrono::milliseconds kAckTimeout{1100};
+  // Minimum time between two reopenings of an unresponsive connection.
   static constexpr std::chrono::milliseconds kStaleReopenInterval{1000};
-  // The same for a connection that was established and then lost.
+  // Shorter minimum for a connection that was established and then lost.
   static constexpr std::chrono::milliseconds kLostReopenInterval{100};
 
   void Sent(SteadyTime now) {
