--- a/src/checkpoints/checkpoints.cpp
+++ b/src/checkpoints/checkpoints.cpp
@@ -40,7 +40,7 @@
   }
   Ticks start = 0;
   if (const Life* last = facts_.Newest(key.runner, &start); last != nullptr && start != key.start) {
-    if (start > key.start) return;  // an old report that comes late: that life is over
+    if (start > key.start) return;  // a delayed report of a life that has ended
     Life former = *last;
     EndLife({key.runner, start}, &former, false, now);
   }
@@ -61,7 +61,7 @@
   const std::uint32_t id = Facts::Short(runner);
   if (const Life* last = facts_.Newest(id, &start)) {
     Life life = *last;
-    if (life.ended == 0) life.until = std::max(life.until, now / kTick);  // it was at work until now
+    if (life.ended == 0) life.until = std::max(life.until, now / kTick);  // it was alive until now
     EndLife({id, start}, &life, false, now);
   }
 }
@@ -70,22 +70,22 @@
   const auto own = static_cast<std::uint16_t>(1U << (place_.zone < 0 ? 15 : std::min(place_.zone, 15)));
   const bool whole = place_.tier == 1 || tier_.whole();
   const bool ended = life->ended > 0 && life->until <= life->ended;
-  if (!planned && ended && (life->seen & own) != 0 && (life->whole || !whole)) return;  // said before
-  // A drain that is under way is no end: exposure goes on until the life is heard no more.
+  if (!planned && ended && (life->seen & own) != 0 && (life->whole || !whole)) return;  // already reported
+  // A drain in progress isn't an end: exposure continues until the life is no longer observed.
   if (!planned) life->ended = std::max(now / kTick, life->until);
   life->planned |= planned;
   life->whole |= whole;
   life->seen |= own;
   facts_.Join(key, *life);
   if (news_.size() >= Facts::Bounds().lives) return;
-  // Others see it, too: who has heard it from one of them keeps quiet.
+  // Other dispatchers see it too: the random delay lets a report received from one of them cancel ours.
   const Time spread = std::min<Time>(5 * kSecond, 20 * kMillisecond * place_.tier);
   const Time at = now + static_cast<Time>(random_()) % spread;
   news_.emplace_back(key, at), ToldSoon(at);
 }
 
 const Rates& Checkpoints::rates(Time now) {
-  // As of the same second everywhere: the clocks of a site agree far better than kRefresh.
+  // Computed for the same instant on all dispatchers: clocks within a site agree far better than kRefresh.
   if (const Time at = now / kRefresh * kRefresh; at != rates_at_) {
     facts_.Fade(at);
     rates_ = Rates(facts_, at), rates_at_ = at;
@@ -147,7 +147,7 @@
   double then = static_cast<double>(lending_.safe(now)) * kMillionth;
   for (const auto& [other, it] : jobs_) then -= it.then_rate;
   const double left = static_cast<double>(lending_.Allowed(now)) * kMillionth - Committed(now);
-  // A tenth of what is left at most, where it is short: the next deal is a second away.
+  // Takes at most a tenth of the remainder when it is short: the next deal is only seconds away.
   const double rate = std::max(0.0, std::min(free, free * 2 < left ? free : left / 10));
   Give(&running, rate, std::max(0.0, std::min(rate, then)), now);
   const SavePlan plan = running.plan;
--- a/src/checkpoints/checkpoints.h
+++ b/src/checkpoints/checkpoints.h
@@ -1,12 +1,13 @@
-// Checkpoint intervals for long jobs, as one part that a dispatcher hosts. Without I/O and clock.
+// Computes checkpoint intervals for long jobs; hosted by a dispatcher. Does no I/O and reads no clock.
 //
-// Hosting: `Seen` with each report or list of a runner, `Draining` and `Lost` when it is told so; `Begin`
-// with an attempt, whose plan goes to the runner; `Noted` with its progress notes, `End` when it is over;
-// `Retold` each second gives the plans that have changed; and what a PeerProtocol wants. Deaths are told to
-// all at once, lives in turn to one peer a second (under 300 bytes a second at any size).
+// Usage: call `Seen` for each report or list of a runner, and `Draining` and `Lost` when the host learns of
+// them; `Begin` with an attempt, whose plan is sent to the runner; `Noted` with its progress notes; `End`
+// when it is over. `Retold`, called each second, returns the plans that have changed. The PeerProtocol
+// methods exchange state with other dispatchers: deaths are broadcast, lives are sent in turn to one peer a
+// second (under 300 bytes a second at any size).
 //
-// Only ask for jobs that may be repeated and whose runner keeps saved states: whether that is so is not known
-// here. All bounds: Facts; kMaxJobs jobs; a tenant's share in deal.h; the tier's in lending.h.
+// Only valid for jobs that may be repeated and whose runner keeps checkpoints; this class can't check that.
+// All bounds: Facts; kMaxJobs jobs; a tenant's share in deal.h; the tier's limit in lending.h.
 #pragma once
 
 #include <cstdint>
@@ -27,8 +28,9 @@
 
 namespace lichenlug {
 
-// How often a job saves: `every` until `until`, then every `then`; 0: not at all. Times of work, whole
-// milliseconds. Who is not told again goes by `then`; who lost its dispatcher saves no more.
+// How often a job saves: `every` until `until`, then every `then`; 0: not at all. The intervals are in time
+// of work, in whole milliseconds. A job that receives no update falls back to `then`; a job that has lost its
+// dispatcher stops saving.
 struct SavePlan {
   Time every = 0, until = 0, then = 0;
   bool operator==(const SavePlan&) const = default;
@@ -37,16 +39,16 @@
 class Checkpoints : public PeerProtocol {
  public:
   struct Settings {
-    double saves_a_second = 10;              // the bound of the store, for the tier
-    double save_cost = 1, restart_cost = 2;  // first beliefs, seconds
-    double telling_cost = 0.05;              // seconds of a job's time to tell it again
+    double saves_a_second = 10;              // the store's limit, for the whole tier
+    double save_cost = 1, restart_cost = 2;  // initial estimates, in seconds
+    double telling_cost = 0.05;              // seconds of a job's time that a plan update costs
   };
   struct Place {
     int number = 0, tier = 1, zone = -1;
   };
   struct JobFacts {
     std::string tenant, cls, runner;
-    double work = 0;  // seconds left; a class's mean or a hint
+    double work = 0;  // seconds left, from the class's mean or a hint
     double worth_a_second = 1, slack = -1, lost_when_late = 0;
   };
   using JobId = std::uint64_t;
@@ -55,16 +57,17 @@
 
   Checkpoints(const Settings& settings, const Place& place, std::uint64_t life, std::uint64_t seed, Time now);
 
-  // A runner answers; `up_since`: when this life of it began. A later one than known: the former has ended.
+  // A runner was observed alive; `up_since` is the start of its current life. A later start than the known
+  // one means that the previous life has ended.
   void Seen(std::string_view runner, int zone, int kind, Time up_since, Time now);
-  void Draining(std::string_view runner, Time now);  // planned: no failure
-  void Lost(std::string_view runner, Time now);      // a call-back said so, or its connections broke
+  void Draining(std::string_view runner, Time now);  // planned, not a failure
+  void Lost(std::string_view runner, Time now);      // reported by a callback, or its connections broke
 
   SavePlan Begin(JobId id, const JobFacts& job, Time now);
-  // Since the last note (or the start) it took so many seconds, worked so many and saved so often;
-  // `restarted`: it went on from a saved state in between.
+  // Progress since the last note (or the start): `took` seconds elapsed, `worked` seconds of work, `saves`
+  // checkpoints. `restarted`: it resumed from a checkpoint in between.
   void Noted(JobId id, double took, double worked, int saves, bool restarted, Time now);
-  void Moved(JobId id, std::string_view runner, Time now);  // goes on there
+  void Moved(JobId id, std::string_view runner, Time now);  // it continues on `runner`
   void End(JobId id);
   std::vector<std::pair<JobId, SavePlan>> Retold(Time now);
 
@@ -75,7 +78,7 @@
 
   const Facts& facts() const { return facts_; }
   const Rates& rates(Time now);
-  double Committed(Time now) const;  // saves a second that plans allow
+  double Committed(Time now) const;  // saves a second that the current plans allow
   const Lending& lending() const { return lending_; }
   std::uint64_t refused() const { return refused_; }
 
@@ -83,7 +86,7 @@
   struct Running {
     JobFacts facts;
     SavePlan plan;
-    double rate = 0, old_rate = 0, then_rate = 0;  // saves a second; `old_rate` may still be gone by
+    double rate = 0, old_rate = 0, then_rate = 0;  // saves a second; `old_rate` may still be in use
     Time old_until = 0;
   };
 
@@ -102,8 +105,8 @@
   TierView tier_;
   std::map<JobId, Running> jobs_;
   std::map<std::string, Costs, std::less<>> costs_;  // by class
-  std::vector<std::pair<LifeKey, Time>> news_;       // ends seen here, told to all; twice
-  LifeKey turn_{};                                   // the next life to tell
+  std::vector<std::pair<LifeKey, Time>> news_;  // ends observed here, to be broadcast, with the send time
+  LifeKey turn_{};                              // the next life to send in the periodic exchange
   std::minstd_rand random_;
   Time due_, next_turn_, dealt_ = 0;
   std::uint64_t refused_ = 0;
--- a/src/checkpoints/choice.cpp
+++ b/src/checkpoints/choice.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr double kMinRate = 1e-9;  // one death in 30 years
-constexpr int kFew = 8;            // deaths that are counted one by one
+constexpr int kFew =
+    8;  // up to this many deaths are summed exactly; beyond it a normal approximation is used
 
-// The chance that the sum of k parts, each anything from 0 to 1 alike, is at most z (Irwin and Hall).
+// The probability that the sum of k independent uniform(0, 1) variables is at most z (Irwin-Hall).
 double SumBelow(int k, double z) {
   if (z <= 0) return 0;
   if (z >= k) return 1;
@@ -41,7 +42,7 @@
   const double a = std::max(job.rate, kMinRate), segment = job.work / (saves + 1) + job.save;
   const double straight = job.work + saves * job.save, spare = job.slack - straight;
   if (spare < 0) return 1;
-  const double deaths = a * straight;  // expected; each costs a restart and up to a segment
+  const double deaths = a * straight;  // expected number; each costs a restart and up to a segment
   double weight = exact::Exp(-deaths), in_time = weight, left = 1 - weight;
   for (int k = 1; k <= kFew; ++k) {
     weight *= deaths / k, left -= weight;
@@ -62,7 +63,7 @@
 
 Choice Choose(const Job& job) {
   const double step = std::sqrt(2 * (job.save + job.price) / std::max(job.rate, kMinRate));
-  // The lateness is no convex curve of n: a net of numbers around Young's, then downhill from the best.
+  // Late() isn't convex in n: try a grid around Young's optimum, then descend from the best point.
   const double young = std::min<double>(kMaxSaves / 8.0, job.work / std::max(step, 1e-3));
   int best = 0;
   double least = Loss(job, 0);
--- a/src/checkpoints/costs.h
+++ b/src/checkpoints/costs.h
@@ -1,9 +1,10 @@
-// What a save and a restart cost in a class of jobs, learned from progress notes and run times.
+// Estimates the cost of a save and of a restart for a class of jobs from progress notes and run times.
 //
-// Between two notes a job has worked for `worked` seconds and saved `saves` times in `took` seconds: what is
-// over is the saves'. After a restart what is over until the first note is the restart's. Each is a mean over
-// the last kMemory samples or so, in which the first belief weighs as much as two. Guards against one odd
-// sample: none counts for more than five times the mean; none below zero.
+// Between two notes a job has worked for `worked` seconds and saved `saves` times in `took` seconds; the
+// remainder is attributed to the saves. After a restart, the remainder up to the first note is attributed to
+// the restart. Each estimate is a mean over about the last kMemory samples, in which the initial estimate
+// weighs as much as two. Samples are clamped to between zero and five times the mean, so that one outlier
+// can't distort the estimate.
 #pragma once
 
 #include <algorithm>
@@ -26,7 +27,7 @@
   }
 
   double mean() const { return mean_; }
-  double error() const { return std::sqrt(square_ / count_); }  // of the mean
+  double error() const { return std::sqrt(square_ / count_); }  // standard error of the mean
 
  private:
   double mean_, square_, count_ = kFirst;
--- a/src/checkpoints/deal.cpp
+++ b/src/checkpoints/deal.cpp
@@ -12,7 +12,7 @@
   return choice.saves == 0 ? 0 : 1 / choice.interval;
 }
 
-// The level up to which each gets what it wants.
+// The max-min level: each demand is met up to it.
 double Level(std::vector<double> wants, double allowed) {
   std::ranges::sort(wants);
   double left = allowed;
@@ -24,9 +24,9 @@
   return wants.empty() ? 0 : wants.back();
 }
 
-// The jobs of one tenant share `level` by a price. Gives the price.
+// Allocates `level` among the jobs of one tenant by a price. Returns the price.
 double Share(std::vector<Wish*>* wishes, double level) {
-  // Young's rate at a price bounds the search; the choice itself is asked at its end.
+  // The price is searched with Young's approximation; Choose runs only once, at the price found.
   const auto rough = [&](double price) {
     double sum = 0;
     for (const Wish* it : *wishes)
--- a/src/checkpoints/deal.h
+++ b/src/checkpoints/deal.h
@@ -1,14 +1,14 @@
-// Deals saves a second among jobs: by expected gain within a tenant, alike between tenants that want more
-// than there is.
+// Allocates saves a second among jobs: by expected gain within a tenant, and by max-min fairness between
+// tenants when demand exceeds the limit.
 //
-// What is free to all is the choice at a price of zero. Where that is over what there is, each tenant gets
-// what it wants up to a level that all share (max-min), and within a tenant a save costs a price, the same
-// for each job, at which its jobs want what it has: the jobs that gain least save less (the Lagrangian of the
-// sum of losses).
+// Unconstrained demand is the choice at a price of zero. Where its sum exceeds the limit, each tenant gets
+// its demand up to a common level (max-min), and within a tenant a save has a price, the same for each job,
+// at which the demand of its jobs matches its allocation: the jobs that gain least save less (the Lagrangian
+// of the sum of losses).
 //
-// Guards against a tenant with a thousand jobs that leaves the others no save: its level does not grow with
-// its jobs. And against the sum being passed by rounding: what the price leaves over is taken off by the same
-// part.
+// A tenant's level doesn't grow with its number of jobs; otherwise a tenant with a thousand jobs would leave
+// the others no saves. Any excess that remains at the price found is scaled off proportionally, so that
+// rounding can't take the sum above the limit.
 #pragma once
 
 #include <string>
@@ -21,14 +21,14 @@
 struct Wish {
   std::string tenant;
   Job job;
-  // Filled in.
-  double free = 0;   // saves a second that it would make at no price
-  double given = 0;  // saves a second
+  // Set by Deal.
+  double free = 0;   // saves a second that it would make at a price of zero
+  double given = 0;  // saves a second allocated
 };
 
 struct Dealt {
-  double wanted = 0, given = 0;  // saves a second, in all
-  double gain = 0;               // worth of one save a second more, where it is wanted most
+  double wanted = 0, given = 0;  // saves a second in total
+  double gain = 0;               // marginal worth of a save a second, where it is highest
 };
 
 Dealt Deal(std::vector<Wish>* wishes, double allowed);
--- a/src/checkpoints/exact.cpp
+++ b/src/checkpoints/exact.cpp
@@ -30,7 +30,7 @@
   return 2 * z * sum + exponent * kLog2;
 }
 
-double Normal(double z) {  // the logistic fit of Bowling et al. 2009
+double Normal(double z) {  // logistic approximation of Bowling et al. 2009
   return 1 / (1 + Exp(-(0.07056 * z * z * z + 1.5976 * z)));
 }
 
@@ -38,7 +38,7 @@
   if (age <= 0) return kWhole;
   const std::int64_t halves = age / half_life;
   if (halves >= 30) return 0;
-  // The rest of a half-life in 2^-20 units.
+  // The fraction of a half-life, in units of 2^-20.
   const std::int64_t f = (age % half_life) * (std::int64_t{1} << 20) / half_life;
   const double part = static_cast<double>(f) * 0x1p-20;
   const double value = Exp(-kLog2 * part);
--- a/src/checkpoints/facts.cpp
+++ b/src/checkpoints/facts.cpp
@@ -36,7 +36,8 @@
   auto [at, fresh] = lives_.try_emplace(key, said);
   if (fresh) return Bound(key.runner);
   Life& life = at->second;
-  // Two zones or kinds told of one life: one of them is a mistake; the smaller zone is never "not known".
+  // Conflicting zones or kinds for one life mean that one is wrong; the smaller zone is never "unknown"
+  // (255).
   life.zone = std::min(life.zone, said.zone), life.kind = std::max(life.kind, said.kind);
   life.until = std::max(life.until, said.until), life.ended = std::max(life.ended, said.ended);
   life.planned |= said.planned, life.whole |= said.whole, life.seen |= said.seen;
@@ -81,7 +82,7 @@
 }
 
 bool Facts::Fits(const LifeKey& key, const Life& life, Time now) {
-  const Ticks latest = now / kTick + 100;  // clocks of one site differ by less than ten seconds
+  const Ticks latest = now / kTick + 100;  // clocks within a site differ by less than ten seconds
   return key.start > 0 && life.until >= key.start && life.until <= latest && life.ended <= latest &&
          (life.ended == 0 || life.ended >= key.start);
 }
--- a/src/checkpoints/facts.h
+++ b/src/checkpoints/facts.h
@@ -1,20 +1,22 @@
-// What a tier knows of the lives of its runners: when each began, until when it was heard, and how it ended.
+// The tier's shared record of the lives of its runners: when each began, when it was last observed alive, and
+// how it ended.
 //
-// A fact is a life, keyed by runner and start, so a death that ten dispatchers see is one. Facts join by the
-// greater or the "or" of each field: any order, any number of times, the same table (a join-semilattice;
-// Shapiro et al. 2011). Deaths and exposure come from the same facts: they cannot drift apart.
+// A fact is a life, keyed by runner and start, so a death observed by ten dispatchers is one fact. Facts
+// merge field by field by maximum or "or": in any order and any number of times they give the same table (a
+// join-semilattice; Shapiro et al. 2011). Deaths and exposure come from the same facts, so they can't
+// diverge.
 //
-// Guards against
-// - deaths that were none: a drain wins over a death of the same life; a life heard after it was called lost
-//   lives; what only dispatchers of one zone that were below half of the tier saw waits until a dispatcher of
-//   another zone, or one in a whole tier, has seen it;
-// - a table that grows: at most Bounds::lives. What is kept are whole runners in the order of their hash, of
-//   each the newest Bounds::of_runner lives. Which those are is a matter of what is known, not of the order
-//   in which it came, so the bound is part of the join; and a sample by hash is a fair one (bottom-k; Cohen
-//   and Kaplan 2007): its rates are those of all, its exposure being cut with its deaths;
-// - old news: what was heard last kHorizon ago or more is dropped when it is read or told.
+// Properties:
+// - False deaths are avoided: a drain overrides a death of the same life; a life observed after it was
+//   reported lost is alive; a death seen only by dispatchers of one zone that had contact with less than half
+//   of the tier isn't counted until a dispatcher of another zone, or one with a majority, has seen it.
+// - The table is bounded by Bounds::lives. It keeps whole runners in the order of their hash, and of each the
+//   newest Bounds::of_runner lives. Which lives are kept depends on the facts, not on their order of arrival,
+//   so the bound is part of the join; a sample by hash is unbiased (bottom-k; Cohen and Kaplan 2007): its
+//   exposure is cut together with its deaths, so its rates are those of the whole.
+// - Facts whose life was last observed kHorizon ago or more are dropped when read or received.
 //
-// Memory: at most 0.7 MB. 1,000 runners with six lives each within kHorizon fit whole.
+// Memory: at most 0.7 MB. 1,000 runners with six lives each within kHorizon fit completely.
 #pragma once
 
 #include <cstdint>
@@ -26,16 +28,16 @@
 
 namespace lichenlug {
 
-inline constexpr Time kTick = kSecond / 10;  // what a time among the facts is counted in
+inline constexpr Time kTick = kSecond / 10;  // resolution of the times in facts
 using Ticks = std::int64_t;
 
 struct Life {
-  int zone = 255, kind = 0;  // 255: not known
-  Ticks until = 0;           // last heard
-  Ticks ended = 0;           // when it was noticed that it had ended; 0: it was not
-  bool planned = false;      // it ended by a drain: no failure
-  bool whole = false;        // its end was seen by a dispatcher that had over half of the tier
-  std::uint16_t seen = 0;    // zones of the dispatchers that saw its end; the last bit: 15 and above
+  int zone = 255, kind = 0;  // 255: unknown
+  Ticks until = 0;           // last observed alive
+  Ticks ended = 0;           // when its end was detected; 0: not detected
+  bool planned = false;      // it ended by a drain, not a failure
+  bool whole = false;        // its end was seen by a dispatcher in contact with over half of the tier
+  std::uint16_t seen = 0;    // bit set of the zones whose dispatchers saw its end; the last bit: 15 and above
 
   bool operator==(const Life&) const = default;
   bool Died() const { return ended > 0 && until <= ended && !planned; }
@@ -69,9 +71,9 @@
   const Lives& lives() const { return lives_; }
   const Life* Newest(std::uint32_t runner, Ticks* start) const;
   std::uint64_t dropped() const { return dropped_; }
-  int Waiting() const;  // deaths not counted yet: seen from one place only
+  int Waiting() const;  // deaths not counted yet, as only one zone has seen them
 
-  // What the horizon still holds, and nothing that cannot be: from the future, or ended before it began.
+  // Whether the life is plausible: it doesn't lie in the future and didn't end before it began.
   static bool Fits(const LifeKey& key, const Life& life, Time now);
 
  private:
@@ -80,17 +82,18 @@
 
   Bounds bounds_;
   Lives lives_;
-  // Runners from here on did not fit. It only falls, or a smaller runner that comes after a larger one was
-  // dropped would find room that another order had not left; it is lifted when half of the table has faded.
+  // Runners whose hash is at or above this were dropped. It only falls: otherwise a runner that arrives after
+  // a larger one was dropped could fit in one order of arrival and not in another. It is reset when less than
+  // half of the table is in use.
   std::uint64_t bar_ = kNoBar;
   static constexpr std::uint64_t kNoBar = std::uint64_t{1} << 32;
   std::uint64_t dropped_ = 0;
 };
 
-// Lives as bytes, kLifeBytes each.
+// Serialized lives, kLifeBytes each.
 inline constexpr std::size_t kLifeBytes = 22;
 void AppendLife(std::string* bytes, const LifeKey& key, const Life& life);
-// False: it cannot be a life.
+// Returns false if the bytes are malformed.
 bool ReadLife(std::string_view bytes, LifeKey* key, Life* life);
 
 }  // namespace lichenlug
--- a/src/checkpoints/lending.cpp
+++ b/src/checkpoints/lending.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kAskBytes = 1 + 4 + 8 + 8 + 8, kGrantBytes = 1 + 4 + 8 + 8;
-constexpr std::size_t kMaxLeases = 64;  // of one borrower: who asks more often waits
+constexpr std::size_t kMaxLeases = 64;  // of one borrower; further requests are ignored until a lease expires
 
 void Append(std::string* bytes, std::uint64_t value, int count) {
   for (int i = 0; i < count; ++i) *bytes += static_cast<char>(value >> (8 * i) & 0xff);
@@ -22,7 +22,7 @@
   return value;
 }
 
-// As made, or with one zero byte behind it.
+// Whether the body has the given size, optionally with one trailing zero byte.
 bool Fits(std::string_view body, std::size_t size) {
   return body.size() == size || (body.size() == size + 1 && body.back() == '\0');
 }
@@ -70,7 +70,7 @@
 
 std::vector<PeerProtocol::Datagram> Lending::Asks(const TierView& tier, Time now) {
   std::vector<PeerProtocol::Datagram> words;
-  // What is borrowed and in use is asked for again before it ends.
+  // Leases in use are renewed before they expire.
   Amount borrowed = 0;
   for (const auto& [peer, lender] : lenders_)
     if (now < lender.end) borrowed += lender.amount;
@@ -118,7 +118,8 @@
   const auto gain = std::bit_cast<double>(Take(&body, 8));
   if (asked <= 0 || !(gain >= 0)) return false;
   Borrower& borrower = borrowers_[peer];
-  if (life < borrower.life || (life == borrower.life && ask <= borrower.ask)) return true;  // old news
+  if (life < borrower.life || (life == borrower.life && ask <= borrower.ask))
+    return true;  // duplicate or outdated
   borrower.life = life, borrower.ask = ask;
   std::erase_if(borrower.leases, [now](const Lent& it) { return it.end <= now; });
   Amount held = 0;
@@ -144,7 +145,8 @@
   const auto amount = static_cast<Amount>(Take(&body, 8));
   const auto at = lenders_.find(peer);
   if (amount <= 0 || amount > own_) return false;
-  // A grant for an ask before the last is of no use: the lender counts the greater of both, not the sum.
+  // A grant for an earlier request is ignored: the lender counts the maximum of a borrower's leases, not
+  // their sum.
   if (life != life_ || at == lenders_.end() || at->second.ask != ask) return true;
   Lender& lender = at->second;
   const Time end = lender.asked + kLease;
--- a/src/checkpoints/lending.h
+++ b/src/checkpoints/lending.h
@@ -1,18 +1,18 @@
-// The store's bound, shared out over the tier so that it holds under any cut.
+// Divides the store's limit over the tier so that the sum stays within it under any network partition.
 //
-// Each of n dispatchers owns an n-th of the bound for good. What it does not use, down to a quarter, it
-// lends: the borrower asks, the lender grants, and the lease ends by itself. The borrower counts from when it
-// asked, the lender from when it granted and a sixteenth longer, so no clocks need agree, only run alike.
-// Nobody has to hear anything for the sum to hold: whoever hears nothing has its own share, less what it lent
-// (escrow; Barbara and Garcia-Molina 1992; leases: Gray and Cheriton 1989).
+// Each of n dispatchers owns an n-th of the limit permanently. It lends what it doesn't use, keeping at least
+// a quarter: the borrower asks, the lender grants, and the lease expires by itself. The borrower counts the
+// lease from its request, the lender from its grant and a sixteenth longer, so clocks need not agree, only
+// run at a similar rate. The limit holds without any communication: a dispatcher that receives nothing has
+// its own share, less what it has lent (escrow: Barbara and Garcia-Molina 1992; leases: Gray and Cheriton
+// 1989).
 //
-// Guards against
-// - a lender that dies and forgets what it lent, or what its jobs were told: a new life uses nothing until
-//   kLease and a sixteenth have passed;
-// - asks and grants that are lost, doubled, late or overtaken: an ask is answered once, a grant names the ask
-// and
-//   the life that it answers, and counts from that ask's time;
-// - a borrower that sleeps: its lease has ended when it wakes, by its own clock.
+// Faults tolerated:
+// - a lender that crashes and forgets its leases or the plans of its jobs: after a restart it uses nothing
+//   until kLease and a sixteenth have passed;
+// - requests and grants that are lost, duplicated, delayed or reordered: a request is answered once, and a
+//   grant names the request and the life that it answers, and counts from the time of that request;
+// - a borrower that is suspended: its lease has expired by its own clock when it resumes.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +32,8 @@
  public:
   static constexpr Time kLease = 20 * kSecond, kMargin = kLease / 16, kAsk = kSecond;
   static constexpr int kAsksAtOnce = 4;
-  static constexpr double kWorthMore = 1.25;  // the asker's gain by ours
+  static constexpr double kWorthMore =
+      1.25;  // minimum ratio of the borrower's gain to the lender's for a new loan
 
   struct Place {
     int number = 0, tier = 1;
@@ -40,20 +41,21 @@
 
   Lending(const Place& place, Amount bound, std::uint64_t life, Time now);
 
-  // What may be used in all, now; none of it longer than until End().
+  // The total that may be used now, and at most until End().
   Amount Allowed(Time now) const;
-  // The end of the first lease that Allowed counts, at most now + kLease.
+  // The earliest end of the leases included in Allowed; at most now + kLease.
   Time End(Time now) const;
-  // What may be used without hearing anything, for good: never lent.
+  // The part that is never lent: usable without communication and without expiry.
   Amount safe(Time now) const { return now < quiet_until_ ? 0 : own_ / 4; }
 
-  // What is used, what more would be, and what the next unit is worth (comparable between dispatchers).
+  // Sets the current use, the additional demand, and the worth of the next unit (comparable between
+  // dispatchers).
   void Use(Amount used, Amount more, double gain, Time now);
-  // A dispatcher to which a unit is worth more has asked for this: to be freed before End.
+  // The amount requested by a dispatcher with a higher gain; to be released before End.
   Amount Yield(Time now) const { return now < yield_until_ ? yield_ : 0; }
 
   std::vector<PeerProtocol::Datagram> Asks(const TierView& tier, Time now);
-  // The answer, if there is one. False: malformed.
+  // Appends the answer, if there is one. Returns false if the message is malformed.
   bool HandleMessage(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Datagram>* answers);
 
   static constexpr char kAskWord = 2, kGrantWord = 3;
@@ -66,10 +68,10 @@
   struct Borrower {
     std::uint64_t life = 0;
     std::uint32_t ask = 0;
-    std::vector<Lent> leases;  // of one borrower only the last is in use, but it may not know that yet
+    std::vector<Lent> leases;  // only the last is in use, but the borrower may not have received it yet
   };
   struct Lender {
-    std::uint32_t ask = 0;  // the last one
+    std::uint32_t ask = 0;  // the last request
     Time asked = 0;
     Amount amount = 0;
     Time end = 0;
--- a/src/checkpoints/rates.cpp
+++ b/src/checkpoints/rates.cpp
@@ -10,10 +10,10 @@
 
 constexpr Ticks kHalf = Facts::kHalfLife / kTick;
 constexpr Ticks kYoungTicks = Rates::kYoung / kTick;
-constexpr int kFewest = 3;      // deaths of one event
-constexpr int kPartOfZone = 4;  // and at least this part of the zone
+constexpr int kFewest = 3;      // minimum deaths of a zone event
+constexpr int kPartOfZone = 4;  // and at least one in this many runners of the zone
 
-// log likelihood of `deaths` in `exposure` at their own rate, less what both sides of a ratio share.
+// Log likelihood of `deaths` in `exposure` at their own rate, without the terms that cancel in a ratio.
 double Fit(double deaths, double exposure) {
   return deaths > 0 && exposure > 0 ? deaths * exact::Log(deaths / exposure) : 0;
 }
@@ -95,7 +95,7 @@
       if (died && life.until >= points[i] && life.until <= now_) ++deaths[i];
     }
   }
-  // The best split of what is left, then of what came since it, as long as one passes.
+  // Finds the best split, then repeats on the data after it, as long as one is significant.
   for (std::size_t end = points.size() - 1; end > 0;) {
     double best = kAlarm;
     std::size_t found = points.size();
@@ -136,7 +136,7 @@
   double took = 0;
   for (const Event& event : fallen_) all.deaths += Weight(event.at), took += event.share;
   took /= static_cast<double>(fallen_.size());
-  // A zone that fell in the first minutes of the facts is no rate of one a minute.
+  // The prior exposure keeps a zone event in the first minutes from giving a rate of one a minute.
   const double above = all.Deaths() / (all.Seconds() + kTopExposure);
   for (const auto& [zone, unused] : zones_) {
     Tally own = each;
@@ -160,7 +160,7 @@
   if (const auto at = kinds_.find({zone, kind}); at != kinds_.end()) mean = Below(mean, at->second[age]);
   if (const auto at = runners_.find(runner); at != runners_.end()) mean = Below(mean, at->second[age]);
   if (const auto at = zone_rate_.find(zone); at != zone_rate_.end()) mean += at->second;
-  // The shape that the tier's deaths give; Wilson and Hilferty's quantile of the Gamma distribution.
+  // The Gamma shape from the tier's deaths, and its quantile by the Wilson-Hilferty approximation.
   const double shape = 0.5 + all.Deaths(), root = std::sqrt(shape);
   const double cube = 1 - 1 / (9 * shape) + 1.645 / (3 * root);
   return {mean, mean / root, mean * cube * cube * cube};
--- a/src/checkpoints/rates.h
+++ b/src/checkpoints/rates.h
@@ -1,18 +1,19 @@
-// How often runners die, with what is not known about it.
+// Estimates the death rates of runners and their uncertainty.
 //
-// Deaths and exposure fade with Facts::kHalfLife. A rate is pooled, each level the prior of the next: tier,
-// zone, kind within the zone, runner; Gamma priors and Poisson counts, so the mean at a level is (k + deaths)
-// / (k / mean above + exposure) with k = kStrength deaths. At the top half a death in kTopExposure: with no
-// death seen the rate is small and bounded (`upper`), never zero. Runners younger than kYoung have rates of
-// their own, whose prior is that of all. Many deaths of a zone within kTogether are one event of the zone;
-// its rate, by the share of the zone that it took, is added to that of each runner there.
+// Deaths and exposure decay with Facts::kHalfLife. A rate is pooled over levels, each the prior of the next:
+// tier, zone, kind within the zone, runner. With Gamma priors and Poisson counts the mean at a level is
+// (k + deaths) / (k / mean above + exposure) with k = kStrength deaths. The top level's prior is half a death
+// in kTopExposure: with no deaths seen the rate is small and bounded (`upper`), never zero. Runners younger
+// than kYoung have separate rates, whose prior is the rate of all. Many deaths in a zone within kTogether
+// count as one zone event; the zone's event rate, times the share of the zone that died, is added to the rate
+// of each runner there.
 //
-// After a change beyond chance only what came since counts: the greatest likelihood ratio over change points
-// 10 s to 4 h ago, each 1.5 times the one before, must pass e^kAlarm. False alarms: see
-// docs/measurements/checkpoints.md.
+// After a statistically significant change only later data counts: the maximum likelihood ratio over change
+// points 10 s to 4 h ago, each 1.5 times as far back as the one before, must exceed e^kAlarm. False alarms:
+// see docs/measurements/checkpoints.md.
 //
-// All sums are of whole numbers over ordered facts, the rest is +, -, *, / in a fixed order: dispatchers that
-// have the same facts have the same rates, to the last bit, within the same second.
+// All sums are integer sums over ordered facts, and the rest is +, -, *, / in a fixed order: dispatchers with
+// the same facts compute bit-identical rates within the same second.
 #pragma once
 
 #include <array>
@@ -25,9 +26,9 @@
 namespace lichenlug {
 
 struct Rate {
-  double mean = 0;   // a second
-  double sd = 0;     // of what is known of it
-  double upper = 0;  // 95% sure to be below
+  double mean = 0;   // deaths a second
+  double sd = 0;     // standard deviation of the estimate
+  double upper = 0;  // 95% upper bound
 };
 
 class Rates {
@@ -43,12 +44,12 @@
   // The mean over the time from age `age` to `age + span`, both in seconds.
   Rate Over(std::uint32_t runner, int kind, int zone, double age, double span) const;
 
-  Time since() const { return since_; }   // the change that is believed; 0: none within the horizon
-  int events() const { return events_; }  // zones that fell, within the horizon
+  Time since() const { return since_; }   // time of the last detected change; 0: none within the horizon
+  int events() const { return events_; }  // zone events within the horizon
 
  private:
   struct Tally {
-    std::int64_t deaths = 0, exposure = 0;  // sums of weights; of their differences, see Seconds
+    std::int64_t deaths = 0, exposure = 0;  // sums of weights and of weight differences (see Seconds)
     double Deaths() const;
     double Seconds() const;
   };
