--- a/src/checkpoints/choice.cpp
+++ b/src/checkpoints/choice.cpp
@@ -9,8 +9,7 @@
 namespace {
 
 constexpr double kMinRate = 1e-9;  // one death in 30 years
-constexpr int kFew =
-    8;  // up to this many deaths are summed exactly; beyond it a normal approximation is used
+constexpr int kFew = 8;            // larger numbers of deaths use a normal approximation
 
 // The probability that the sum of k independent uniform(0, 1) variables is at most z (Irwin-Hall).
 double SumBelow(int k, double z) {
--- a/tests/checkpoints_test.cpp
+++ b/tests/checkpoints_test.cpp
@@ -1,5 +1,5 @@
-// Checkpoint intervals: facts that join in any order, rates that say what they do not know, the finite
-// optimum against brute force, and the store's bound under cuts, losses, deaths and healing.
+// Checkpoint intervals: the merge of facts in any order, death rates and their uncertainty, the finite
+// optimum against brute force, and the store's limit under partitions, message loss, crashes and recovery.
 #include "checkpoints/checkpoints.h"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,8 @@
 };
 
 std::vector<Said> AnyLives() {
-  // Not by rapidcheck's ranges: they grow with its size, and small tables never reach their bound.
+  // Doesn't use rapidcheck's ranges: they grow with its size parameter, so small tables would never reach
+  // their bound.
   std::minstd_rand random(*rc::gen::arbitrary<std::uint32_t>());
   const auto below = [&](unsigned n) { return static_cast<int>(random() / 7 % n); };
   std::vector<Said> said(static_cast<std::size_t>(below(24)));
@@ -105,11 +106,12 @@
 TEST(CheckpointFacts, DeathSeenByTwoHalvesThatHealIsOne) {
   const Checkpoints::Settings settings;
   Checkpoints a(settings, {0, 4, 0}, 1, 1, kStart), b(settings, {1, 4, 1}, 1, 2, kStart);
-  a.TierChanged(Tier(4, 0, 1), kStart), b.TierChanged(Tier(4, 1, 1), kStart);  // two of four each: no whole
+  a.TierChanged(Tier(4, 0, 1), kStart),
+      b.TierChanged(Tier(4, 1, 1), kStart);  // two of four each: no majority
   for (Checkpoints* it : {&a, &b}) {
     it->Seen("r", 0, 0, kStart - 100 * kSecond, kStart);
     it->Seen("r", 0, 0, kStart + kSecond, kStart + 2 * kSecond);
-    EXPECT_EQ(it->facts().Waiting(), 1) << "seen from one cut-off place only";
+    EXPECT_EQ(it->facts().Waiting(), 1) << "seen from one partition only";
   }
   for (int i = 0; i < 3; ++i)
     for (const auto& [from, to] : {std::pair(&a, &b), std::pair(&b, &a)})
@@ -128,7 +130,7 @@
   it.Seen("lost", 0, 0, kStart - 1000 * kSecond, kStart);
   it.Begin(1, {"t", "c", "drained", 600}, kStart);
   it.Draining("drained", kStart + kSecond);
-  it.Noted(1, 5.5, 5, 0, false, kStart + kSecond);  // half a save: none was made
+  it.Noted(1, 5.5, 5, 0, false, kStart + kSecond);  // half a save: no checkpoint was completed
   it.Moved(1, "lost", kStart + kSecond);
   it.Lost("drained", kStart + 2 * kSecond);
   it.Lost("lost", kStart + 2 * kSecond);
@@ -140,10 +142,10 @@
   EXPECT_EQ(died(), 0);
   it.Seen("lost", 0, 0, kStart + 4 * kSecond, kStart + 5 * kSecond);
   it.Seen("lost", 0, 0, kStart - 1000 * kSecond, kStart + 6 * kSecond);
-  EXPECT_EQ(died(), 1) << "an old report that comes late revives nobody";
+  EXPECT_EQ(died(), 1) << "a delayed report of an old life doesn't revive the runner";
 }
 
-// A tier of `runners` in three zones; each life begins where the last has ended, `gap` seconds each.
+// Adds lives of `runners` runners in three zones; lives follow each other, `gap` seconds each.
 void Live(Facts* facts, int runners, double from, double to, double gap) {
   for (int r = 0; r < runners; ++r) {
     for (double at = from - gap * r / runners; at < to; at += gap) {
@@ -194,7 +196,7 @@
   }
   const Rates after(facts, 1'002'005 * kSecond);
   EXPECT_EQ(after.events(), 1);
-  EXPECT_EQ(after.since(), 0) << "no change of the runners' own rate";
+  EXPECT_EQ(after.since(), 0) << "the runners' own rate is unchanged";
   EXPECT_LT(after.Of(2, 0, 1, false).mean, before + 2e-4) << "twenty deaths would be 1.6e-4 a second more";
 }
 
@@ -231,7 +233,7 @@
   EXPECT_EQ(Choose({.work = 100, .save = 5, .rate = 1e-4}).saves, 0);
   const Choice some = Choose({.work = 1000, .save = 1, .rate = 1e-2});
   EXPECT_NEAR(some.interval * (some.saves + 1), 1000, 0.1)
-      << "the last segment is a whole one: none near the end";
+      << "the last segment has full length: no save near the end";
 }
 
 TEST(CheckpointChoice, DeadlineThatALossWouldBreakIsWorthMoreSaves) {
@@ -240,9 +242,9 @@
   job.slack = 700, job.lost_when_late = 600;
   EXPECT_GT(Choose(job).saves, calm);
   job.slack = 590;
-  EXPECT_EQ(Choose(job).saves, calm) << "late anyway";
+  EXPECT_EQ(Choose(job).saves, calm) << "the deadline is missed in any case";
   const Choice kept = Again(job, 260, 1);
-  EXPECT_EQ(kept.interval, 260) << "no dance for a small gain";
+  EXPECT_EQ(kept.interval, 260) << "a small gain doesn't change the interval";
 }
 
 TEST(CheckpointDeal, OneTenantsManyJobsLeaveTheOthersTheirShare) {
@@ -275,15 +277,15 @@
   EXPECT_EQ(plan.every, b.Begin(2, {"t", "c", "r7", 7200}, now).every);
 }
 
-// A tier under a store's bound: cuts, lost, late and doubled datagrams, dead dispatchers and new lives. The
-// jobs of one that dies go by what they were told until that has ended: the worst that can be.
+// The store's limit holds under partitions, lost, delayed and duplicated datagrams, crashes and restarts.
+// Jobs of a crashed dispatcher continue with their last plan until it expires, which is the worst case.
 TEST(CheckpointBudget, SavesASecondNeverPassTheBoundUnderAnySchedule) {
   Check("budget", [] {
     constexpr int kSize = 5;
     constexpr Amount kBound = 1'000'000;
     struct Node {
       std::optional<Lending> lending;
-      std::vector<std::pair<Amount, Time>> told;  // rate until then
+      std::vector<std::pair<Amount, Time>> told;  // rate, and the time until which it is valid
       bool up = true;
       Amount want = 0;
     };
@@ -299,7 +301,7 @@
     for (int i = 0; i < kSize; ++i)
       nodes[static_cast<std::size_t>(i)].lending.emplace(Lending::Place{i, kSize}, kBound, 1, now);
     std::uint64_t life = 1;
-    unsigned cut = 0;  // by bit of the node
+    unsigned cut = 0;  // partition as a bit set of nodes
     Amount most = 0;
     for (int step = 0; step < 160; ++step) {
       now += static_cast<Time>(random() % 1000) * kMillisecond;
@@ -352,7 +354,7 @@
   });
 }
 
-// One dispatcher has all the jobs: it borrows, and never promises more than the bound.
+// One dispatcher has all the jobs: it borrows, and the sum of commitments stays within the limit.
 TEST(CheckpointBudget, BusyDispatcherBorrowsAndItsJobsStayWithinTheBound) {
   Checkpoints::Settings settings{.saves_a_second = 2};
   std::vector<std::unique_ptr<Checkpoints>> tier;
