--- a/src/checkpoints/checkpoints.h
+++ b/src/checkpoints/checkpoints.h
@@ -41,7 +41,7 @@
   struct Settings {
     double saves_a_second = 10;              // the store's limit, for the whole tier
     double save_cost = 1, restart_cost = 2;  // initial estimates, in seconds
-    double telling_cost = 0.05;              // seconds of a job's time that a plan update costs
+    double update_cost = 0.05;               // seconds of a job's time that a plan update costs
   };
   struct Place {
     int number = 0, tier = 1, zone = -1;
@@ -53,7 +53,7 @@
   };
   using JobId = std::uint64_t;
   static constexpr std::size_t kMaxJobs = 10'000;
-  static constexpr Time kDeal = 5 * kSecond, kRefresh = 5 * kSecond;
+  static constexpr Time kAllocationPeriod = 5 * kSecond, kRatesPeriod = 5 * kSecond;
 
   Checkpoints(const Settings& settings, const Place& place, std::uint64_t life, std::uint64_t seed, Time now);
 
@@ -91,10 +91,10 @@
   };
 
   void EndLife(const LifeKey& key, Life* life, bool planned, Time now);
-  Job JobOf(const Running& running, Time now);
-  void Give(Running* running, double rate, double then_rate, Time now);
-  static double Held(const Running& running, Time now);
-  void ToldSoon(Time now) { due_ = due_ == 0 ? now : std::min(due_, now); }
+  Job MakeJob(const Running& running, Time now);
+  void SetRate(Running* running, double rate, double then_rate, Time now);
+  static double HeldRate(const Running& running, Time now);
+  void ScheduleSend(Time now) { due_ = due_ == 0 ? now : std::min(due_, now); }
 
   const Settings settings_;
   const Place place_;
@@ -105,10 +105,11 @@
   TierView tier_;
   std::map<JobId, Running> jobs_;
   std::map<std::string, Costs, std::less<>> costs_;  // by class
-  std::vector<std::pair<LifeKey, Time>> news_;  // ends observed here, to be broadcast, with the send time
-  LifeKey turn_{};                              // the next life to send in the periodic exchange
+  std::vector<std::pair<LifeKey, Time>>
+      pending_ends_;     // ends observed here, to be broadcast, with the send time
+  LifeKey next_life_{};  // the next life to send in the periodic exchange
   std::minstd_rand random_;
-  Time due_, next_turn_, dealt_ = 0;
+  Time due_, next_exchange_, allocated_at_ = 0;
   std::uint64_t refused_ = 0;
   std::vector<Datagram> answers_;
 };
--- a/src/checkpoints/choice.cpp
+++ b/src/checkpoints/choice.cpp
@@ -8,11 +8,11 @@
 namespace lichenlug {
 namespace {
 
-constexpr double kMinRate = 1e-9;  // one death in 30 years
-constexpr int kFew = 8;            // larger numbers of deaths use a normal approximation
+constexpr double kMinRate = 1e-9;   // one death in 30 years
+constexpr int kMaxExactDeaths = 8;  // larger numbers of deaths use a normal approximation
 
 // The probability that the sum of k independent uniform(0, 1) variables is at most z (Irwin-Hall).
-double SumBelow(int k, double z) {
+double IrwinHallCdf(int k, double z) {
   if (z <= 0) return 0;
   if (z >= k) return 1;
   double sum = 0, choose = 1, factorial = 1;
@@ -26,59 +26,60 @@
   return std::clamp(sum / factorial, 0.0, 1.0);
 }
 
-double LessOne(double x) { return x < 1e-5 ? x * (1 + x / 2) : exact::Exp(x) - 1; }
+double ExpMinusOne(double x) { return x < 1e-5 ? x * (1 + x / 2) : exact::Exp(x) - 1; }
 
 }  // namespace
 
 double MeanTime(const Job& job, int saves) {
   const double a = std::max(job.rate, kMinRate), s = job.work / (saves + 1);
-  return exact::Exp(a * job.restart) / a * (saves * LessOne(a * (s + job.save)) + LessOne(a * s)) +
+  return exact::Exp(a * job.restart) / a * (saves * ExpMinusOne(a * (s + job.save)) + ExpMinusOne(a * s)) +
          saves * job.price;
 }
 
-double Late(const Job& job, int saves) {
+double MissProbability(const Job& job, int saves) {
   if (job.slack < 0) return 0;
   const double a = std::max(job.rate, kMinRate), segment = job.work / (saves + 1) + job.save;
   const double straight = job.work + saves * job.save, spare = job.slack - straight;
   if (spare < 0) return 1;
   const double deaths = a * straight;  // expected number; each costs a restart and up to a segment
   double weight = exact::Exp(-deaths), in_time = weight, left = 1 - weight;
-  for (int k = 1; k <= kFew; ++k) {
+  for (int k = 1; k <= kMaxExactDeaths; ++k) {
     weight *= deaths / k, left -= weight;
-    in_time += weight * SumBelow(k, (spare - k * job.restart) / segment);
+    in_time += weight * IrwinHallCdf(k, (spare - k * job.restart) / segment);
   }
   if (left > 1e-9) {
-    const double many = std::max<double>(deaths, kFew + 1);
+    const double many = std::max<double>(deaths, kMaxExactDeaths + 1);
     const double mean = many * (segment / 2 + job.restart);
     const double width = std::sqrt(many * (segment * segment / 3 + job.restart * (job.restart + segment)));
-    in_time += left * exact::Normal((spare - mean) / width);
+    in_time += left * exact::NormalCdf((spare - mean) / width);
   }
   return std::clamp(1 - in_time, 0.0, 1.0);
 }
 
 double Loss(const Job& job, int saves) {
-  return job.worth_a_second * (MeanTime(job, saves) - job.work) + job.lost_when_late * Late(job, saves);
+  return job.worth_a_second * (MeanTime(job, saves) - job.work) +
+         job.lost_when_late * MissProbability(job, saves);
 }
 
 Choice Choose(const Job& job) {
   const double step = std::sqrt(2 * (job.save + job.price) / std::max(job.rate, kMinRate));
-  // Late() isn't convex in n: try a grid around Young's optimum, then descend from the best point.
+  // MissProbability() isn't convex in n: try a grid around Young's optimum, then descend from the best point.
   const double young = std::min<double>(kMaxSaves / 8.0, job.work / std::max(step, 1e-3));
   int best = 0;
-  double least = Loss(job, 0);
-  const auto look = [&](int n) {
+  double lowest_loss = Loss(job, 0);
+  const auto try_count = [&](int n) {
     if (n < 0 || n > kMaxSaves) return false;
     const double loss = Loss(job, n);
-    if (!(loss < least)) return false;
-    best = n, least = loss;
+    if (!(loss < lowest_loss)) return false;
+    best = n, lowest_loss = loss;
     return true;
   };
-  for (int n = 1; n <= std::min(16, static_cast<int>(2 * young) + 2); ++n) look(n);
-  for (double n = 17; n <= 4 * young; n *= 1.25) look(static_cast<int>(n));
+  for (int n = 1; n <= std::min(16, static_cast<int>(2 * young) + 2); ++n) try_count(n);
+  for (double n = 17; n <= 4 * young; n *= 1.25) try_count(static_cast<int>(n));
   for (int by = std::max(1, best / 8); by > 0; by /= 2)
-    while (look(best + by) || look(best - by)) {
+    while (try_count(best + by) || try_count(best - by)) {
     }
-  Choice choice{best, 0, least};
+  Choice choice{best, 0, lowest_loss};
   if (best > 0) choice.interval = std::ceil(job.work / (best + 1) * 1000) / 1000;
   return choice;
 }
@@ -89,10 +90,10 @@
   return Loss(job, std::min(saves, kMaxSaves));
 }
 
-Choice Again(const Job& job, double interval, double telling) {
+Choice ReviseChoice(const Job& job, double interval, double update_cost) {
   const Choice now = Choose(job);
   const double old = LossAt(job, interval);
-  if (old - now.loss > telling + old / 20) return now;
+  if (old - now.loss > update_cost + old / 20) return now;
   return {0, interval, old};
 }
 
--- a/src/checkpoints/choice.h
+++ b/src/checkpoints/choice.h
@@ -6,7 +6,7 @@
 //   T(n) = e^(aR) / a * (n (e^(a(s + C)) - 1) + e^(as) - 1),  s = work / (n + 1).
 // For long jobs with rare deaths s tends to sqrt(2 C / a) (Young 1974) and to Daly's higher-order formula.
 // The quantity minimised is worth, not time: each second costs `worth_a_second`, and missing the deadline
-// costs `lost_when_late` times its probability (Late below). If the deadline is missed for every n, only time
+// costs `lost_when_late` times its probability (MissProbability below). If the deadline is missed for every n, only time
 // counts.
 //
 // The rate used is the mean plus half a standard deviation: overestimating a rate by some fraction costs as
@@ -37,8 +37,8 @@
 
 inline constexpr int kMaxSaves = 100'000;
 
-double MeanTime(const Job& job, int saves);  // T(n) plus the price of the saves, in seconds
-double Late(const Job& job, int saves);      // the probability of missing the deadline
+double MeanTime(const Job& job, int saves);         // T(n) plus the price of the saves, in seconds
+double MissProbability(const Job& job, int saves);  // the probability of missing the deadline
 double Loss(const Job& job, int saves);
 
 Choice Choose(const Job& job);
@@ -48,6 +48,6 @@
 
 // A new interval for a job that runs with `interval`, if that gains more than `telling` of worth plus a
 // twentieth of the old interval's loss; otherwise the old one.
-Choice Again(const Job& job, double interval, double telling);
+Choice ReviseChoice(const Job& job, double interval, double update_cost);
 
 }  // namespace lichenlug
--- a/src/checkpoints/deal.h
+++ b/src/checkpoints/deal.h
@@ -22,15 +22,15 @@
   std::string tenant;
   Job job;
   // Set by Deal.
-  double free = 0;   // saves a second that it would make at a price of zero
-  double given = 0;  // saves a second allocated
+  double unconstrained = 0;  // saves a second that it would make at a price of zero
+  double given = 0;          // saves a second allocated
 };
 
-struct Dealt {
+struct DealResult {
   double wanted = 0, given = 0;  // saves a second in total
   double gain = 0;               // marginal worth of a save a second, where it is highest
 };
 
-Dealt Deal(std::vector<Wish>* wishes, double allowed);
+DealResult Deal(std::vector<Wish>* wishes, double allowed);
 
 }  // namespace lichenlug
--- a/src/checkpoints/exact.cpp
+++ b/src/checkpoints/exact.cpp
@@ -13,10 +13,10 @@
   x = std::clamp(x, -700.0, 700.0);
   const double halves = std::floor(x / kLog2 + 0.5);
   const double rest = x - halves * kLog2;  // within +-0.35: 13 terms reach 1e-17
-  static constexpr double kParts[] = {1,       1.0 / 2, 1.0 / 3,  1.0 / 4,  1.0 / 5,  1.0 / 6, 1.0 / 7,
-                                      1.0 / 8, 1.0 / 9, 1.0 / 10, 1.0 / 11, 1.0 / 12, 1.0 / 13};
+  static constexpr double kReciprocals[] = {1,       1.0 / 2, 1.0 / 3,  1.0 / 4,  1.0 / 5,  1.0 / 6, 1.0 / 7,
+                                            1.0 / 8, 1.0 / 9, 1.0 / 10, 1.0 / 11, 1.0 / 12, 1.0 / 13};
   double sum = 1;
-  for (int i = 12; i >= 0; --i) sum = 1 + sum * rest * kParts[i];
+  for (int i = 12; i >= 0; --i) sum = 1 + sum * rest * kReciprocals[i];
   return std::ldexp(sum, static_cast<int>(halves));
 }
 
@@ -30,19 +30,19 @@
   return 2 * z * sum + exponent * kLog2;
 }
 
-double Normal(double z) {  // logistic approximation of Bowling et al. 2009
+double NormalCdf(double z) {  // logistic approximation of Bowling et al. 2009
   return 1 / (1 + Exp(-(0.07056 * z * z * z + 1.5976 * z)));
 }
 
 std::int64_t Fade(std::int64_t age, std::int64_t half_life) {
-  if (age <= 0) return kWhole;
+  if (age <= 0) return kFullWeight;
   const std::int64_t halves = age / half_life;
   if (halves >= 30) return 0;
   // The fraction of a half-life, in units of 2^-20.
   const std::int64_t f = (age % half_life) * (std::int64_t{1} << 20) / half_life;
   const double part = static_cast<double>(f) * 0x1p-20;
   const double value = Exp(-kLog2 * part);
-  return static_cast<std::int64_t>(value * static_cast<double>(kWhole)) >> halves;
+  return static_cast<std::int64_t>(value * static_cast<double>(kFullWeight)) >> halves;
 }
 
 }  // namespace lichenlug::exact
--- a/src/checkpoints/exact.h
+++ b/src/checkpoints/exact.h
@@ -10,14 +10,15 @@
 
 namespace lichenlug::exact {
 
-double Exp(double x);     // relative error below 1e-14; x is clamped to +-700
-double Log(double x);     // x > 0; relative error below 1e-14
-double Normal(double z);  // standard normal CDF; error below 0.0002
+double Exp(double x);        // relative error below 1e-14; x is clamped to +-700
+double Log(double x);        // x > 0; relative error below 1e-14
+double NormalCdf(double z);  // standard normal CDF; error below 0.0002
 
-inline constexpr std::int64_t kWhole = std::int64_t{1}
-                                       << 30;  // the weight of a new observation (1.0 in fixed point)
+inline constexpr std::int64_t kFullWeight = std::int64_t{1}
+                                            << 30;  // the weight of a new observation (1.0 in fixed point)
 
-// kWhole * 2^(-age / half_life), accurate to one part in 10^6; 0 from thirty half-lives on. Never negative.
+// kFullWeight * 2^(-age / half_life), accurate to one part in 10^6; 0 from thirty half-lives on. Never
+// negative.
 std::int64_t Fade(std::int64_t age, std::int64_t half_life);
 
 }  // namespace lichenlug::exact
--- a/src/checkpoints/facts.h
+++ b/src/checkpoints/facts.h
@@ -32,16 +32,19 @@
 using Ticks = std::int64_t;
 
 struct Life {
-  int zone = 255, kind = 0;  // 255: unknown
-  Ticks until = 0;           // last observed alive
-  Ticks ended = 0;           // when its end was detected; 0: not detected
-  bool planned = false;      // it ended by a drain, not a failure
-  bool whole = false;        // its end was seen by a dispatcher in contact with over half of the tier
-  std::uint16_t seen = 0;    // bit set of the zones whose dispatchers saw its end; the last bit: 15 and above
+  int zone = 255, kind = 0;       // 255: unknown
+  Ticks until = 0;                // last observed alive
+  Ticks ended = 0;                // when its end was detected; 0: not detected
+  bool planned = false;           // it ended by a drain, not a failure
+  bool seen_by_majority = false;  // its end was seen by a dispatcher in contact with over half of the tier
+  std::uint16_t seen_zones =
+      0;  // bit set of the zones whose dispatchers saw its end; the last bit: 15 and above
 
   bool operator==(const Life&) const = default;
   bool Died() const { return ended > 0 && until <= ended && !planned; }
-  bool Counts() const { return Died() && (whole || (seen & (seen - 1)) != 0); }
+  bool IsConfirmedDeath() const {
+    return Died() && (seen_by_majority || (seen_zones & (seen_zones - 1)) != 0);
+  }
 };
 
 struct LifeKey {
@@ -59,34 +62,34 @@
   };
   static constexpr Time kHalfLife = 3600 * kSecond, kHorizon = 4 * kHalfLife;
 
-  static std::uint32_t Short(std::string_view runner);
+  static std::uint32_t RunnerHash(std::string_view runner);
 
   Facts() = default;
   explicit Facts(const Bounds& bounds) : bounds_(bounds) {}
 
-  void Join(const LifeKey& key, const Life& said);
+  void Join(const LifeKey& key, const Life& other);
   void Join(const Facts& other);
   void Fade(Time now);  // drops what is older than the horizon
 
   const Lives& lives() const { return lives_; }
-  const Life* Newest(std::uint32_t runner, Ticks* start) const;
+  const Life* NewestLife(std::uint32_t runner, Ticks* start) const;
   std::uint64_t dropped() const { return dropped_; }
-  int Waiting() const;  // deaths not counted yet, as only one zone has seen them
+  int UnconfirmedDeaths() const;  // deaths not counted yet, as only one zone has seen them
 
   // Whether the life is plausible: it doesn't lie in the future and didn't end before it began.
-  static bool Fits(const LifeKey& key, const Life& life, Time now);
+  static bool IsPlausible(const LifeKey& key, const Life& life, Time now);
 
  private:
-  void Bound(std::uint32_t runner);
-  void Lower(std::uint64_t bar);
+  void EnforceBounds(std::uint32_t runner);
+  void LowerCutoff(std::uint64_t cutoff);
 
   Bounds bounds_;
   Lives lives_;
   // Runners whose hash is at or above this were dropped. It only falls: otherwise a runner that arrives after
   // a larger one was dropped could fit in one order of arrival and not in another. It is reset when less than
   // half of the table is in use.
-  std::uint64_t bar_ = kNoBar;
-  static constexpr std::uint64_t kNoBar = std::uint64_t{1} << 32;
+  std::uint64_t hash_cutoff_ = kNoCutoff;
+  static constexpr std::uint64_t kNoCutoff = std::uint64_t{1} << 32;
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/checkpoints/lending.cpp
+++ b/src/checkpoints/lending.cpp
@@ -6,14 +6,14 @@
 namespace lichenlug {
 namespace {
 
-constexpr std::size_t kAskBytes = 1 + 4 + 8 + 8 + 8, kGrantBytes = 1 + 4 + 8 + 8;
+constexpr std::size_t kRequestBytes = 1 + 4 + 8 + 8 + 8, kGrantBytes = 1 + 4 + 8 + 8;
 constexpr std::size_t kMaxLeases = 64;  // of one borrower; further requests are ignored until a lease expires
 
 void Append(std::string* bytes, std::uint64_t value, int count) {
   for (int i = 0; i < count; ++i) *bytes += static_cast<char>(value >> (8 * i) & 0xff);
 }
 
-std::uint64_t Take(std::string_view* bytes, int count) {
+std::uint64_t ReadNumber(std::string_view* bytes, int count) {
   std::uint64_t value = 0;
   for (int i = 0; i < count; ++i)
     value |= static_cast<std::uint64_t>(static_cast<unsigned char>((*bytes)[static_cast<std::size_t>(i)]))
@@ -23,7 +23,7 @@
 }
 
 // Whether the body has the given size, optionally with one trailing zero byte.
-bool Fits(std::string_view body, std::size_t size) {
+bool HasSize(std::string_view body, std::size_t size) {
   return body.size() == size || (body.size() == size + 1 && body.back() == '\0');
 }
 
@@ -35,7 +35,7 @@
       own_(bound / tier_),
       life_(life),
       quiet_until_(now + kLease + kMargin),
-      turn_(place.number) {}
+      next_peer_(place.number) {}
 
 Amount Lending::LentOut(Time now) const {
   Amount sum = 0;
@@ -56,98 +56,101 @@
   return sum;
 }
 
-Time Lending::End(Time now) const {
+Time Lending::LeaseEnd(Time now) const {
   Time end = now + kLease;
   for (const auto& [peer, lender] : lenders_)
     if (now < lender.end && lender.amount > 0) end = std::min(end, lender.end);
   return end;
 }
 
-void Lending::Use(Amount used, Amount more, double gain, Time now) {
+void Lending::SetDemand(Amount used, Amount more, double gain, Time now) {
   used_ = used, more_ = more, gain_ = gain;
-  if (more_ > 0) next_ask_ = std::max(next_ask_, now);
+  if (more_ > 0) next_request_ = std::max(next_request_, now);
 }
 
-std::vector<PeerProtocol::Datagram> Lending::Asks(const TierView& tier, Time now) {
-  std::vector<PeerProtocol::Datagram> words;
+std::vector<PeerProtocol::Datagram> Lending::MakeRequests(const TierView& tier, Time now) {
+  std::vector<PeerProtocol::Datagram> datagrams;
   // Leases in use are renewed before they expire.
   Amount borrowed = 0;
   for (const auto& [peer, lender] : lenders_)
     if (now < lender.end) borrowed += lender.amount;
   const Amount needed = std::min(borrowed, std::max<Amount>(0, used_ - (own_ - LentOut(now)))) + more_;
-  if (needed <= 0 || now < next_ask_ || now < quiet_until_ || tier.members.empty()) return words;
-  next_ask_ = now + kAsk;
-  const auto ask = [&](int peer, Amount amount) {
+  if (needed <= 0 || now < next_request_ || now < quiet_until_ || tier.members.empty()) return datagrams;
+  next_request_ = now + kRequestPeriod;
+  const auto request = [&](int peer, Amount amount) {
     Lender& lender = lenders_[peer];
-    lender.ask = ++asks_, lender.asked = now;
-    std::string body(1, kAskWord);
-    Append(&body, lender.ask, 4), Append(&body, life_, 8);
+    lender.request = ++requests_, lender.asked = now;
+    std::string body(1, kRequestMessage);
+    Append(&body, lender.request, 4), Append(&body, life_, 8);
     Append(&body, static_cast<std::uint64_t>(amount), 8),
         Append(&body, std::bit_cast<std::uint64_t>(gain_), 8);
-    words.push_back({peer, body});
+    datagrams.push_back({peer, body});
   };
   for (const auto& [peer, lender] : lenders_)
-    if (now < lender.end && lender.amount > 0 && lender.end - now < kLease / 2 && now - lender.asked > kAsk)
-      ask(peer, lender.amount + more_ / kAsksAtOnce);
-  if (more_ <= 0) return words;
+    if (now < lender.end && lender.amount > 0 && lender.end - now < kLease / 2 &&
+        now - lender.asked > kRequestPeriod)
+      request(peer, lender.amount + more_ / kMaxConcurrentRequests);
+  if (more_ <= 0) return datagrams;
   const int size = static_cast<int>(tier.members.size());
-  for (int i = 0, asked = 0; i < size && asked < kAsksAtOnce; ++i) {
-    turn_ = (turn_ + 1) % size;
-    const TierMember& member = tier.members[static_cast<std::size_t>(turn_)];
+  for (int i = 0, asked = 0; i < size && asked < kMaxConcurrentRequests; ++i) {
+    next_peer_ = (next_peer_ + 1) % size;
+    const TierMember& member = tier.members[static_cast<std::size_t>(next_peer_)];
     if (member.number == number_ || !TierView::Counts(member.status)) continue;
     if (const auto at = lenders_.find(member.number); at != lenders_.end() && now < at->second.end) {
       if (at->second.amount > 0) continue;
     }
-    ask(member.number, more_), ++asked;
+    request(member.number, more_), ++asked;
   }
-  return words;
+  return datagrams;
 }
 
 bool Lending::HandleMessage(int peer, std::string_view body, Time now,
                             std::vector<PeerProtocol::Datagram>* answers) {
   if (body.empty() || peer == number_ || peer < 0 || peer >= tier_) return false;
-  if (body[0] == kAskWord) return Fits(body, kAskBytes) && HearAsk(peer, body.substr(1), now, answers);
-  return body[0] == kGrantWord && Fits(body, kGrantBytes) && HearGrant(peer, body.substr(1), now);
+  if (body[0] == kRequestMessage)
+    return HasSize(body, kRequestBytes) && HandleRequest(peer, body.substr(1), now, answers);
+  return body[0] == kGrantMessage && HasSize(body, kGrantBytes) && HandleGrant(peer, body.substr(1), now);
 }
 
-bool Lending::HearAsk(int peer, std::string_view body, Time now,
-                      std::vector<PeerProtocol::Datagram>* answers) {
-  const auto ask = static_cast<std::uint32_t>(Take(&body, 4));
-  const std::uint64_t life = Take(&body, 8);
-  const auto asked = static_cast<Amount>(Take(&body, 8));
-  const auto gain = std::bit_cast<double>(Take(&body, 8));
+bool Lending::HandleRequest(int peer, std::string_view body, Time now,
+                            std::vector<PeerProtocol::Datagram>* answers) {
+  const auto request = static_cast<std::uint32_t>(ReadNumber(&body, 4));
+  const std::uint64_t life = ReadNumber(&body, 8);
+  const auto asked = static_cast<Amount>(ReadNumber(&body, 8));
+  const auto gain = std::bit_cast<double>(ReadNumber(&body, 8));
   if (asked <= 0 || !(gain >= 0)) return false;
   Borrower& borrower = borrowers_[peer];
-  if (life < borrower.life || (life == borrower.life && ask <= borrower.ask))
+  if (life < borrower.life || (life == borrower.life && request <= borrower.request))
     return true;  // duplicate or outdated
-  borrower.life = life, borrower.ask = ask;
+  borrower.life = life, borrower.request = request;
   std::erase_if(borrower.leases, [now](const Lent& it) { return it.end <= now; });
   Amount held = 0;
   for (const Lent& lease : borrower.leases) held = std::max(held, lease.amount);
   const Amount lendable = own_ - own_ / 4 - LentOut(now) + held;
   const Amount free = Allowed(now) - used_ + held;
-  Amount give = std::min({asked, lendable, free});
-  if (now < quiet_until_) give = 0;
-  if (gain_ > 0 && gain > kWorthMore * gain_ && give < asked && lendable > give)
+  Amount amount_lent = std::min({asked, lendable, free});
+  if (now < quiet_until_) amount_lent = 0;
+  if (gain_ > 0 && gain > kMinGainRatio * gain_ && amount_lent < asked && lendable > amount_lent)
     yield_ = std::min(asked, lendable) / 2, yield_until_ = now + kLease;
-  if (gain <= kWorthMore * gain_) give = std::min(give, held);
-  if (give <= 0 || borrower.leases.size() >= kMaxLeases) return true;
-  borrower.leases.push_back({give, now + kLease + kMargin});
-  std::string grant(1, kGrantWord);
-  Append(&grant, ask, 4), Append(&grant, life, 8), Append(&grant, static_cast<std::uint64_t>(give), 8);
+  if (gain <= kMinGainRatio * gain_) amount_lent = std::min(amount_lent, held);
+  if (amount_lent <= 0 || borrower.leases.size() >= kMaxLeases) return true;
+  borrower.leases.push_back({amount_lent, now + kLease + kMargin});
+  std::string grant(1, kGrantMessage);
+  Append(&grant, request, 4), Append(&grant, life, 8),
+      Append(&grant, static_cast<std::uint64_t>(amount_lent), 8);
   answers->push_back({peer, grant});
   return true;
 }
 
-bool Lending::HearGrant(int peer, std::string_view body, Time now) {
-  const auto ask = static_cast<std::uint32_t>(Take(&body, 4));
-  const std::uint64_t life = Take(&body, 8);
-  const auto amount = static_cast<Amount>(Take(&body, 8));
+bool Lending::HandleGrant(int peer, std::string_view body, Time now) {
+  const auto request = static_cast<std::uint32_t>(ReadNumber(&body, 4));
+  const std::uint64_t life = ReadNumber(&body, 8);
+  const auto amount = static_cast<Amount>(ReadNumber(&body, 8));
   const auto at = lenders_.find(peer);
   if (amount <= 0 || amount > own_) return false;
   // A grant for an earlier request is ignored: the lender counts the maximum of a borrower's leases, not
   // their sum.
-  if (life != life_ || at == lenders_.end() || at->second.ask != ask) return true;
+  if (life != life_ || at == lenders_.end() || at->second.request != request) return true;
   Lender& lender = at->second;
   const Time end = lender.asked + kLease;
   if (end <= now) return true;
--- a/src/checkpoints/lending.h
+++ b/src/checkpoints/lending.h
@@ -30,9 +30,9 @@
 
 class Lending {
  public:
-  static constexpr Time kLease = 20 * kSecond, kMargin = kLease / 16, kAsk = kSecond;
-  static constexpr int kAsksAtOnce = 4;
-  static constexpr double kWorthMore =
+  static constexpr Time kLease = 20 * kSecond, kMargin = kLease / 16, kRequestPeriod = kSecond;
+  static constexpr int kMaxConcurrentRequests = 4;
+  static constexpr double kMinGainRatio =
       1.25;  // minimum ratio of the borrower's gain to the lender's for a new loan
 
   struct Place {
@@ -41,24 +41,24 @@
 
   Lending(const Place& place, Amount bound, std::uint64_t life, Time now);
 
-  // The total that may be used now, and at most until End().
+  // The total that may be used now, and at most until LeaseEnd().
   Amount Allowed(Time now) const;
   // The earliest end of the leases included in Allowed; at most now + kLease.
-  Time End(Time now) const;
+  Time LeaseEnd(Time now) const;
   // The part that is never lent: usable without communication and without expiry.
-  Amount safe(Time now) const { return now < quiet_until_ ? 0 : own_ / 4; }
+  Amount reserved(Time now) const { return now < quiet_until_ ? 0 : own_ / 4; }
 
   // Sets the current use, the additional demand, and the worth of the next unit (comparable between
   // dispatchers).
-  void Use(Amount used, Amount more, double gain, Time now);
-  // The amount requested by a dispatcher with a higher gain; to be released before End.
+  void SetDemand(Amount used, Amount more, double gain, Time now);
+  // The amount requested by a dispatcher with a higher gain; to be released before LeaseEnd.
   Amount Yield(Time now) const { return now < yield_until_ ? yield_ : 0; }
 
-  std::vector<PeerProtocol::Datagram> Asks(const TierView& tier, Time now);
+  std::vector<PeerProtocol::Datagram> MakeRequests(const TierView& tier, Time now);
   // Appends the answer, if there is one. Returns false if the message is malformed.
   bool HandleMessage(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Datagram>* answers);
 
-  static constexpr char kAskWord = 2, kGrantWord = 3;
+  static constexpr char kRequestMessage = 2, kGrantMessage = 3;
 
  private:
   struct Lent {
@@ -67,18 +67,18 @@
   };
   struct Borrower {
     std::uint64_t life = 0;
-    std::uint32_t ask = 0;
+    std::uint32_t request = 0;
     std::vector<Lent> leases;  // only the last is in use, but the borrower may not have received it yet
   };
   struct Lender {
-    std::uint32_t ask = 0;  // the last request
+    std::uint32_t request = 0;  // the last request
     Time asked = 0;
     Amount amount = 0;
     Time end = 0;
   };
 
-  bool HearAsk(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Datagram>* answers);
-  bool HearGrant(int peer, std::string_view body, Time now);
+  bool HandleRequest(int peer, std::string_view body, Time now, std::vector<PeerProtocol::Datagram>* answers);
+  bool HandleGrant(int peer, std::string_view body, Time now);
   Amount LentOut(Time now) const;
 
   const int number_, tier_;
@@ -86,10 +86,10 @@
   const std::uint64_t life_;
   const Time quiet_until_;
   Amount used_ = 0, more_ = 0, yield_ = 0;
-  Time yield_until_ = 0, next_ask_ = 0;
+  Time yield_until_ = 0, next_request_ = 0;
   double gain_ = 0;
-  std::uint32_t asks_ = 0;
-  int turn_ = 0;
+  std::uint32_t requests_ = 0;
+  int next_peer_ = 0;
   std::map<int, Borrower> borrowers_;
   std::map<int, Lender> lenders_;
 };
--- a/tests/checkpoints_test.cpp
+++ b/tests/checkpoints_test.cpp
@@ -36,30 +36,30 @@
   return view;
 }
 
-struct Said {
+struct ReportedLife {
   LifeKey key;
   Life life;
 };
 
-std::vector<Said> AnyLives() {
+std::vector<ReportedLife> RandomLives() {
   // Doesn't use rapidcheck's ranges: they grow with its size parameter, so small tables would never reach
   // their bound.
   std::minstd_rand random(*rc::gen::arbitrary<std::uint32_t>());
   const auto below = [&](unsigned n) { return static_cast<int>(random() / 7 % n); };
-  std::vector<Said> said(static_cast<std::size_t>(below(24)));
-  for (Said& it : said) {
+  std::vector<ReportedLife> reports(static_cast<std::size_t>(below(24)));
+  for (ReportedLife& it : reports) {
     it.key = {static_cast<std::uint32_t>(1 + below(5)), 1 + below(7)};
     it.life.zone = below(3), it.life.kind = below(3), it.life.until = it.key.start + below(9);
     it.life.ended = below(2) * (it.key.start + below(9));
-    it.life.planned = below(5) == 0, it.life.whole = below(2) == 0;
-    it.life.seen = static_cast<std::uint16_t>(below(8));
+    it.life.planned = below(5) == 0, it.life.seen_by_majority = below(2) == 0;
+    it.life.seen_zones = static_cast<std::uint16_t>(below(8));
   }
-  return said;
+  return reports;
 }
 
-Facts Table(const std::vector<Said>& said) {
+Facts Table(const std::vector<ReportedLife>& reports) {
   Facts facts({.lives = 9, .of_runner = 3});
-  for (const Said& it : said) facts.Join(it.key, it.life);
+  for (const ReportedLife& it : reports) facts.Join(it.key, it.life);
   return facts;
 }
 
@@ -70,7 +70,7 @@
 
 TEST(CheckpointFacts, JoinIsASemilatticeEvenAtItsBound) {
   Check("join", [] {
-    const auto a = AnyLives(), b = AnyLives(), c = AnyLives();
+    const auto a = RandomLives(), b = RandomLives(), c = RandomLives();
     const Facts fa = Table(a), fb = Table(b), fc = Table(c);
     RC_ASSERT(Joined(fa, fb).lives() == Joined(fb, fa).lives());
     RC_ASSERT(Joined(Joined(fa, fb), fc).lives() == Joined(fa, Joined(fb, fc)).lives());
@@ -88,7 +88,7 @@
 TEST(CheckpointFacts, LifeGoesThroughBytesAndAnythingElseIsDropped) {
   Checkpoints mine({}, {0, 3, 0}, 1, 1, kStart);
   Check("bytes", [&] {
-    for (const Said& it : AnyLives()) {
+    for (const ReportedLife& it : RandomLives()) {
       std::string bytes;
       AppendLife(&bytes, it.key, it.life);
       LifeKey key;
@@ -111,17 +111,17 @@
   for (Checkpoints* it : {&a, &b}) {
     it->Seen("r", 0, 0, kStart - 100 * kSecond, kStart);
     it->Seen("r", 0, 0, kStart + kSecond, kStart + 2 * kSecond);
-    EXPECT_EQ(it->facts().Waiting(), 1) << "seen from one partition only";
+    EXPECT_EQ(it->facts().UnconfirmedDeaths(), 1) << "seen from one partition only";
   }
   for (int i = 0; i < 3; ++i)
     for (const auto& [from, to] : {std::pair(&a, &b), std::pair(&b, &a)})
-      for (const auto& word : from->MakeDatagrams(kStart + (10 + i) * kSecond))
-        EXPECT_TRUE(to->HandleMessage(0, word.body, kStart + 10 * kSecond));
+      for (const auto& datagram : from->MakeDatagrams(kStart + (10 + i) * kSecond))
+        EXPECT_TRUE(to->HandleMessage(0, datagram.body, kStart + 10 * kSecond));
   EXPECT_EQ(a.facts().lives(), b.facts().lives());
   int died = 0;
-  for (const auto& [key, life] : a.facts().lives()) died += life.Counts() ? 1 : 0;
+  for (const auto& [key, life] : a.facts().lives()) died += life.IsConfirmedDeath() ? 1 : 0;
   EXPECT_EQ(died, 1);
-  EXPECT_EQ(a.facts().Waiting(), 0);
+  EXPECT_EQ(a.facts().UnconfirmedDeaths(), 0);
 }
 
 TEST(CheckpointFacts, DrainWithASaveUnderWayIsNoFailureAndALifeThatIsHeardAgainLives) {
@@ -135,7 +135,8 @@
   it.Lost("drained", kStart + 2 * kSecond);
   it.Lost("lost", kStart + 2 * kSecond);
   const auto died = [&] {
-    return std::ranges::count_if(it.facts().lives(), [](const auto& life) { return life.second.Counts(); });
+    return std::ranges::count_if(it.facts().lives(),
+                                 [](const auto& life) { return life.second.IsConfirmedDeath(); });
   };
   EXPECT_EQ(died(), 1);
   it.Seen("lost", 0, 0, kStart - 1000 * kSecond, kStart + 3 * kSecond);
@@ -146,7 +147,7 @@
 }
 
 // Adds lives of `runners` runners in three zones; lives follow each other, `gap` seconds each.
-void Live(Facts* facts, int runners, double from, double to, double gap) {
+void AddLives(Facts* facts, int runners, double from, double to, double gap) {
   for (int r = 0; r < runners; ++r) {
     for (double at = from - gap * r / runners; at < to; at += gap) {
       Life life{r % 3, 0, static_cast<Ticks>((std::min(to, at + gap)) * 10), 0, false, true, 1};
@@ -158,14 +159,14 @@
 
 TEST(CheckpointRates, NoDeathGivesABoundAndManyDeathsTheRate) {
   Facts none, many;
-  Live(&none, 30, 1e6, 1e6 + 1000, 5000);
-  Live(&many, 30, 1e6, 1e6 + 3000, 100);
-  const Rate quiet = Rates(none, 1'001'000 * kSecond).Of(1, 0, 1, false);
+  AddLives(&none, 30, 1e6, 1e6 + 1000, 5000);
+  AddLives(&many, 30, 1e6, 1e6 + 3000, 100);
+  const Rate quiet = Rates(none, 1'001'000 * kSecond).RateOf(1, 0, 1, false);
   EXPECT_GT(quiet.mean, 1e-6);
   EXPECT_LT(quiet.mean, 1e-4);
   EXPECT_LT(quiet.upper, 4.0 / 30'000);
   EXPECT_GT(quiet.upper, quiet.mean);
-  const Rate busy = Rates(many, 1'003'000 * kSecond).Over(1, 0, 1, 0, 100);
+  const Rate busy = Rates(many, 1'003'000 * kSecond).RateOver(1, 0, 1, 0, 100);
   EXPECT_NEAR(busy.mean, 0.01, 0.002);
   EXPECT_LT(busy.sd, 0.1 * busy.mean);
 }
@@ -173,34 +174,35 @@
 TEST(CheckpointRates, RisesAndFallsBackAfterABurst) {
   Facts facts;
   const auto at = [&](Time now) {
-    return Rates(facts, (1'000'000 + now) * kSecond).Over(1, 0, 1, 0, 50).mean;
+    return Rates(facts, (1'000'000 + now) * kSecond).RateOver(1, 0, 1, 0, 50).mean;
   };
-  Live(&facts, 30, 1e6, 1e6 + 6000, 1000);
+  AddLives(&facts, 30, 1e6, 1e6 + 6000, 1000);
   const double before = at(6000);
-  Live(&facts, 30, 1e6 + 6000, 1e6 + 6300, 50);
+  AddLives(&facts, 30, 1e6 + 6000, 1e6 + 6300, 50);
   EXPECT_NEAR(at(6300), 0.02, 0.006);
-  Live(&facts, 30, 1e6 + 6300, 1e6 + 8000, 1000);
+  AddLives(&facts, 30, 1e6 + 6300, 1e6 + 8000, 1000);
   EXPECT_LT(at(8000), 2 * before);
 }
 
 TEST(CheckpointRates, ZoneThatFallsIsOneEvent) {
   Facts facts;
-  Live(&facts, 60, 1e6, 1e6 + 2000, 50000);
-  const double before = Rates(facts, 1'002'000 * kSecond).Of(1, 0, 1, false).mean;
+  AddLives(&facts, 60, 1e6, 1e6 + 2000, 50000);
+  const double before = Rates(facts, 1'002'000 * kSecond).RateOf(1, 0, 1, false).mean;
   for (int r = 0; r < 60; r += 3) {
     const auto id = static_cast<std::uint32_t>(r + 1);
     Ticks start = 0;
-    Life life = *facts.Newest(id, &start);
-    life.ended = life.until = 10'020'000 + r % 20, life.whole = true;
+    Life life = *facts.NewestLife(id, &start);
+    life.ended = life.until = 10'020'000 + r % 20, life.seen_by_majority = true;
     facts.Join({id, start}, life);
   }
   const Rates after(facts, 1'002'005 * kSecond);
   EXPECT_EQ(after.events(), 1);
   EXPECT_EQ(after.since(), 0) << "the runners' own rate is unchanged";
-  EXPECT_LT(after.Of(2, 0, 1, false).mean, before + 2e-4) << "twenty deaths would be 1.6e-4 a second more";
+  EXPECT_LT(after.RateOf(2, 0, 1, false).mean, before + 2e-4)
+      << "twenty deaths would be 1.6e-4 a second more";
 }
 
-Job AnyJob() {
+Job RandomJob() {
   Job job;
   job.work = std::pow(10, *rc::gen::inRange(70, 386) / 100.0);
   job.save = *rc::gen::inRange(1, 100) / 10.0, job.restart = *rc::gen::inRange(0, 100) / 10.0;
@@ -212,7 +214,7 @@
   Check(
       "brute force",
       [] {
-        const Job job = AnyJob();
+        const Job job = RandomJob();
         const Choice choice = Choose(job);
         double least = Loss(job, 0);
         for (int n = 1; n <= 3 * job.work / std::sqrt(2 * job.save / job.rate) + 20; ++n)
@@ -243,7 +245,7 @@
   EXPECT_GT(Choose(job).saves, calm);
   job.slack = 590;
   EXPECT_EQ(Choose(job).saves, calm) << "the deadline is missed in any case";
-  const Choice kept = Again(job, 260, 1);
+  const Choice kept = ReviseChoice(job, 260, 1);
   EXPECT_EQ(kept.interval, 260) << "a small gain doesn't change the interval";
 }
 
@@ -252,10 +254,10 @@
   const Job job{.work = 3600, .save = 1, .restart = 2, .rate = 1e-3};
   for (int i = 0; i < 200; ++i) wishes.push_back({"many", job});
   for (int i = 0; i < 4; ++i) wishes.push_back({"few", job});
-  const Dealt dealt = Deal(&wishes, 1);
+  const DealResult dealt = Deal(&wishes, 1);
   EXPECT_LE(dealt.given, 1);
   EXPECT_GT(dealt.gain, 0);
-  EXPECT_DOUBLE_EQ(wishes.back().given, wishes.back().free);
+  EXPECT_DOUBLE_EQ(wishes.back().given, wishes.back().unconstrained);
 }
 
 TEST(CheckpointChoice, SameFactsGiveTheSameIntervalToTheMillisecond) {
@@ -285,24 +287,24 @@
     constexpr Amount kBound = 1'000'000;
     struct Node {
       std::optional<Lending> lending;
-      std::vector<std::pair<Amount, Time>> told;  // rate, and the time until which it is valid
+      std::vector<std::pair<Amount, Time>> plans;  // rate, and the time until which it is valid
       bool up = true;
       Amount want = 0;
     };
-    struct Mail {
+    struct Message {
       Time at;
       int from, to;
       std::string body;
     };
     std::vector<Node> nodes(kSize);
-    std::vector<Mail> mails;
+    std::vector<Message> messages;
     std::minstd_rand random(*rc::gen::arbitrary<std::uint32_t>());
     Time now = kStart;
     for (int i = 0; i < kSize; ++i)
       nodes[static_cast<std::size_t>(i)].lending.emplace(Lending::Place{i, kSize}, kBound, 1, now);
     std::uint64_t life = 1;
     unsigned cut = 0;  // partition as a bit set of nodes
-    Amount most = 0;
+    Amount max_used = 0;
     for (int step = 0; step < 160; ++step) {
       now += static_cast<Time>(random() % 1000) * kMillisecond;
       if (random() % 16 == 0) cut = random() % 2 ? 0 : static_cast<unsigned>(random() % 32);
@@ -316,41 +318,45 @@
       }
       for (int i = 0; i < kSize; ++i) {
         Node& node = nodes[static_cast<std::size_t>(i)];
-        std::erase_if(node.told, [now](const auto& it) { return it.second <= now; });
+        std::erase_if(node.plans, [now](const auto& it) { return it.second <= now; });
         if (!node.up || random() % 8 == 0) continue;  // paused for a step
         const Amount allowed = node.lending->Allowed(now);
         Amount used = 0;
-        for (const auto& [rate, until] : node.told) used = std::max(used, rate);
+        for (const auto& [rate, until] : node.plans) used = std::max(used, rate);
         if (node.want > used && allowed > used) used = std::min(node.want, allowed);
         if (used <= allowed && node.want > 0)
-          node.told.emplace_back(std::min(used, node.want), node.lending->End(now));
-        node.lending->Use(used, std::max<Amount>(0, node.want - used), static_cast<double>(node.want), now);
-        for (auto& word : node.lending->Asks(Tier(kSize, i, kSize), now))
-          mails.push_back({now + static_cast<Time>(random() % 3) * kSecond, i, word.peer, word.body});
+          node.plans.emplace_back(std::min(used, node.want), node.lending->LeaseEnd(now));
+        node.lending->SetDemand(used, std::max<Amount>(0, node.want - used), static_cast<double>(node.want),
+                                now);
+        for (auto& datagram : node.lending->MakeRequests(Tier(kSize, i, kSize), now))
+          messages.push_back(
+              {now + static_cast<Time>(random() % 3) * kSecond, i, datagram.peer, datagram.body});
       }
-      std::vector<Mail> due;
-      std::erase_if(mails, [&](const Mail& it) { return it.at <= now && (due.push_back(it), true); });
-      for (const Mail& mail : due) {
-        Node& to = nodes[static_cast<std::size_t>(mail.to)];
-        if (!to.up || ((cut >> mail.from ^ cut >> mail.to) & 1) != 0 || random() % 4 == 0) continue;
+      std::vector<Message> due;
+      std::erase_if(messages, [&](const Message& it) { return it.at <= now && (due.push_back(it), true); });
+      for (const Message& message : due) {
+        Node& to = nodes[static_cast<std::size_t>(message.to)];
+        if (!to.up || ((cut >> message.from ^ cut >> message.to) & 1) != 0 || random() % 4 == 0) continue;
         if (random() % 6 == 0)
-          mails.push_back({now + static_cast<Time>(random() % 25) * kSecond, mail.from, mail.to, mail.body});
+          messages.push_back(
+              {now + static_cast<Time>(random() % 25) * kSecond, message.from, message.to, message.body});
         std::vector<PeerProtocol::Datagram> answers;
-        RC_ASSERT(to.lending->HandleMessage(mail.from, mail.body, now, &answers));
-        for (auto& word : answers)
-          mails.push_back({now + static_cast<Time>(random() % 2) * kSecond, mail.to, word.peer, word.body});
+        RC_ASSERT(to.lending->HandleMessage(message.from, message.body, now, &answers));
+        for (auto& datagram : answers)
+          messages.push_back(
+              {now + static_cast<Time>(random() % 2) * kSecond, message.to, datagram.peer, datagram.body});
       }
       Amount sum = 0;
       for (const Node& node : nodes) {
         Amount used = 0;
-        for (const auto& [rate, until] : node.told)
+        for (const auto& [rate, until] : node.plans)
           if (now < until) used = std::max(used, rate);
         sum += used;
       }
-      most = std::max(most, sum);
+      max_used = std::max(max_used, sum);
       RC_ASSERT(sum <= kBound);
     }
-    RC_TAG(most > kBound / 2 ? "over half was used" : "less was used");
+    RC_TAG(max_used > kBound / 2 ? "over half was used" : "less was used");
   });
 }
 
@@ -362,7 +368,7 @@
     tier.push_back(std::make_unique<Checkpoints>(settings, Checkpoints::Place{i, 4, i % 2}, 1, 1, kStart));
     tier.back()->TierChanged(Tier(4, i, 4), kStart);
   }
-  double most = 0;
+  double max_used = 0;
   for (int second = 30; second < 120; ++second) {
     const Time now = kStart + second * kSecond;
     if (second == 40)
@@ -370,15 +376,15 @@
     double sum = 0;
     for (const auto& it : tier) it->Retold(now), sum += it->Committed(now);
     EXPECT_LE(sum, 2);
-    most = std::max(most, sum);
+    max_used = std::max(max_used, sum);
     for (int round = 0; round < 2; ++round)
       for (int i = 0; i < 4; ++i)
-        for (const auto& word : tier[static_cast<std::size_t>(i)]->MakeDatagrams(now))
+        for (const auto& datagram : tier[static_cast<std::size_t>(i)]->MakeDatagrams(now))
           for (int to = 0; to < 4; ++to)
-            if (to != i && (word.peer == to || word.peer == PeerProtocol::kAll))
-              tier[static_cast<std::size_t>(to)]->HandleMessage(i, word.body, now);
+            if (to != i && (datagram.peer == to || datagram.peer == PeerProtocol::kAll))
+              tier[static_cast<std::size_t>(to)]->HandleMessage(i, datagram.body, now);
   }
-  EXPECT_GT(most, 1) << "its own share is 0.5";
+  EXPECT_GT(max_used, 1) << "its own share is 0.5";
 }
 
 }  // namespace
