--- a/src/checkpoints/checkpoints.h
+++ b/src/checkpoints/checkpoints.h
@@ -104,10 +104,9 @@
   Lending lending_;
   TierView tier_;
   std::map<JobId, Running> jobs_;
-  std::map<std::string, Costs, std::less<>> costs_;  // by class
-  std::vector<std::pair<LifeKey, Time>>
-      pending_ends_;     // ends observed here, to be broadcast, with the send time
-  LifeKey next_life_{};  // the next life to send in the periodic exchange
+  std::map<std::string, Costs, std::less<>> costs_;     // by class
+  std::vector<std::pair<LifeKey, Time>> pending_ends_;  // ends to be broadcast, with the send time
+  LifeKey next_life_{};                                 // where the next periodic exchange starts
   std::minstd_rand random_;
   Time due_, next_exchange_, allocated_at_ = 0;
   std::uint64_t refused_ = 0;
--- a/src/checkpoints/choice.h
+++ b/src/checkpoints/choice.h
@@ -6,8 +6,8 @@
 //   T(n) = e^(aR) / a * (n (e^(a(s + C)) - 1) + e^(as) - 1),  s = work / (n + 1).
 // For long jobs with rare deaths s tends to sqrt(2 C / a) (Young 1974) and to Daly's higher-order formula.
 // The quantity minimised is worth, not time: each second costs `worth_a_second`, and missing the deadline
-// costs `lost_when_late` times its probability (MissProbability below). If the deadline is missed for every n, only time
-// counts.
+// costs `lost_when_late` times its probability (MissProbability below). If the deadline is missed for every
+// n, only time counts.
 //
 // The rate used is the mean plus half a standard deviation: overestimating a rate by some fraction costs as
 // much as underestimating it by the same fraction, but an unknown rate is as likely to be ten times the mean
--- a/src/checkpoints/exact.h
+++ b/src/checkpoints/exact.h
@@ -14,11 +14,10 @@
 double Log(double x);        // x > 0; relative error below 1e-14
 double NormalCdf(double z);  // standard normal CDF; error below 0.0002
 
-inline constexpr std::int64_t kFullWeight = std::int64_t{1}
-                                            << 30;  // the weight of a new observation (1.0 in fixed point)
+// The weight of a new observation (1.0 in fixed point).
+inline constexpr std::int64_t kFullWeight = std::int64_t{1} << 30;
 
-// kFullWeight * 2^(-age / half_life), accurate to one part in 10^6; 0 from thirty half-lives on. Never
-// negative.
+// kFullWeight * 2^(-age / half_life), to one part in 10^6; 0 after thirty half-lives. Never negative.
 std::int64_t Fade(std::int64_t age, std::int64_t half_life);
 
 }  // namespace lichenlug::exact
--- a/src/checkpoints/facts.h
+++ b/src/checkpoints/facts.h
@@ -37,8 +37,7 @@
   Ticks ended = 0;                // when its end was detected; 0: not detected
   bool planned = false;           // it ended by a drain, not a failure
   bool seen_by_majority = false;  // its end was seen by a dispatcher in contact with over half of the tier
-  std::uint16_t seen_zones =
-      0;  // bit set of the zones whose dispatchers saw its end; the last bit: 15 and above
+  std::uint16_t seen_zones = 0;   // bit set of zones whose dispatchers saw its end; bit 15: zone 15 and above
 
   bool operator==(const Life&) const = default;
   bool Died() const { return ended > 0 && until <= ended && !planned; }
--- a/src/checkpoints/lending.h
+++ b/src/checkpoints/lending.h
@@ -32,8 +32,8 @@
  public:
   static constexpr Time kLease = 20 * kSecond, kMargin = kLease / 16, kRequestPeriod = kSecond;
   static constexpr int kMaxConcurrentRequests = 4;
-  static constexpr double kMinGainRatio =
-      1.25;  // minimum ratio of the borrower's gain to the lender's for a new loan
+  // Minimum ratio of the borrower's gain to the lender's for a new loan.
+  static constexpr double kMinGainRatio = 1.25;
 
   struct Place {
     int number = 0, tier = 1;
