--- a/tests/checkpoints_test.cpp
+++ b/tests/checkpoints_test.cpp
@@ -85,7 +85,7 @@
   });
 }
 
-TEST(CheckpointFacts, LifeGoesThroughBytesAndAnythingElseIsDropped) {
+TEST(CheckpointFacts, LifeRoundTripsAndMalformedBytesAreRejected) {
   Checkpoints mine({}, {0, 3, 0}, 1, 1, kStart);
   Check("bytes", [&] {
     for (const ReportedLife& it : RandomLives()) {
@@ -103,7 +103,7 @@
   });
 }
 
-TEST(CheckpointFacts, DeathSeenByTwoHalvesThatHealIsOne) {
+TEST(CheckpointFacts, DeathSeenByBothPartitionsCountsOnceAfterHealing) {
   const Checkpoints::Settings settings;
   Checkpoints a(settings, {0, 4, 0}, 1, 1, kStart), b(settings, {1, 4, 1}, 1, 2, kStart);
   a.TierChanged(Tier(4, 0, 1), kStart),
@@ -124,7 +124,7 @@
   EXPECT_EQ(a.facts().UnconfirmedDeaths(), 0);
 }
 
-TEST(CheckpointFacts, DrainWithASaveUnderWayIsNoFailureAndALifeThatIsHeardAgainLives) {
+TEST(CheckpointFacts, DrainDuringASaveIsNoFailureAndAnObservedLifeIsAliveAgain) {
   Checkpoints it({}, {0, 1, 0}, 1, 1, kStart);
   it.Seen("drained", 0, 0, kStart - 1000 * kSecond, kStart);
   it.Seen("lost", 0, 0, kStart - 1000 * kSecond, kStart);
@@ -157,7 +157,7 @@
   }
 }
 
-TEST(CheckpointRates, NoDeathGivesABoundAndManyDeathsTheRate) {
+TEST(CheckpointRates, NoDeathsGiveAnUpperBoundAndManyDeathsTheRate) {
   Facts none, many;
   AddLives(&none, 30, 1e6, 1e6 + 1000, 5000);
   AddLives(&many, 30, 1e6, 1e6 + 3000, 100);
@@ -171,7 +171,7 @@
   EXPECT_LT(busy.sd, 0.1 * busy.mean);
 }
 
-TEST(CheckpointRates, RisesAndFallsBackAfterABurst) {
+TEST(CheckpointRates, RateRisesInABurstAndRecoversAfterIt) {
   Facts facts;
   const auto at = [&](Time now) {
     return Rates(facts, (1'000'000 + now) * kSecond).RateOver(1, 0, 1, 0, 50).mean;
@@ -184,7 +184,7 @@
   EXPECT_LT(at(8000), 2 * before);
 }
 
-TEST(CheckpointRates, ZoneThatFallsIsOneEvent) {
+TEST(CheckpointRates, ZoneFailureIsOneEvent) {
   Facts facts;
   AddLives(&facts, 60, 1e6, 1e6 + 2000, 50000);
   const double before = Rates(facts, 1'002'000 * kSecond).RateOf(1, 0, 1, false).mean;
@@ -210,7 +210,7 @@
   return job;
 }
 
-TEST(CheckpointChoice, FiniteOptimumIsThatOfBruteForce) {
+TEST(CheckpointChoice, FiniteOptimumMatchesBruteForce) {
   Check(
       "brute force",
       [] {
@@ -224,7 +224,7 @@
       1000);
 }
 
-TEST(CheckpointChoice, TendsToYoungAndDaly) {
+TEST(CheckpointChoice, ConvergesToYoungAndDaly) {
   const Job job{.work = 1e6, .save = 5, .restart = 10, .rate = 1e-4};
   const double young = std::sqrt(2 * 5 / 1e-4), ratio = std::sqrt(5 * 1e-4 / 2);
   EXPECT_NEAR(Choose(job).interval, young * (1 + ratio / 3 + ratio * ratio / 9) - 5, 1);
@@ -238,7 +238,7 @@
       << "the last segment has full length: no save near the end";
 }
 
-TEST(CheckpointChoice, DeadlineThatALossWouldBreakIsWorthMoreSaves) {
+TEST(CheckpointChoice, DeadlineAtRiskIncreasesSavesAndASmallGainKeepsTheInterval) {
   Job job{.work = 600, .save = 2, .restart = 5, .rate = 1e-4};
   const int calm = Choose(job).saves;
   job.slack = 700, job.lost_when_late = 600;
@@ -249,7 +249,7 @@
   EXPECT_EQ(kept.interval, 260) << "a small gain doesn't change the interval";
 }
 
-TEST(CheckpointDeal, OneTenantsManyJobsLeaveTheOthersTheirShare) {
+TEST(CheckpointDeal, TenantWithManyJobsLeavesOthersTheirShare) {
   std::vector<Wish> wishes;
   const Job job{.work = 3600, .save = 1, .restart = 2, .rate = 1e-3};
   for (int i = 0; i < 200; ++i) wishes.push_back({"many", job});
@@ -281,7 +281,7 @@
 
 // The store's limit holds under partitions, lost, delayed and duplicated datagrams, crashes and restarts.
 // Jobs of a crashed dispatcher continue with their last plan until it expires, which is the worst case.
-TEST(CheckpointBudget, SavesASecondNeverPassTheBoundUnderAnySchedule) {
+TEST(CheckpointBudget, SaveRateStaysWithinTheLimitUnderAnySchedule) {
   Check("budget", [] {
     constexpr int kSize = 5;
     constexpr Amount kBound = 1'000'000;
@@ -361,7 +361,7 @@
 }
 
 // One dispatcher has all the jobs: it borrows, and the sum of commitments stays within the limit.
-TEST(CheckpointBudget, BusyDispatcherBorrowsAndItsJobsStayWithinTheBound) {
+TEST(CheckpointBudget, BusyDispatcherBorrowsAndStaysWithinTheLimit) {
   Checkpoints::Settings settings{.saves_a_second = 2};
   std::vector<std::unique_ptr<Checkpoints>> tier;
   for (int i = 0; i < 4; ++i) {
