--- a/src/quarantine/background.cpp
+++ b/src/quarantine/background.cpp
@@ -6,12 +6,12 @@
 namespace lichenlug {
 namespace {
 
-// How many tries' worth the level above is when a rate is estimated from few.
+// Weight of the next higher level's rate as a prior, in tries.
 constexpr double kTierPrior = 50, kClassPrior = 10, kRunnerPrior = 4;
 
 bool SamePlace(const Sign& a, const Sign& b) { return a.runner == b.runner && a.life == b.life; }
 
-// That a life ended under several jobs at once is one end of it; that it hung several is as many.
+// A life that ended under several jobs at once counts as one end; each job that it hung counts separately.
 bool Repeats(const Sign& other, const Sign& sign) {
   return other.runner == sign.runner && (other.life != sign.life || other.what == Outcome::kHung);
 }
@@ -110,7 +110,7 @@
 void Background::TakeBack(const Fingerprint& poison, const std::vector<Sign>& signs) {
   for (const Sign& sign : signs) {
     if (!sign.bad()) continue;
-    if (explained_.size() >= kMaxExplained) explained_.clear();  // older than the window by then
+    if (explained_.size() >= kMaxExplained) explained_.clear();  // its entries are older than kWindow by then
     explained_[{sign.runner, sign.life}] = poison;
   }
   std::erase_if(ends_, [&](const End& it) {
--- a/src/quarantine/background.h
+++ b/src/quarantine/background.h
@@ -1,10 +1,10 @@
-// How OTHER jobs fared at the same runner, zone and class, and over the tier, at about the same time: what a
-// bad end is to be weighed against.
+// Estimates how OTHER jobs fared on the same runner, in the same zone and class, and over the tier, at about
+// the same time: the baseline against which a bad end is weighed.
 //
-// Guards against condemning jobs for what a bad runner, a lost zone, a brown-out or a bad class did, and
-// against a dispatcher that has just started, or has nothing to do, calling every end usual. What is judged
-// is compared with ends under other fingerprints only. Ends come from the whole tier (signs are shared); runs
-// that went well are only seen here, so they are taken times the number of dispatchers.
+// Without it, jobs would be condemned for the effects of a bad runner, a zone failure, a brown-out or a bad
+// job class, and a dispatcher that has just started or is idle would take every bad end for normal. A job is
+// compared only with ends under other fingerprints. Bad ends come from the whole tier (signs are shared);
+// successful runs are only known locally, so their number is multiplied by the number of dispatchers.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
 
 class Background {
  public:
-  static constexpr Time kWindow = 120 * kSecond;  // what counts as the same time
-  static constexpr Time kTogether =
-      2 * kSecond;  // kManyOfZone others of a zone that die within it have one cause
+  static constexpr Time kWindow = 120 * kSecond;  // ends within this span count as simultaneous
+  // Deaths of kManyOfZone other runners of a zone within this span have a common cause.
+  static constexpr Time kTogether = 2 * kSecond;
   static constexpr std::size_t kManyOfZone = 3;
   static constexpr std::size_t kMaxEnds = 512, kMaxNear = 32, kMaxRates = 4096, kMaxExplained = 4096;
-  static constexpr double kFewTries = 20;  // own ones; with fewer, nothing is known of tier and class
-  static constexpr double kFloor = 0.002;  // no run is taken for safer than that
+  static constexpr double kFewTries = 20;  // local tries; with fewer, there is no estimate for tier and class
+  static constexpr double kFloor = 0.002;  // lower bound of the baseline probability of a bad end
   static constexpr double kFailedFloor = 0.05, kFailedIfPoison = 0.5;
 
   struct End {
@@ -36,16 +36,17 @@
   };
 
   void SetMembers(int members) { members_ = members < 1 ? 1 : members; }
-  void Ran(std::uint32_t runner, std::uint32_t job_class, Outcome what, Time now);  // here, any job
-  void Ended(const End& end);  // a bad end, seen here or heard of
+  void Ran(std::uint32_t runner, std::uint32_t job_class, Outcome what, Time now);  // a local run of any job
+  void Ended(const End& end);  // a bad end, seen locally or received from a peer
 
-  // The logarithm of the ratio for this end, in sixteenths: 0 when others fared as badly.
+  // The log likelihood ratio for this end, in sixteenths; 0 if other jobs fared as badly.
   std::uint8_t Weigh(const End& end, Time now) const;
 
-  // Ends of other jobs that were near this one in place or time, the newest: those to be weighed anew.
+  // The newest ends of other jobs that were close to this one in place or time; they must be reweighed.
   std::vector<End> Near(const End& end) const;
 
-  // What poison did speaks against nobody else, and not for it either.
+  // Removes the ends caused by a poison job, so that they neither count against other jobs nor raise the
+  // baseline in its favour.
   void TakeBack(const Fingerprint& poison, const std::vector<Sign>& signs);
 
  private:
@@ -58,7 +59,8 @@
   Rate* In(std::map<std::uint32_t, Rate>* of, std::uint32_t which);
 
   int members_ = 1;
-  std::map<std::pair<std::uint32_t, std::uint16_t>, Fingerprint> explained_;  // which poison ended a life
+  // The poison job that ended a life, by runner and life.
+  std::map<std::pair<std::uint32_t, std::uint16_t>, Fingerprint> explained_;
   std::deque<End> ends_;
   std::map<std::uint32_t, Rate> runners_, classes_;
   Rate all_;
--- a/src/quarantine/codec.cpp
+++ b/src/quarantine/codec.cpp
@@ -5,7 +5,7 @@
 namespace lichenlug {
 namespace {
 
-constexpr Time kLongestClaim = 60 * kSecond;  // of an attempt: no word may hold a job up for longer
+constexpr Time kLongestClaim = 60 * kSecond;  // of an attempt: no message may delay a job for longer
 
 void Put(std::string* bytes, const Attempt& it, Time now) {
   PutNumber(bytes, it.epoch);
--- a/src/quarantine/codec.h
+++ b/src/quarantine/codec.h
@@ -1,8 +1,8 @@
-// Tickets as bytes, little-endian: the same records in datagrams and in a snapshot.
+// Binary encoding of tickets, little-endian: the same records in datagrams and in snapshots.
 //
-// Guards against half a record read as a whole one: a reader that runs out of bytes fails for good, and
-// values out of their range make the record unreadable. Times are ages, so that clocks need not agree by more
-// than the way takes; ends of discards and quarantines are Unix seconds.
+// A truncated record never decodes as a complete one: a reader that runs out of bytes fails permanently, and
+// out-of-range values make the record invalid. Times are encoded as ages, so that clocks need to agree only
+// within the transmission time; ends of discards and quarantines are Unix seconds.
 #pragma once
 
 #include <cstdint>
@@ -50,12 +50,12 @@
     *bytes += static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff);
 }
 
-// At most `most` bytes; the line for people is left out where it does not fit. Without it a record has at
-// most kMaxRecord bytes whatever the ticket.
+// Encodes at most `most` bytes; the description line is omitted if it doesn't fit. Without it a record has at
+// most kMaxRecord bytes for any ticket.
 inline constexpr std::size_t kMaxRecord = 252;
 std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now, std::size_t most = kMaxRecord);
 
-// Nothing: malformed.
+// Returns nullopt if the record is malformed.
 std::optional<std::pair<Fingerprint, Ticket>> Decode(std::string_view record, Time now);
 
 }  // namespace lichenlug
--- a/src/quarantine/decisions.h
+++ b/src/quarantine/decisions.h
@@ -1,12 +1,12 @@
-// What owners and trials decided of a ticket: a register of several writers whose versions are causal.
+// The decisions of owners and trials on a ticket: a multi-writer register with causal versions.
 //
-// Each decision has a dot (who, how many of theirs) and replaces all that its writer knew. Decisions that
-// did not know of one another stand side by side, and the strongest counts: a discard above all, then a
-// trial that failed, a trial under way, a release, a success. So a later decision that knew the earlier one
-// wins, and a discard wins over a release that did not know of it. (Dotted version vectors: Preguica et al.,
-// "Brief announcement: efficient causality tracking in distributed storage systems", PODC 2012.)
+// Each decision has a dot (writer, sequence number) and replaces all decisions that its writer knew.
+// Concurrent decisions are kept side by side, and the strongest counts: a discard first, then a failed trial,
+// a trial in progress, a release, a success. So a later decision that knew of the earlier one wins, and a
+// discard wins over a concurrent release. (Dotted version vectors: Preguica et al., "Brief announcement:
+// efficient causality tracking in distributed storage systems", PODC 2012.)
 //
-// Guards against clocks: none is compared to find out which decision is later.
+// No clocks are compared to order decisions.
 #pragma once
 
 #include <algorithm>
@@ -19,30 +19,30 @@
 
 class Decisions {
  public:
-  // Who decides is a number made of a dispatcher and its life, so that a restarted one never uses a dot
-  // twice. Merging may go over kMaxToDecide up to kMax; there the smallest numbers are let go of.
+  // A writer is identified by a hash of a dispatcher and its life, so that a restarted dispatcher never
+  // reuses a dot. Merging may exceed kMaxToDecide up to kMax; beyond that the smallest writers are dropped.
   static constexpr std::size_t kMaxToDecide = 8, kMax = 10;
 
   struct Dot {
     std::uint32_t by = 0;
     std::uint16_t count = 0;
-    Decided what = Decided::kNothing;  // nothing: replaced
-    std::uint32_t until = 0;           // Unix seconds; of a discard or a failed trial
+    Decided what = Decided::kNothing;  // kNothing: replaced by a later decision
+    std::uint32_t until = 0;           // Unix seconds; for a discard or a failed trial
     bool operator==(const Dot&) const = default;
   };
 
-  // False: too many have decided of this ticket; nothing was changed.
+  // Returns false without a change if too many writers have decided on this ticket.
   bool Decide(std::uint32_t by, Decided what, std::uint32_t until);
-  bool Merge(const Decisions& other);  // true: something new
-  void Load(const Dot& dot);           // of a register read from bytes
+  bool Merge(const Decisions& other);  // returns true if anything changed
+  void Load(const Dot& dot);           // adds a decoded dot
 
-  // The strongest that stands at this time (Unix seconds).
+  // The strongest decision in effect at this time (Unix seconds).
   Dot Current(std::uint32_t now) const;
   const std::vector<Dot>& dots() const { return dots_; }
   bool operator==(const Decisions&) const = default;
 
  private:
-  std::vector<Dot> dots_;  // by `by`
+  std::vector<Dot> dots_;  // sorted by `by`
 };
 
 }  // namespace lichenlug
--- a/src/quarantine/evidence.h
+++ b/src/quarantine/evidence.h
@@ -1,13 +1,13 @@
-// What is known against a job: signs, each of one run at one life of one runner.
+// The evidence against a job: signs, each from one run on one life of one runner.
 //
 // A sequential probability ratio test (Wald, "Sequential Tests of Statistical Hypotheses", Annals of
-// Mathematical Statistics 16, 1945). Hypotheses: the job kills what runs it (a run ends badly with
-// kBadIfPoison) or it does not (a run ends badly as often as those of other jobs at that place and time,
-// background.h). Each sign carries the logarithm of that ratio. Error rates: kInnocent, an innocent job
-// condemned, and kMissed, a poisoned one let go.
+// Mathematical Statistics 16, 1945). Hypotheses: the job kills its runners (a run ends badly with probability
+// kBadIfPoison), or it doesn't (a run ends badly as often as those of other jobs at that place and time,
+// background.h). Each sign carries the log likelihood ratio. Error rates: kInnocent, the probability that an
+// innocent job is condemned, and kMissed, that a poison job is cleared.
 //
-// Guards against one bad runner condemning a job (signs count once a runner and life, a runner's second life
-// half), and against facts that arrive twice, late or in another order (a set that merges).
+// One bad runner can't condemn a job: signs count once per runner and life, and further lives of a runner
+// count half. The set merges, so duplicated, delayed or reordered facts have no effect.
 #pragma once
 
 #include <algorithm>
@@ -19,22 +19,22 @@
 
 namespace lichenlug {
 
-// How a run ended for the runner, by rank of what it says.
+// How a run ended for the runner, in order of the strength of the evidence.
 enum class Outcome : std::uint8_t {
-  kNothing,    // given up by the caller, not connected, drained: says nothing
-  kSucceeded,  // the runner lived
-  kFailed,     // answered `failed`: weak, the client's data may be bad
-  kHung,       // the runner answered nobody until it was given up
-  kDied,       // the runner's life ended under it
+  kNothing,    // cancelled by the caller, not connected, drained: no evidence
+  kSucceeded,  // the runner survived
+  kFailed,     // answered `failed`: weak evidence, as the client's data may be bad
+  kHung,       // the runner stopped responding until it was given up
+  kDied,       // the runner's life ended during the run
 };
 
 inline constexpr double kBadIfPoison = 0.9;
 inline constexpr double kInnocent = 1e-5, kMissed = 0.01;
 inline const double kCondemnAt = std::log((1 - kMissed) / kInnocent);  // 11.5
-inline const double kSettledAt = std::log(kMissed / (1 - kInnocent));  // -4.6: no more watched
-inline constexpr double kStrongAt = 4;         // from here on one run at a time in the whole tier
-inline constexpr double kMaxFailedWeight = 3;  // all `failed` together: never strong by themselves
-inline constexpr double kLived = 2.3;          // ln(1 / (1 - kBadIfPoison)): what a success takes off
+inline const double kSettledAt = std::log(kMissed / (1 - kInnocent));  // -4.6: no longer watched
+inline constexpr double kStrongAt = 4;         // from this value on, one run at a time in the whole tier
+inline constexpr double kMaxFailedWeight = 3;  // sum of all `failed` signs: never reaches kStrongAt by itself
+inline constexpr double kLived = 2.3;  // ln(1 / (1 - kBadIfPoison)): the amount that a success subtracts
 inline constexpr Time kHalfLife = 1800 * kSecond;
 
 struct Sign {
@@ -42,7 +42,7 @@
   std::uint16_t life = 0;    // a hash of its life
   std::uint8_t runner_kind = 0, zone = 0;
   Outcome what = Outcome::kNothing;
-  std::uint8_t weight = 0;  // in sixteenths; others that fare ill there lower it, nothing raises it
+  std::uint8_t weight = 0;  // in sixteenths; lowered by bad ends of other jobs there, never raised
   Time at = 0;
 
   bool bad() const { return what == Outcome::kDied || what == Outcome::kHung; }
@@ -60,16 +60,17 @@
 
 class Evidence {
  public:
-  static constexpr std::size_t kMax = 8;  // bad ends stay longest
+  static constexpr std::size_t kMax = 8;  // bad ends are evicted last
 
-  // True: something new. Of the same place the smaller weight, the worse end and the earlier time stay.
+  // Returns true if anything changed. For the same place the smaller weight, the worse end and the earlier
+  // time are kept.
   bool Add(const Sign& sign);
   bool Lower(const Sign& place, std::uint8_t weight);
   bool Merge(const Evidence& other);
 
-  // The logarithm of the ratio, summed over kinds of runner: that one kind lives does not speak for another.
+  // The log likelihood ratio, summed over kinds of runner: survival of one kind is no evidence for another.
   double Sum(Time now) const;
-  int strikes() const;  // runner lives that ended or hung under it and are not explained otherwise
+  int strikes() const;  // runner lives that ended or hung during its runs without another explanation
   Time last_strike() const;
   const std::vector<Sign>& signs() const { return signs_; }
 
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -1,8 +1,8 @@
-// What makes two arrivals the same job, and the line that people read of it.
+// Identifies arrivals of the same job, and builds the description line shown to operators and owners.
 //
-// Guards against a mended job taken for the old one (a changed body is another job), against two parts run
-// together being taken for other two (each part goes in with its length), and against keeping what a client
-// sent: the body is hashed and forgotten.
+// A corrected job isn't mistaken for the old one (a changed body gives another fingerprint), and different
+// splits of the same bytes into parts don't collide (each part is hashed with its length). Nothing that a
+// client sent is kept except the line: the body is only hashed.
 #pragma once
 
 #include <compare>
@@ -25,14 +25,14 @@
   std::string_view tenant = {}, job_class = {}, method = {}, path_and_query = {}, object = {}, body = {};
 };
 
-// XXH3, 128 bits. It is no secret and no signature: one who can hand in jobs for a tenant can only make that
-// tenant's jobs collide.
+// XXH3, 128 bits; not cryptographic. Whoever can submit jobs for a tenant can only make that tenant's jobs
+// collide.
 Fingerprint FingerprintOf(const JobParts& parts);
 
 inline constexpr std::size_t kMaxLine = 64;  // bytes
 
-// "publish POST /index object-17": method, path without its query (which may hold what is nobody else's
-// business), object. Bytes that are not printable ASCII become '?'; at most kMaxLine of them.
+// For example "publish POST /index object-17": class, method, path without its query (which may hold private
+// data), object. Bytes that aren't printable ASCII become '?'; at most kMaxLine bytes.
 std::string LineOf(const JobParts& parts);
 
 std::uint64_t ShortHash(std::string_view text);
--- a/src/quarantine/gossip.cpp
+++ b/src/quarantine/gossip.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-// Bodies of tickets, filled as far as they go.
+// Packs tickets into as few bodies as possible.
 class Packer {
  public:
   explicit Packer(What what) : what_(what) {}
-  // False: it would begin one more body than `most`.
+  // Returns false if the ticket would need more than `most` bodies.
   bool Add(const Fingerprint& job, const Ticket& ticket, Time now, int most) {
     const std::string record = Encode(job, ticket, now);
     if (bodies_.empty() || bodies_.back().size() + 1 + record.size() > PeerProtocol::kMaxBody) {
@@ -56,7 +56,7 @@
 int Gossip::Retold() const { return 1 + std::bit_width(peers_.size() + 1); }
 
 void Gossip::Changed(const Fingerprint& job, bool urgent) {
-  if (peers_.empty()) return;  // sums find it once somebody is there
+  if (peers_.empty()) return;  // checksum comparison finds it once there are peers
   if (const auto it = dirty_.find(job); it != dirty_.end()) {
     it->second = Retold();
   } else if (dirty_.size() < kMaxDirty) {
--- a/src/quarantine/gossip.h
+++ b/src/quarantine/gossip.h
@@ -1,15 +1,16 @@
-// How tickets get about: what is urgent goes to all at once, each change is told a few at random about
-// log2(members) times, and slowly, all the time, two dispatchers compare sums and send each other what one of
-// them lacks. (Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987.)
+// Dissemination of tickets. Urgent changes are broadcast; each change is sent to a few random peers for about
+// log2(members) rounds; and, as a continuous anti-entropy process, two dispatchers compare checksums and send
+// each other the missing tickets. (Demers et al., "Epidemic algorithms for replicated database maintenance",
+// PODC 1987.)
 //
-// Guards against floods: words to all come out of a budget of bytes (without it the rounds carry them), a
-// round has at most kMaxBodies bodies a peer, and what peers lack waits in a bounded queue. Guards against
-// losses: what got lost is told again in other rounds, and sums find the rest. Idle: one body in kCompare.
+// Load is bounded: broadcasts are limited by a byte budget (beyond it the rounds deliver the change), a round
+// has at most kMaxBodies bodies per peer, and tickets missing at peers wait in a bounded queue. Losses are
+// repaired by later rounds and by checksum comparison. An idle dispatcher sends one body per kCompare.
 //
-// Bodies: a head byte (format << 4 | what), then
-//   1, 2 tickets: {length, record}...; 2 wants to know that they have arrived
-//   3 arrived: count, {fingerprint's low half, digest of its decisions}...
-//   4 sums of all groups   5 group, sums of its leaves   6 count, leaves that the sender asks for
+// Bodies: a head byte (format << 4 | type), then
+//   1, 2 tickets: {length, record}...; type 2 requests an acknowledgement
+//   3 acknowledgement: {fingerprint, digest of its decisions}
+//   4 checksums of all groups   5 group, checksums of its leaves   6 count, leaves that the sender requests
 #pragma once
 
 #include <deque>
@@ -36,22 +37,22 @@
   struct Heard {
     Fingerprint job;
     Ticket ticket;
-    bool wanted = false;  // its sender counts who has it
+    bool wanted = false;  // the sender requested an acknowledgement
   };
 
   explicit Gossip(std::uint64_t seed) : random_(seed) {}
 
   void SetMembers(int own, const std::vector<int>& counted);
-  // `urgent`: to all at once, where the budget has it.
+  // `urgent`: broadcast it, if the budget permits.
   void Changed(const Fingerprint& job, bool urgent);
-  // From now on those that have this ticket's decisions are counted.
+  // Starts counting the members that have this ticket's decisions.
   void CountHolders(const Fingerprint& job, const Ticket& ticket, Time now);
-  int Holders(const Fingerprint& job, const Ticket& ticket) const;  // with this one
+  int Holders(const Fingerprint& job, const Ticket& ticket) const;  // including this dispatcher
 
   Time DueAt(Time now) const;
   std::vector<PeerProtocol::Datagram> MakeDatagrams(const Table& table, Time now);
-  // False: malformed. Tickets are handed out to be merged; Arrived is to be called for those wanted that
-  // were.
+  // Returns false if the message is malformed. The caller merges the returned tickets and calls Arrived for
+  // each merged one that is `wanted`.
   bool HandleMessage(int peer, std::string_view body, const Table& table, Time now,
                      std::vector<Heard>* tickets);
   void Arrived(int peer, const Fingerprint& job, const Decisions& heard);
@@ -85,14 +86,14 @@
   int own_ = 0;
   std::vector<int> peers_;
   std::map<Fingerprint, int> dirty_;  // rounds left
-  std::deque<Fingerprint> turns_;     // of those in dirty_
+  std::deque<Fingerprint> turns_;     // send order of dirty_
   std::deque<Fingerprint> urgent_;
-  std::deque<std::pair<int, Fingerprint>> lacking_;  // by whom
+  std::deque<std::pair<int, Fingerprint>> lacking_;  // by the peer that lacks it
   std::map<Fingerprint, Waiting> waiting_;
   std::vector<PeerProtocol::Datagram> answers_;
   Time next_round_ = 0, next_compare_ = 0, budget_at_ = 0;
   double budget_ = kToAllBytesAtMost;
-  int fresh_compares_ = 50;  // after the start, until much has been heard
+  int fresh_compares_ = 50;  // fast comparisons left after a start
 };
 
 }  // namespace lichenlug
--- a/src/quarantine/gossip_hear.cpp
+++ b/src/quarantine/gossip_hear.cpp
@@ -1,4 +1,4 @@
-// The receiving half of gossip.h: tickets, who has them, and sums compared.
+// The receiving half of gossip.h: tickets, acknowledgements and checksum comparison.
 #include <algorithm>
 
 #include "quarantine/codec.h"
@@ -54,7 +54,7 @@
   ByteReader in(body);
   while (in.left() > 0) {
     const auto size = in.Number<std::uint8_t>();
-    if (size == 0 && in.left() == 0) break;  // the zero byte that may stand behind a body
+    if (size == 0 && in.left() == 0) break;  // the optional trailing zero byte of a body
     const auto record = Decode(in.Text(size), now);
     if (!in.good() || !record) {
       tickets->clear();
--- a/src/quarantine/gossip_words.h
+++ b/src/quarantine/gossip_words.h
@@ -1,4 +1,4 @@
-// Heads of the bodies that gossip.h names.
+// Message types and head byte of the bodies described in gossip.h.
 #pragma once
 
 #include <cstdint>
--- a/src/quarantine/homes.cpp
+++ b/src/quarantine/homes.cpp
@@ -18,8 +18,8 @@
   for (const TierMember& member : view.members)
     if (TierView::Counts(member.status) || member.number == own_) counted.push_back(member.number);
   if (counted == counted_) return false;
-  // The first view of a life is nobody's hand-over, but others may be at work on what this one has not heard
-  // of.
+  // The first view of a life is no handover, but other members may already run jobs that this dispatcher
+  // doesn't know of yet.
   counted_ = std::move(counted), changed_ = now;
   return true;
 }
--- a/src/quarantine/homes.h
+++ b/src/quarantine/homes.h
@@ -1,10 +1,10 @@
-// Who may begin runs of a suspected job: its home, by rendezvous hashing over the members that count (Thaler
-// and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking 6,
-// 1998), and whether this dispatcher may take itself for it.
+// Determines which dispatcher may begin runs of a suspected job: its home, by rendezvous hashing over the
+// counted members (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM
+// Transactions on Networking 6, 1998), and whether this dispatcher may act as the home.
 //
-// Guards against two homes at once. One that has just become home waits kTake, so that what the one before
-// began has arrived or its claim is known; one that was paused, as the gap between its own calls shows, is no
-// home for kSettle, in which it hears what it has missed.
+// To prevent two homes at once, a new home waits kTake, so that runs begun by the previous home have arrived
+// or their claim is known; and a dispatcher that was paused, which it detects by the gap between its own
+// calls, doesn't act as a home for kSettle, in which it receives what it missed.
 #pragma once
 
 #include <vector>
@@ -18,15 +18,15 @@
  public:
   static constexpr Time kTake = 2 * kSecond;
   static constexpr Time kAsleep = kSecond, kSettle = 3 * kSecond;
-  static constexpr Time kPulse = 250 * kMillisecond;  // how often to be called while anything is at stake
+  static constexpr Time kPulse = 250 * kMillisecond;  // call period while any job is at stake
 
-  // `at_stake`: there are jobs that run one at a time, so that calls are due each kPulse.
+  // `at_stake`: there are jobs that run one at a time, so calls are expected each kPulse.
   void Notice(bool at_stake, Time now);
-  // True: the set of those that count has changed.
+  // Returns true if the set of counted members has changed.
   bool SetView(const TierView& view, Time now);
 
   int HomeOf(const Fingerprint& job) const;
-  void Place(const Fingerprint& job, Ticket* ticket, Time now) const;  // after each change of the view
+  void Place(const Fingerprint& job, Ticket* ticket, Time now) const;  // call after each change of the view
   bool MayAct(const Ticket& ticket, Time now) const;
 
   int own() const { return own_; }
--- a/src/quarantine/pages.cpp
+++ b/src/quarantine/pages.cpp
@@ -77,7 +77,7 @@
   const auto job = Fingerprint::Parse(ticket);
   if (!job) return Of({.what = What::kNotFound}, {});
   if (days < 1 || days > 30) return Of({.what = What::kBadEnd}, {});
-  // The end of a UTC day, so that asking twice is one decision.
+  // Ends with a UTC day, so that a repeated request is the same decision.
   const std::uint32_t day = 24 * 3600;
   const std::uint32_t until = (UnixSeconds(now) / day + static_cast<std::uint32_t>(days)) * day;
   return Of(quarantine->Discard(ShortHash(tenant), *job, until, now), *job);
--- a/src/quarantine/pages.h
+++ b/src/quarantine/pages.h
@@ -1,11 +1,11 @@
-// What owners are answered: pure functions from the quarantine to JSON and a status.
+// The HTTP API for ticket owners: functions from the quarantine to a status and JSON.
 //
 //   GET  /-/quarantine?after=TICKET&most=N    ListPage
 //   POST /-/quarantine/TICKET/release         ReleasePage
 //   POST /-/quarantine/TICKET/discard?days=N  DiscardPage
 //
-// There is no sign-in here: whoever may say a tenant's name to the program may decide for it. Guards against
-// reading and deciding across tenants: another's ticket is answered like one that is not there.
+// There is no authentication here: whoever may name a tenant to the program may decide for it. Tenants can't
+// read or decide on each other's tickets: another tenant's ticket gets the same answer as a missing one.
 #pragma once
 
 #include <string>
@@ -28,7 +28,7 @@
 OwnersAnswer DiscardPage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, int days,
                          Time now);
 
-// The final answer to a job that is held: its type, its ticket, and what its owner can do.
+// The final answer to a held job: its type, its ticket, and its owner's options.
 OwnersAnswer HeldAnswer(const Fingerprint& job, const Quarantine::Verdict& verdict);
 
 }  // namespace lichenlug
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -214,7 +214,7 @@
     }
     seen_.erase(seen);
   }
-  // Jobs that ran beside it are explained by it.
+  // Bad ends of jobs that ran at the same places are explained by this one.
   for (auto& [other, its] : table_.all()) {
     if (other == job) continue;
     const State before = its.StateAt(now);
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,15 +1,15 @@
-// Which jobs kill runners, held back by the whole tier, released or discarded by their owners.
+// Finds jobs that kill runners and holds them back in the whole tier, until their owners release or discard
+// them.
 //
-// How a dispatcher uses it: it makes a Job of what arrived, asks Admit before each run, says Started and
-// Ended (or Dropped, when what was admitted never started), hands MakeDatagrams' results to its peers and
-// theirs to HandleMessage. A job of which nobody knows anything costs a look into a map. Nothing waits for a
-// peer.
+// Usage: a dispatcher makes a Job of each arrival, calls Admit before each run, reports Started and Ended (or
+// Dropped, if an admitted run never started), sends the results of MakeDatagrams to its peers and passes
+// their datagrams to HandleMessage. A job without a ticket costs one map lookup. Nothing waits for a peer.
 //
-// Guards against a job that is sent from one runner to the next by each client's retry and each dispatcher
-// anew. From the first strong sign on, one run of it at a time is begun in the whole tier, by its home
-// (homes.h), under a claim that the home renews; the others refuse at once. After kMaxStrikes lost runners
-// without a verdict it rests. What evidence.h condemns is answered finally, until the owner releases it (one
-// trial) or the stated end.
+// Without this, client retries and other dispatchers would send such a job from runner to runner. From the
+// first strong sign on, the whole tier runs the job one at a time, started by its home (homes.h) under a
+// claim that the home renews; the other dispatchers refuse it immediately. After kMaxStrikes lost runners
+// without a verdict it pauses (kRest). A job condemned by evidence.h gets a final answer until the
+// owner releases it (for one trial) or the stated end.
 #pragma once
 
 #include <map>
@@ -29,7 +29,7 @@
 
 struct Job {
   Fingerprint fingerprint;
-  std::uint64_t tenant = 0;     // ShortHash of its name
+  std::uint64_t tenant = 0;     // ShortHash of the name
   std::uint32_t job_class = 0;  // likewise
   std::string line;
 
@@ -38,16 +38,18 @@
 
 struct Runner {
   std::string_view name;
-  std::uint64_t life = 0;  // its up_since_ms, or whatever grows with each start
+  std::uint64_t life = 0;  // up_since_ms, or any value that grows with each start
   int zone = 0, kind = 0;
 };
 
 class Quarantine : public PeerProtocol {
  public:
   static constexpr int kMaxStrikes = 3;
-  static constexpr Time kRest = 60 * kSecond;  // after kMaxStrikes, before a further run; doubles with each
+  // Pause before the next run after kMaxStrikes; doubles with each further strike.
+  static constexpr Time kRest = 60 * kSecond;
   static constexpr Time kClaim = 10 * kSecond, kRenew = 3 * kSecond;
-  static constexpr std::uint32_t kHold = 24 * 3600;  // seconds that a quarantine lasts without a decision
+  // Seconds that a quarantine lasts without a decision by the owner.
+  static constexpr std::uint32_t kHold = 24 * 3600;
   static constexpr std::uint32_t kLongestDiscard = 30 * 24 * 3600;
   static constexpr std::size_t kMaxFlights = 65536, kMaxNews = 256;
 
@@ -58,25 +60,26 @@
 
   struct Verdict {
     enum class What : std::uint8_t {
-      kRun,          // nothing against it
-      kRunAlone,     // the one run in the tier; Ended or Dropped must follow
+      kRun,          // no suspicion
+      kRunAlone,     // the only run in the tier; Ended or Dropped must follow
       kLater,        // refuse with Retry-After; `home` may run it sooner
       kQuarantined,  // final: failed, with its ticket
       kDiscarded     // final
     } what = What::kRun;
     Time retry_after = 0;
     int home = -1;
-    std::uint32_t until = 0;  // Unix seconds, of the final ones
+    std::uint32_t until = 0;  // Unix seconds; set for the final answers
     bool runs() const { return what == What::kRun || what == What::kRunAlone; }
   };
 
-  // For the decisions: this failure of `runner` under a job of `job_class` was the job's, `weight` of it.
+  // For placement decisions: the share `weight` of this failure of `runner` was caused by a job of
+  // `job_class`.
   struct TakenBack {
     std::string runner;
     std::uint32_t job_class = 0;
     double weight = 1;
   };
-  // For the log: one line each.
+  // A state change, for the log.
   struct Change {
     Fingerprint job;
     State from = State::kWatched, to = State::kWatched;
@@ -98,10 +101,10 @@
       kBadEnd
     } what = What::kDone;
     State state = State::kWatched;
-    int holders = 0, members = 0;  // that have the decision, of those that there are
+    int holders = 0, members = 0;  // members that have the decision, and all counted members
   };
 
-  // `life`: of this dispatcher, another with each start.
+  // `life`: identifies this start of the dispatcher.
   Quarantine(int own, std::uint64_t life, const Settings& settings);
 
   Verdict Admit(const Job& job, Time now);
@@ -109,11 +112,11 @@
   void Ended(const Job& job, const Runner& runner, Outcome outcome, Time now);
   void Dropped(const Job& job, Time now);
 
-  // Owners' decisions. Another tenant's ticket is not found. A discard's `until`: Unix seconds, in the
-  // future.
+  // Owners' decisions. Another tenant's ticket gives kNotFound. `until` is in Unix seconds and must lie in
+  // the future.
   Owned Release(std::uint64_t tenant, const Fingerprint& ticket, Time now);
   Owned Discard(std::uint64_t tenant, const Fingerprint& ticket, std::uint32_t until, Time now);
-  // Up to `most` of a tenant's, after one of them.
+  // Up to `most` tickets of a tenant, those after `after`.
   std::vector<std::pair<Fingerprint, Ticket>> List(std::uint64_t tenant, const Fingerprint& after,
                                                    int most) const;
 
@@ -126,18 +129,18 @@
   void TierChanged(const TierView& view, Time now) override;
 
   const Table& table() const { return table_; }
-  // Merges what a snapshot held.
+  // Merges a ticket from a snapshot.
   void Restore(const Fingerprint& job, const Ticket& ticket, Time now) { (void)Learn(job, ticket, now); }
   const Counters& counters() const { return counters_; }
   int members() const { return homes_.members(); }
 
  private:
-  struct Claim {  // of a run that this dispatcher began as the home
+  struct Claim {  // for a run that this dispatcher began as the home
     std::uint16_t epoch = 0, generation = 0;
     bool trial = false;
     Time renew_at = 0;
   };
-  struct Seen {  // what this dispatcher saw itself, for TakenBack
+  struct Seen {  // a bad end seen locally, for TakenBack
     std::string runner;
     std::uint32_t runner_hash = 0, job_class = 0;
   };
@@ -150,9 +153,9 @@
   void EndClaim(const Fingerprint& job, Ticket* ticket, Outcome outcome, Time now);
   void Remember(const Job& job, const Runner& runner, std::uint32_t runner_hash);
   void AddSign(const Fingerprint& job, Ticket* ticket, const Sign& sign, Time now);
-  void Compare(const Background::End& end, Time now);  // a bad end is new: weighs those near it anew
-  bool Learn(const Fingerprint& job, const Ticket& heard, Time now);  // false: no room
-  // After each change of a ticket: condemns it if need be, sums it up, tells it.
+  void Compare(const Background::End& end, Time now);  // for a new bad end: reweighs the ends near it
+  bool Learn(const Fingerprint& job, const Ticket& heard, Time now);  // false if the ticket was rejected
+  // Call after each change of a ticket: condemns it if needed, updates its checksum and gossips it.
   void Settle(const Fingerprint& job, Ticket* ticket, State before, bool was_condemned, bool urgent,
               Time now);
   void Condemned(const Fingerprint& job, const Ticket& ticket, Time now);
@@ -162,7 +165,7 @@
   Owned Take(const Fingerprint& job, Ticket* ticket, Decided what, std::uint32_t until, Time now);
 
   const int own_;
-  const std::uint32_t by_;  // of decisions taken here
+  const std::uint32_t by_;  // writer of decisions taken here
   Table table_;
   Background background_;
   Homes homes_;
@@ -170,7 +173,7 @@
   std::map<Fingerprint, int> flights_;
   std::map<Fingerprint, Claim> claims_;
   std::map<Fingerprint, std::vector<Seen>> seen_;
-  std::set<Fingerprint> at_stake_;  // suspected, released, on trial: one at a time
+  std::set<Fingerprint> at_stake_;  // suspected, released, on trial: run one at a time
   std::vector<TakenBack> taken_back_;
   std::vector<Change> changes_;
   Counters counters_;
--- a/src/quarantine/quarantine_shared.cpp
+++ b/src/quarantine/quarantine_shared.cpp
@@ -1,4 +1,4 @@
-// What Quarantine tells its peers, hears from them and minds by itself, and what owners decide.
+// The parts of Quarantine that exchange state with peers, maintain claims and apply owners' decisions.
 #include <algorithm>
 
 #include "quarantine/quarantine.h"
@@ -6,7 +6,7 @@
 namespace lichenlug {
 namespace {
 
-// A peer that claims a longer hold than any program gives is not believed.
+// Tolerated clock difference in seconds: tickets held longer than the limits plus this are rejected.
 constexpr std::uint32_t kClocksApart = 3600;
 
 }  // namespace
@@ -32,7 +32,7 @@
     if (now < claim.renew_at || ticket == nullptr) continue;
     claim.renew_at = now + kRenew;
     if (ticket->attempt.home != own_ || ticket->attempt.epoch != claim.epoch)
-      continue;  // given up by the others
+      continue;  // taken over by another dispatcher
     ticket->attempt.until = now + kClaim;
     gossip_.Changed(job, false);
   }
@@ -41,7 +41,7 @@
     Ticket* ticket = table_.Find(job);
     const State state = ticket == nullptr ? State::kWatched : ticket->StateAt(now);
     if (state == State::kOnTrial && !ticket->attempt.Runs(now) && !claims_.contains(job) &&
-        homes_.MayAct(*ticket, now)) {  // its home was never heard of again: it failed
+        homes_.MayAct(*ticket, now)) {  // its home disappeared: the trial counts as failed
       const bool was_condemned = ticket->condemned(now);
       ticket->attempt.running = false;
       PutBack(ticket, now);
--- a/src/quarantine/snapshot.h
+++ b/src/quarantine/snapshot.h
@@ -1,9 +1,9 @@
-// A snapshot of the tickets as bytes: versioned, checksummed, all or nothing.
+// Binary snapshot of the tickets: versioned, checksummed, read completely or not at all.
 //
 //   "LLQUARAN", version (2 bytes), written at (8, microseconds), count (4), {length (2), record}..., XXH3 (8)
 //
-// Guards against a file that was cut short, changed by one bit, or written by a newer program: none of its
-// tickets is taken, and why is said in one line. A dispatcher without a snapshot hears from its peers.
+// A file that was truncated, corrupted (even by one bit) or written by a newer program yields no tickets, and
+// a one-line error states the reason. A dispatcher without a snapshot gets the tickets from its peers.
 #pragma once
 
 #include <string>
@@ -21,7 +21,7 @@
 inline std::error_code make_error_code(SnapshotError it) { return {static_cast<int>(it), SnapshotErrors()}; }
 
 struct Snapshot {
-  std::vector<std::pair<Fingerprint, Ticket>> tickets;  // none where there is an error
+  std::vector<std::pair<Fingerprint, Ticket>> tickets;  // empty if there is an error
   std::error_code error;
 };
 
--- a/src/quarantine/store.cpp
+++ b/src/quarantine/store.cpp
@@ -15,7 +15,7 @@
 
 std::string PathIn(const std::string& folder) { return folder + "/quarantine.snapshot"; }
 
-// A descriptor that is closed whatever happens.
+// Closes the file descriptor on destruction.
 struct Descriptor {
   int number;
   ~Descriptor() {
--- a/src/quarantine/store.h
+++ b/src/quarantine/store.h
@@ -1,9 +1,9 @@
-// The snapshot's file. Written beside the old one, synced, renamed over it, and the folder synced: after a
-// crash at any moment there is the old file or the new one.
+// Reads and writes the snapshot file. A new file is written beside the old one, synced and renamed over it,
+// and the folder is synced: after a crash at any moment either the old or the new file exists.
 //
-// The only part of the quarantine that touches a disk; the bytes are snapshot.h's. Both calls block for as
-// long as the disk takes. Errors are system errors, so that an operator sees what the system said, with the
-// step that failed, the path, and what to do.
+// This is the only part of the quarantine that accesses a disk; snapshot.h defines the contents. Both calls
+// block for as long as the disk takes. Errors are system errors, so that an operator sees the system's
+// message, together with the failed step, the path, and a remedy.
 #pragma once
 
 #include <optional>
@@ -15,11 +15,11 @@
 struct StoreError {
   std::error_code cause;
   std::string step, path;
-  std::string Line() const;  // one line, with what an operator can do
+  std::string Line() const;  // one line, with a remedy for the operator
 };
 
 struct StoredBytes {
-  std::string bytes;  // empty where there is no file yet
+  std::string bytes;  // empty if there is no file yet
   std::optional<StoreError> error;
 };
 
--- a/src/quarantine/table.cpp
+++ b/src/quarantine/table.cpp
@@ -68,7 +68,7 @@
 }
 
 std::uint32_t Table::GroupSum(int group) const {
-  // Turned by the place in the group, so that two leaves that changed alike do not cancel out.
+  // Depends on the position in the group, so that equal changes of two leaves don't cancel out.
   std::uint32_t sum = 0;
   for (int i = 0; i < kLeavesOfGroup; ++i) sum = sum * 0x01000193u + LeafSum(group * kLeavesOfGroup + i);
   return sum;
--- a/src/quarantine/table.h
+++ b/src/quarantine/table.h
@@ -1,8 +1,8 @@
-// All tickets that a dispatcher knows of, bounded a tenant and in all, with sums by which two dispatchers
-// find out what one knows and the other does not.
+// All tickets that a dispatcher knows, bounded per tenant and in total, with checksums by which two
+// dispatchers find the differences between their tables.
 //
-// Guards against a tenant that fills the table: it pushes out its own oldest suspicion, never another
-// tenant's, never what was condemned or decided; what does not fit is let through and counted.
+// A tenant can't fill the table: it evicts its own oldest suspicion, never another tenant's ticket and never
+// a condemned or decided one; jobs that don't fit are let through and counted.
 #pragma once
 
 #include <array>
@@ -16,24 +16,24 @@
 
 class Table {
  public:
-  // Sums: a leaf for each 1,024th of all fingerprints, 32 leaves a group.
+  // Checksums: one leaf for each 1,024th of the fingerprint space, 32 leaves in a group.
   static constexpr int kGroups = 32, kLeavesOfGroup = 32;
 
   Table(std::size_t most, std::size_t max_per_tenant) : max_(most), max_per_tenant_(max_per_tenant) {}
 
   Ticket* Find(const Fingerprint& job);
   const Ticket* Find(const Fingerprint& job) const;
-  // The ticket, made if need be; null when there is no room for it.
+  // The ticket, created if needed; null if the table is full.
   Ticket* Make(const Fingerprint& job, std::uint64_t tenant, Time now);
-  void Changed(const Fingerprint& job, Ticket* ticket, Time now);  // sums it up anew
+  void Changed(const Fingerprint& job, Ticket* ticket, Time now);  // updates the checksums
   void Erase(const Fingerprint& job);
-  // Lets go of tickets that are spent: a few with each call, all in turn.
+  // Removes expired tickets; each call checks the next kSwept of the table.
   void Sweep(Time now);
 
   std::uint32_t GroupSum(int group) const;
   std::uint32_t LeafSum(int leaf) const { return leaves_[static_cast<std::size_t>(leaf)]; }
   static int LeafOf(const Fingerprint& job) { return static_cast<int>(job.high >> 54); }
-  // The range of a leaf.
+  // The first fingerprint of a leaf.
   static Fingerprint FirstOf(int leaf) { return {static_cast<std::uint64_t>(leaf) << 54, 0}; }
 
   const std::map<Fingerprint, Ticket>& all() const { return tickets_; }
