--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -1,4 +1,4 @@
-// Which jobs are held back: what condemns a job and what does not, how decisions merge, what fits.
+// Quarantine of jobs: what condemns a job and what doesn't, owners' decisions, merging, bounds, and storage.
 #include "quarantine/quarantine.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 using What = Quarantine::Verdict::What;
 constexpr Time kNow = 1'700'000'000 * kSecond;
 
-// One dispatcher, its own home at once.
+// A tier of one dispatcher, which is the home of all jobs.
 struct Alone {
   Quarantine quarantine;
   Time now = kNow;
@@ -44,7 +44,7 @@
     return ticket == nullptr ? State::kWatched : ticket->StateAt(now);
   }
   void Condemn(const Job& job) {
-    now += 3 * kSecond;  // three of a zone within a moment would be the zone's fault
+    now += 3 * kSecond;  // three deaths within Background::kTogether would be attributed to the zone
     for (int i = 0; i < 3; ++i, ++killed)
       Run(job, {.name = "p" + std::to_string(killed), .life = 1}, Outcome::kDied);
     ASSERT_EQ(Of(job), State::kQuarantined);
@@ -82,7 +82,8 @@
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(one.Run(JobNamed("bad data"), {.name = "r" + std::to_string(i), .life = 1}, Outcome::kFailed),
               What::kRun);
-  one.Run(JobNamed("bad data"), {.name = "a", .life = 1}, Outcome::kDied);  // beside another's poison, say
+  one.Run(JobNamed("bad data"), {.name = "a", .life = 1},
+          Outcome::kDied);  // for example, because another job killed the runner
   for (int i = 0; i < 20; ++i)
     one.Run(JobNamed("bad data"), {.name = "s" + std::to_string(i), .life = 1}, Outcome::kFailed);
   EXPECT_NE(one.Of(JobNamed("bad data")), State::kQuarantined);
@@ -172,7 +173,7 @@
   EXPECT_EQ(one.quarantine.table().Find(job.fingerprint)->failed_trials, 1);
   one.quarantine.Release(job.tenant, job.fingerprint, one.now);
   EXPECT_EQ(one.Run(job, {.name = "q", .life = 2}, Outcome::kNothing), What::kRunAlone);
-  EXPECT_EQ(one.Of(job), State::kReleased);  // it did not run
+  EXPECT_EQ(one.Of(job), State::kReleased);  // the trial did not run
   EXPECT_EQ(one.Run(job, {.name = "q", .life = 2}, Outcome::kSucceeded), What::kRunAlone);
   EXPECT_EQ(one.Run(job, {.name = "q", .life = 2}, Outcome::kSucceeded), What::kRun);
 }
@@ -226,7 +227,7 @@
   EXPECT_EQ(full.quarantine.counters().no_room, 2u);
 }
 
-// Random tickets for the laws of merging; a decision that is one fact is the same in each of them.
+// Random tickets for the merge laws; equal dots carry the same decision in all of them.
 Ticket RandomTicket(pcg32* random) {
   const auto draw = [&](std::uint32_t below) { return (*random)(below); };
   Ticket it;
@@ -248,7 +249,7 @@
   for (std::uint32_t by = 0; by < 5; ++by)
     if (draw(2) == 0) {
       const auto count = static_cast<std::uint16_t>(1 + draw(3));
-      // A dot is one decision wherever it is known; replaced or not is what differs.
+      // A dot identifies one decision; copies differ only in whether it has been replaced.
       const auto what = draw(2) == 0 ? Decided::kNothing : static_cast<Decided>(1 + (by + count) % 5);
       it.decisions.Load(
           {.by = by, .count = count, .what = what, .until = what == Decided::kNothing ? 0u : 5u});
@@ -281,7 +282,7 @@
   before.Decide(1, Decided::kPutBack, UINT32_MAX);
   release = discard = before;
   release.Decide(2, Decided::kReleased, 0);
-  release.Decide(2, Decided::kReleased, 0);  // more of them do not make it know
+  release.Decide(2, Decided::kReleased, 0);  // a repeated release still hasn't seen the discard
   discard.Decide(3, Decided::kDiscarded, 1000);
   Decisions both = release;
   both.Merge(discard);
--- a/tests/quarantine_tier_test.cpp
+++ b/tests/quarantine_tier_test.cpp
@@ -1,5 +1,5 @@
-// Quarantine over a tier: the bound on harm, one trial, decisions that are not lost, through random schedules
-// of loss, cuts, pauses, deaths and healing.
+// Quarantine over a tier: bounded harm, single trials and durable decisions under random schedules of message
+// loss, partitions, pauses, crashes and recovery.
 #include <gtest/gtest.h>
 
 #include "quarantine_world.h"
@@ -10,7 +10,7 @@
 constexpr int kSchedules = 10000;
 const Job kPoison = JobNamed("bad");
 
-// Everybody keeps handing the poison in. Gives the number of runs that were begun.
+// Clients submit the poison job at all dispatchers for `span`. Returns the number of runs that were started.
 int HandInFor(TierOf* tier, Time span, Outcome outcome) {
   const int before = tier->runners;
   for (const Time end = tier->now + span; tier->now < end; tier->Step())
@@ -19,7 +19,7 @@
   return tier->runners - before;
 }
 
-// The first evidence: one dispatcher runs it, and word of its end has gone round.
+// One dispatcher runs the job, and its bad end is gossiped to the tier.
 void FirstEvidence(TierOf* tier) {
   tier->HandIn(tier->Draw(tier->size()), kPoison, Outcome::kDied);
   tier->Play(6 * kSecond);
@@ -81,7 +81,7 @@
     tier.Play(tier.Draw(20) * TierOf::kStep);
     int trials =
         HandInFor(&tier, tier.Draw(20) * TierOf::kStep, works ? Outcome::kSucceeded : Outcome::kDied);
-    if (works && trials > 0) continue;  // cleared: it may run as it likes
+    if (works && trials > 0) continue;  // cleared: runs are no longer limited
     if (fault == 1) tier.Kill(home);
     if (fault == 2) tier.Pause(home, (5 + tier.Draw(60)) * TierOf::kStep);
     if (fault == 3)
@@ -100,7 +100,7 @@
     tier.loss = 0.5 * (seed % 3) / 2;
     const int taker = tier.Draw(tier.size()), other = (taker + 1) % tier.size();
     const std::uint32_t until = UnixSeconds(tier.now) + 3600;
-    if (seed % 2 == 0) {  // release and discard in two parts
+    if (seed % 2 == 0) {  // release and discard in different partitions
       tier.Cut(taker, 1), tier.Cut((taker + 2) % tier.size(), 1);
       tier.Play(3 * kSecond);
       tier.at(other).Release(kPoison.tenant, kPoison.fingerprint, tier.now);
@@ -113,7 +113,7 @@
     tier.Kill(taker);
     tier.Play(tier.Draw(30) * TierOf::kStep);
     Heal(&tier);
-    if (seed % 3 == 0)  // restarts, one at a time
+    if (seed % 3 == 0)  // rolling restart
       for (int i = 0; i < tier.size(); ++i) tier.Start(i), tier.Play(5 * kSecond);
     AllSay(&tier, State::kDiscarded, seed);
   }
@@ -124,7 +124,7 @@
   TierOf tier(60, 3);
   tier.HandIn(17, kPoison, Outcome::kDied);
   while (!tier.runs.empty()) tier.Step();
-  tier.Play(3 * TierOf::kStep);  // the evidence is out
+  tier.Play(3 * TierOf::kStep);  // the evidence has spread
   EXPECT_LE(1 + HandInFor(&tier, 60 * kSecond, Outcome::kDied), 3);
 }
 
@@ -145,7 +145,7 @@
   EXPECT_EQ(tier.at(3).table().all().size(), tier.at(0).table().all().size());
   const std::uint64_t before = tier.bytes;
   tier.Play(100 * kSecond);
-  EXPECT_LT(static_cast<double>(tier.bytes - before) / 100 / tier.size(), 500);  // bytes a second and member
+  EXPECT_LT(static_cast<double>(tier.bytes - before) / 100 / tier.size(), 500);  // bytes a second per member
 }
 
 }  // namespace
--- a/tests/quarantine_world.h
+++ b/tests/quarantine_world.h
@@ -1,5 +1,6 @@
-// A tier of quarantines in virtual time: words are lost, doubled and late, dispatchers die, start anew, pause
-// and are cut from one another. Clients keep handing in jobs; some jobs kill each runner that takes them.
+// A tier of quarantines in virtual time: messages are lost, duplicated and delayed; dispatchers crash,
+// restart, pause and are partitioned. Clients keep submitting jobs; some jobs kill each runner that takes
+// them.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +20,7 @@
       {.tenant = tenant, .job_class = job_class, .method = "POST", .path_and_query = "/p", .object = object});
 }
 
-// What a dispatcher has seen of jobs that harm nobody.
+// Records successful runs of harmless jobs, as a baseline for the dispatcher.
 inline void CalmTraffic(Quarantine* quarantine, Time now) {
   for (int i = 0; i < 2000; ++i)
     quarantine->Ended(JobNamed("calm" + std::to_string(i)),
@@ -33,7 +34,7 @@
     std::unique_ptr<Quarantine> quarantine;
     int part = 0, lives = 0;
     bool alive = true;
-    Time paused_until = 0, view_at = 0;  // 0: the view is up to date
+    Time paused_until = 0, view_at = 0;  // view_at 0: the view is up to date
     std::uint64_t view_version = 0;
   };
   struct Run {
@@ -86,7 +87,7 @@
     node(i).part = part;
     Changed();
   }
-  // Each learns of it at its own time.
+  // Each node gets the new view after a random delay.
   void Changed() {
     for (Node& it : nodes_) it.view_at = now + (3 + Draw(12)) * kStep;
   }
@@ -102,11 +103,11 @@
     at(i).TierChanged(view, now);
   }
 
-  // A client hands the job in; nothing when it was not run.
+  // A client submits the job. Returns the verdict if the job was refused, nullopt if it runs.
   std::optional<Quarantine::Verdict> HandIn(int i, const Job& job, Outcome outcome) {
     const Quarantine::Verdict verdict = at(i).Admit(job, now);
     if (!verdict.runs()) return verdict;
-    if (verdict.what == Quarantine::Verdict::What::kRunAlone) TellOf(i);  // before the run's first byte
+    if (verdict.what == Quarantine::Verdict::What::kRunAlone) TellOf(i);  // sent before the run starts
     at(i).Started(job, now);
     runs.push_back({.node = i,
                     .lives = node(i).lives,
