--- a/src/quarantine/pages.cpp
+++ b/src/quarantine/pages.cpp
@@ -22,13 +22,15 @@
                         {"members", owned.members}}
                        .dump()};
     case What::kNotFound:
-      return Problem(404, "not-found", "no such ticket of this tenant");
+      return Problem(404, "not-found", "this tenant has no such ticket");
     case What::kNotHeld:
-      return Problem(409, "not-held", "the job is not held: hand it in");
+      return Problem(409, "not-held", "the job is not held; submit it again");
     case What::kTooManyDeciders:
-      return Problem(409, "too-many-deciders", "ask a dispatcher that has decided of this ticket before");
+      return Problem(
+          409, "too-many-deciders",
+          "too many dispatchers have decided on this ticket; use one that has decided on it before");
     case What::kBadEnd:
-      return Problem(400, "bad-end", "days: 1 to 30");
+      return Problem(400, "bad-end", "days must be 1 to 30");
   }
   return {};
 }
@@ -53,7 +55,7 @@
   Fingerprint from;
   if (!after.empty()) {
     const auto parsed = Fingerprint::Parse(after);
-    if (!parsed) return Problem(400, "bad-ticket", "after: 32 hexadecimal digits");
+    if (!parsed) return Problem(400, "bad-ticket", "after must be 32 hexadecimal digits");
     from = *parsed;
   }
   most = std::clamp(most, 1, kMaxOnPage);
--- a/src/quarantine/snapshot.cpp
+++ b/src/quarantine/snapshot.cpp
@@ -18,15 +18,15 @@
   std::string message(int code) const override {
     switch (static_cast<SnapshotError>(code)) {
       case SnapshotError::kCutShort:
-        return "cut short; remove it, or leave it: the next save replaces it";
+        return "the file is truncated; no action is needed, the next save replaces it";
       case SnapshotError::kNotASnapshot:
-        return "no snapshot of the quarantine; check the folder's name";
+        return "not a quarantine snapshot; check the configured folder";
       case SnapshotError::kNewer:
-        return "written by a newer program; start that one, or remove the file";
+        return "written by a newer version; run that version or remove the file";
       case SnapshotError::kOlder:
-        return "of a format no longer read; the next save replaces it";
+        return "the format is no longer supported; the next save replaces the file";
       case SnapshotError::kDamaged:
-        return "damaged (checksum); check the disk; the next save replaces it";
+        return "checksum mismatch; check the disk; the next save replaces the file";
     }
     return "unknown";
   }
--- a/src/quarantine/store.cpp
+++ b/src/quarantine/store.cpp
@@ -31,11 +31,12 @@
 
 std::string StoreError::Line() const {
   std::string line = "quarantine: " + step + " " + path + ": " + cause.message() + "; ";
-  if (cause == std::errc::no_space_on_device) return line + "make room; tickets are kept in memory meanwhile";
+  if (cause == std::errc::no_space_on_device)
+    return line + "free some space; tickets are kept in memory meanwhile";
   if (cause == std::errc::permission_denied || cause == std::errc::read_only_file_system)
-    return line + "let the program's user write there";
+    return line + "grant the program's user write access";
   if (cause == std::errc::no_such_file_or_directory || cause == std::errc::not_a_directory)
-    return line + "make the folder, or name another one";
+    return line + "create the folder or configure another one";
   return line + "check the disk; tickets are kept in memory and by the other dispatchers meanwhile";
 }
 
