--- a/src/quarantine/background.cpp
+++ b/src/quarantine/background.cpp
@@ -9,10 +9,10 @@
 // Weight of the next higher level's rate as a prior, in tries.
 constexpr double kTierPrior = 50, kClassPrior = 10, kRunnerPrior = 4;
 
-bool SamePlace(const Sign& a, const Sign& b) { return a.runner == b.runner && a.life == b.life; }
+bool SameRunnerLife(const Sign& a, const Sign& b) { return a.runner == b.runner && a.life == b.life; }
 
 // A life that ended under several jobs at once counts as one end; each job that it hung counts separately.
-bool Repeats(const Sign& other, const Sign& sign) {
+bool IsRepeated(const Sign& other, const Sign& sign) {
   return other.runner == sign.runner && (other.life != sign.life || other.what == Outcome::kHung);
 }
 
@@ -24,14 +24,14 @@
   rate->tries *= left, rate->failed *= left, rate->at = now;
 }
 
-Background::Rate* Background::In(std::map<std::uint32_t, Rate>* of, std::uint32_t which) {
+Background::Rate* Background::FindOrAddRate(std::map<std::uint32_t, Rate>* of, std::uint32_t which) {
   if (of->size() >= kMaxRates && !of->contains(which)) return nullptr;
   return &(*of)[which];
 }
 
-void Background::Ran(std::uint32_t runner, std::uint32_t job_class, Outcome what, Time now) {
+void Background::RecordRun(std::uint32_t runner, std::uint32_t job_class, Outcome what, Time now) {
   if (what == Outcome::kNothing) return;
-  for (Rate* rate : {&all_, In(&runners_, runner), In(&classes_, job_class)}) {
+  for (Rate* rate : {&all_, FindOrAddRate(&runners_, runner), FindOrAddRate(&classes_, job_class)}) {
     if (rate == nullptr) continue;
     Fade(rate, now);
     rate->tries += 1;
@@ -41,7 +41,7 @@
 
 void Background::Ended(const End& end) {
   for (const End& known : ends_)
-    if (known.job == end.job && SamePlace(known.sign, end.sign)) return;
+    if (known.job == end.job && SameRunnerLife(known.sign, end.sign)) return;
   ends_.push_back(end);
   if (ends_.size() > kMaxEnds) ends_.pop_front();
 }
@@ -54,7 +54,7 @@
   return rate.tries * members_;
 }
 
-std::uint8_t Background::Weigh(const End& end, Time now) const {
+std::uint8_t Background::WeightOf(const End& end, Time now) const {
   Rate all = all_;
   Fade(&all, now);
   const Sign& sign = end.sign;
@@ -66,9 +66,9 @@
     const auto it = classes_.find(end.job_class);
     Rate of_class = it == classes_.end() ? Rate{} : it->second;
     Fade(&of_class, now);
-    const double tier = (all.failed + kFailedFloor * kTierPrior) / (all.tries + kTierPrior);
+    const double tier = (all.failed + kMinFailedRate * kTierPrior) / (all.tries + kTierPrior);
     const double here = (of_class.failed + tier * kClassPrior) / (of_class.tries + kClassPrior);
-    return ToWeight(std::log(kFailedIfPoison / std::max({tier, here, kFailedFloor})));
+    return ToWeight(std::log(kFailedIfPoison / std::max({tier, here, kMinFailedRate})));
   }
   double tier = 0, runner = 0;
   std::vector<Fingerprint> class_jobs;
@@ -79,35 +79,36 @@
   for (const End& other : ends_) {
     if (other.job == end.job || std::abs(other.sign.at - sign.at) > kWindow) continue;
     tier += 1;
-    if (other.job_class == end.job_class && class_jobs.size() < kMaxNear) add(&class_jobs, other.job);
-    if (Repeats(other.sign, sign)) runner += 1;
+    if (other.job_class == end.job_class && class_jobs.size() < kMaxNearby) add(&class_jobs, other.job);
+    if (IsRepeated(other.sign, sign)) runner += 1;
     if (other.sign.zone == sign.zone && other.sign.runner != sign.runner &&
-        zone_runners.size() < kManyOfZone && std::abs(other.sign.at - sign.at) <= kTogether)
+        zone_runners.size() < kMinZoneFailures && std::abs(other.sign.at - sign.at) <= kZoneFailureWindow)
       add(&zone_runners, other.sign.runner);
   }
-  const bool known = all.tries >= kFewTries;
-  const double of_tier = known ? (tier + kFloor * kTierPrior) / (all.tries * members_ + kTierPrior) : kFloor;
+  const bool known = all.tries >= kMinTries;
+  const double of_tier =
+      known ? (tier + kMinBadRate * kTierPrior) / (all.tries * members_ + kTierPrior) : kMinBadRate;
   const double of_class = known ? (static_cast<double>(class_jobs.size()) + of_tier * kClassPrior) /
                                       (Tries(classes_, end.job_class, now) + kClassPrior)
-                                : kFloor;
+                                : kMinBadRate;
   const double of_runner = (runner + of_tier * kRunnerPrior) /
                            (std::max(Tries(runners_, sign.runner, now), runner) + kRunnerPrior);
-  const double of_zone = zone_runners.size() >= kManyOfZone ? kBadIfPoison : 0;
-  const double expected = std::max({of_tier, of_class, of_runner, of_zone, kFloor});
+  const double of_zone = zone_runners.size() >= kMinZoneFailures ? kBadIfPoison : 0;
+  const double expected = std::max({of_tier, of_class, of_runner, of_zone, kMinBadRate});
   return ToWeight(std::log(kBadIfPoison / std::min(expected, kBadIfPoison)));
 }
 
-std::vector<Background::End> Background::Near(const End& end) const {
+std::vector<Background::End> Background::NearbyEnds(const End& end) const {
   std::vector<End> near;
-  for (auto it = ends_.rbegin(); it != ends_.rend() && near.size() < kMaxNear; ++it)
+  for (auto it = ends_.rbegin(); it != ends_.rend() && near.size() < kMaxNearby; ++it)
     if (it->job != end.job && std::abs(it->sign.at - end.sign.at) <= kWindow &&
         (it->sign.runner == end.sign.runner || it->job_class == end.job_class ||
-         (it->sign.zone == end.sign.zone && std::abs(it->sign.at - end.sign.at) <= kTogether)))
+         (it->sign.zone == end.sign.zone && std::abs(it->sign.at - end.sign.at) <= kZoneFailureWindow)))
       near.push_back(*it);
   return near;
 }
 
-void Background::TakeBack(const Fingerprint& poison, const std::vector<Sign>& signs) {
+void Background::Exonerate(const Fingerprint& poison, const std::vector<Sign>& signs) {
   for (const Sign& sign : signs) {
     if (!sign.bad()) continue;
     if (explained_.size() >= kMaxExplained) explained_.clear();  // its entries are older than kWindow by then
@@ -115,7 +116,7 @@
   }
   std::erase_if(ends_, [&](const End& it) {
     return it.job == poison || std::ranges::any_of(signs, [&](const Sign& sign) {
-             return sign.bad() && SamePlace(sign, it.sign);
+             return sign.bad() && SameRunnerLife(sign, it.sign);
            });
   });
 }
--- a/src/quarantine/background.h
+++ b/src/quarantine/background.h
@@ -21,13 +21,13 @@
 class Background {
  public:
   static constexpr Time kWindow = 120 * kSecond;  // ends within this span count as simultaneous
-  // Deaths of kManyOfZone other runners of a zone within this span have a common cause.
-  static constexpr Time kTogether = 2 * kSecond;
-  static constexpr std::size_t kManyOfZone = 3;
-  static constexpr std::size_t kMaxEnds = 512, kMaxNear = 32, kMaxRates = 4096, kMaxExplained = 4096;
-  static constexpr double kFewTries = 20;  // local tries; with fewer, there is no estimate for tier and class
-  static constexpr double kFloor = 0.002;  // lower bound of the baseline probability of a bad end
-  static constexpr double kFailedFloor = 0.05, kFailedIfPoison = 0.5;
+  // Deaths of kMinZoneFailures other runners of a zone within this span have a common cause.
+  static constexpr Time kZoneFailureWindow = 2 * kSecond;
+  static constexpr std::size_t kMinZoneFailures = 3;
+  static constexpr std::size_t kMaxEnds = 512, kMaxNearby = 32, kMaxRates = 4096, kMaxExplained = 4096;
+  static constexpr double kMinTries = 20;  // local tries; with fewer, there is no estimate for tier and class
+  static constexpr double kMinBadRate = 0.002;  // lower bound of the baseline probability of a bad end
+  static constexpr double kMinFailedRate = 0.05, kFailedIfPoison = 0.5;
 
   struct End {
     Fingerprint job;
@@ -36,18 +36,19 @@
   };
 
   void SetMembers(int members) { members_ = members < 1 ? 1 : members; }
-  void Ran(std::uint32_t runner, std::uint32_t job_class, Outcome what, Time now);  // a local run of any job
+  void RecordRun(std::uint32_t runner, std::uint32_t job_class, Outcome what,
+                 Time now);    // a local run of any job
   void Ended(const End& end);  // a bad end, seen locally or received from a peer
 
   // The log likelihood ratio for this end, in sixteenths; 0 if other jobs fared as badly.
-  std::uint8_t Weigh(const End& end, Time now) const;
+  std::uint8_t WeightOf(const End& end, Time now) const;
 
   // The newest ends of other jobs that were close to this one in place or time; they must be reweighed.
-  std::vector<End> Near(const End& end) const;
+  std::vector<End> NearbyEnds(const End& end) const;
 
   // Removes the ends caused by a poison job, so that they neither count against other jobs nor raise the
   // baseline in its favour.
-  void TakeBack(const Fingerprint& poison, const std::vector<Sign>& signs);
+  void Exonerate(const Fingerprint& poison, const std::vector<Sign>& signs);
 
  private:
   struct Rate {
@@ -56,7 +57,7 @@
   };
   static void Fade(Rate* rate, Time now);
   double Tries(const std::map<std::uint32_t, Rate>& of, std::uint32_t which, Time now) const;
-  Rate* In(std::map<std::uint32_t, Rate>* of, std::uint32_t which);
+  Rate* FindOrAddRate(std::map<std::uint32_t, Rate>* of, std::uint32_t which);
 
   int members_ = 1;
   // The poison job that ended a life, by runner and life.
--- a/src/quarantine/codec.cpp
+++ b/src/quarantine/codec.cpp
@@ -5,13 +5,13 @@
 namespace lichenlug {
 namespace {
 
-constexpr Time kLongestClaim = 60 * kSecond;  // of an attempt: no message may delay a job for longer
+constexpr Time kMaxClaim = 60 * kSecond;  // of an attempt: no message may delay a job for longer
 
 void Put(std::string* bytes, const Attempt& it, Time now) {
   PutNumber(bytes, it.epoch);
   PutNumber(bytes, static_cast<std::uint16_t>((it.home & 0x7fff) | (it.running ? 0x8000 : 0)));
   PutNumber(bytes, it.lost);
-  const Time left = std::clamp<Time>(it.until - now, 0, kLongestClaim) / (10 * kMillisecond);
+  const Time left = std::clamp<Time>(it.until - now, 0, kMaxClaim) / (10 * kMillisecond);
   PutNumber(bytes, static_cast<std::uint16_t>(left));
 }
 
@@ -22,7 +22,7 @@
   it.home = home & 0x7fff, it.running = (home & 0x8000) != 0;
   it.lost = in->Number<std::uint8_t>();
   const Time left = in->Number<std::uint16_t>() * (10 * kMillisecond);
-  if (left > 0) it.until = now + std::min(left, kLongestClaim);
+  if (left > 0) it.until = now + std::min(left, kMaxClaim);
   return it;
 }
 
@@ -91,11 +91,11 @@
     Decisions::Dot dot{.by = in.Number<std::uint32_t>(), .count = in.Number<std::uint16_t>()};
     const auto what = in.Number<std::uint8_t>();
     dot.until = in.Number<std::uint32_t>();
-    if (!in.good() || what > static_cast<int>(Decided::kDiscarded) || dot.count == 0) return std::nullopt;
-    dot.what = static_cast<Decided>(what);
+    if (!in.good() || what > static_cast<int>(Decision::kDiscarded) || dot.count == 0) return std::nullopt;
+    dot.what = static_cast<Decision>(what);
     it.decisions.Load(dot);
   }
-  if (!in.good() || in.left() > kMaxLine) return std::nullopt;
+  if (!in.good() || in.left() > kMaxDescription) return std::nullopt;
   it.line = in.Text(in.left());
   for (char& c : it.line)
     if (c < ' ' || c > '~') c = '?';
--- a/src/quarantine/decisions.cpp
+++ b/src/quarantine/decisions.cpp
@@ -3,21 +3,21 @@
 namespace lichenlug {
 namespace {
 
-bool Stands(const Decisions::Dot& dot, std::uint32_t now) {
-  const bool ends = dot.what == Decided::kDiscarded || dot.what == Decided::kPutBack;
-  return dot.what != Decided::kNothing && (!ends || now < dot.until);
+bool InEffect(const Decisions::Dot& dot, std::uint32_t now) {
+  const bool ends = dot.what == Decision::kDiscarded || dot.what == Decision::kTrialFailed;
+  return dot.what != Decision::kNothing && (!ends || now < dot.until);
 }
 
 }  // namespace
 
-bool Decisions::Decide(std::uint32_t by, Decided what, std::uint32_t until) {
+bool Decisions::Decide(std::uint32_t by, Decision what, std::uint32_t until) {
   auto own = std::ranges::lower_bound(dots_, by, {}, &Dot::by);
   if (own == dots_.end() || own->by != by) {
-    if (dots_.size() >= kMaxToDecide) return false;
+    if (dots_.size() >= kMaxWriters) return false;
     own = dots_.insert(own, Dot{.by = by});
   }
   if (own->count == UINT16_MAX) return false;
-  for (Dot& dot : dots_) dot.what = Decided::kNothing, dot.until = 0;
+  for (Dot& dot : dots_) dot.what = Decision::kNothing, dot.until = 0;
   own->count += 1, own->what = what, own->until = until;
   return true;
 }
@@ -33,16 +33,16 @@
       merged.push_back(*b++);
     } else {
       Dot both = a->count >= b->count ? *a : *b;
-      if (a->count == b->count && (a->what == Decided::kNothing || b->what == Decided::kNothing))
-        both.what = Decided::kNothing, both.until = 0;
+      if (a->count == b->count && (a->what == Decision::kNothing || b->what == Decision::kNothing))
+        both.what = Decision::kNothing, both.until = 0;
       merged.push_back(both);
       ++a, ++b;
     }
   }
   if (merged.size() > kMax) merged.erase(merged.begin(), merged.end() - kMax);
-  const bool news = merged != dots_;
+  const bool changed = merged != dots_;
   dots_ = std::move(merged);
-  return news;
+  return changed;
 }
 
 void Decisions::Load(const Dot& dot) {
@@ -53,7 +53,7 @@
 Decisions::Dot Decisions::Current(std::uint32_t now) const {
   Dot strongest;
   for (const Dot& dot : dots_)
-    if (Stands(dot, now) &&
+    if (InEffect(dot, now) &&
         (dot.what > strongest.what || (dot.what == strongest.what && dot.until > strongest.until)))
       strongest = dot;
   return strongest;
--- a/src/quarantine/decisions.h
+++ b/src/quarantine/decisions.h
@@ -15,24 +15,24 @@
 
 namespace lichenlug {
 
-enum class Decided : std::uint8_t { kNothing, kCleared, kReleased, kOnTrial, kPutBack, kDiscarded };
+enum class Decision : std::uint8_t { kNothing, kCleared, kReleased, kOnTrial, kTrialFailed, kDiscarded };
 
 class Decisions {
  public:
   // A writer is identified by a hash of a dispatcher and its life, so that a restarted dispatcher never
-  // reuses a dot. Merging may exceed kMaxToDecide up to kMax; beyond that the smallest writers are dropped.
-  static constexpr std::size_t kMaxToDecide = 8, kMax = 10;
+  // reuses a dot. Merging may exceed kMaxWriters up to kMax; beyond that the smallest writers are dropped.
+  static constexpr std::size_t kMaxWriters = 8, kMax = 10;
 
   struct Dot {
     std::uint32_t by = 0;
     std::uint16_t count = 0;
-    Decided what = Decided::kNothing;  // kNothing: replaced by a later decision
-    std::uint32_t until = 0;           // Unix seconds; for a discard or a failed trial
+    Decision what = Decision::kNothing;  // kNothing: replaced by a later decision
+    std::uint32_t until = 0;             // Unix seconds; for a discard or a failed trial
     bool operator==(const Dot&) const = default;
   };
 
   // Returns false without a change if too many writers have decided on this ticket.
-  bool Decide(std::uint32_t by, Decided what, std::uint32_t until);
+  bool Decide(std::uint32_t by, Decision what, std::uint32_t until);
   bool Merge(const Decisions& other);  // returns true if anything changed
   void Load(const Dot& dot);           // adds a decoded dot
 
--- a/src/quarantine/evidence.cpp
+++ b/src/quarantine/evidence.cpp
@@ -20,10 +20,10 @@
                     .what = std::max(at->what, sign.what),
                     .weight = std::min(at->weight, sign.weight),
                     .at = std::min(at->at, sign.at)};
-  const bool news = merged.what != at->what || merged.weight != at->weight || merged.zone != at->zone ||
-                    merged.runner_kind != at->runner_kind;
+  const bool changed = merged.what != at->what || merged.weight != at->weight || merged.zone != at->zone ||
+                       merged.runner_kind != at->runner_kind;
   *at = merged;
-  return news;
+  return changed;
 }
 
 bool Evidence::Lower(const Sign& place, std::uint8_t weight) {
@@ -34,9 +34,9 @@
 }
 
 bool Evidence::Merge(const Evidence& other) {
-  bool news = false;
-  for (const Sign& sign : other.signs_) news |= Add(sign);
-  return news;
+  bool changed = false;
+  for (const Sign& sign : other.signs_) changed |= Add(sign);
+  return changed;
 }
 
 double Evidence::Sum(Time now) const {
@@ -55,7 +55,7 @@
     } else if (sign.what == Outcome::kFailed) {
       kind.failed += weight;
     } else {
-      kind.lived += kLived * std::exp2(-age);
+      kind.lived += kSuccessWeight * std::exp2(-age);
     }
     before = &sign;
   }
--- a/src/quarantine/evidence.h
+++ b/src/quarantine/evidence.h
@@ -31,10 +31,12 @@
 inline constexpr double kBadIfPoison = 0.9;
 inline constexpr double kInnocent = 1e-5, kMissed = 0.01;
 inline const double kCondemnAt = std::log((1 - kMissed) / kInnocent);  // 11.5
-inline const double kSettledAt = std::log(kMissed / (1 - kInnocent));  // -4.6: no longer watched
-inline constexpr double kStrongAt = 4;         // from this value on, one run at a time in the whole tier
-inline constexpr double kMaxFailedWeight = 3;  // sum of all `failed` signs: never reaches kStrongAt by itself
-inline constexpr double kLived = 2.3;  // ln(1 / (1 - kBadIfPoison)): the amount that a success subtracts
+inline const double kClearedAt = std::log(kMissed / (1 - kInnocent));  // -4.6: no longer watched
+inline constexpr double kSuspectAt = 4;  // from this value on, one run at a time in the whole tier
+inline constexpr double kMaxFailedWeight =
+    3;  // sum of all `failed` signs: never reaches kSuspectAt by itself
+inline constexpr double kSuccessWeight =
+    2.3;  // ln(1 / (1 - kBadIfPoison)): the amount that a success subtracts
 inline constexpr Time kHalfLife = 1800 * kSecond;
 
 struct Sign {
--- a/src/quarantine/fingerprint.cpp
+++ b/src/quarantine/fingerprint.cpp
@@ -41,16 +41,16 @@
   return {hash.high64, hash.low64};
 }
 
-std::string LineOf(const JobParts& parts) {
+std::string DescriptionOf(const JobParts& parts) {
   std::string line;
   for (const std::string_view part :
        {parts.job_class, parts.method, parts.path_and_query.substr(0, parts.path_and_query.find('?')),
         parts.object}) {
     if (part.empty()) continue;
     if (!line.empty()) line += ' ';
-    line += part.substr(0, kMaxLine);
+    line += part.substr(0, kMaxDescription);
   }
-  line.resize(std::min(line.size(), kMaxLine));
+  line.resize(std::min(line.size(), kMaxDescription));
   for (char& c : line)
     if (c < ' ' || c > '~') c = '?';
   return line;
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -29,11 +29,11 @@
 // collide.
 Fingerprint FingerprintOf(const JobParts& parts);
 
-inline constexpr std::size_t kMaxLine = 64;  // bytes
+inline constexpr std::size_t kMaxDescription = 64;  // bytes
 
 // For example "publish POST /index object-17": class, method, path without its query (which may hold private
-// data), object. Bytes that aren't printable ASCII become '?'; at most kMaxLine bytes.
-std::string LineOf(const JobParts& parts);
+// data), object. Bytes that aren't printable ASCII become '?'; at most kMaxDescription bytes.
+std::string DescriptionOf(const JobParts& parts);
 
 std::uint64_t ShortHash(std::string_view text);
 
--- a/src/quarantine/gossip.cpp
+++ b/src/quarantine/gossip.cpp
@@ -7,24 +7,24 @@
 #include <bit>
 
 #include "quarantine/codec.h"
-#include "quarantine/gossip_words.h"
+#include "quarantine/gossip_messages.h"
 
 namespace lichenlug {
 
-using namespace gossip_words;
+using namespace gossip_messages;
 
 namespace {
 
 // Packs tickets into as few bodies as possible.
 class Packer {
  public:
-  explicit Packer(What what) : what_(what) {}
+  explicit Packer(MessageType type) : type_(type) {}
   // Returns false if the ticket would need more than `most` bodies.
   bool Add(const Fingerprint& job, const Ticket& ticket, Time now, int most) {
     const std::string record = Encode(job, ticket, now);
     if (bodies_.empty() || bodies_.back().size() + 1 + record.size() > PeerProtocol::kMaxBody) {
       if (static_cast<int>(bodies_.size()) >= most) return false;
-      bodies_.push_back(Head(what_));
+      bodies_.push_back(Head(type_));
     }
     PutNumber(&bodies_.back(), static_cast<std::uint8_t>(record.size()));
     bodies_.back() += record;
@@ -33,7 +33,7 @@
   const std::vector<std::string>& bodies() const { return bodies_; }
 
  private:
-  What what_;
+  MessageType type_;
   std::vector<std::string> bodies_;
 };
 
@@ -53,34 +53,34 @@
   std::erase(peers_, own);
 }
 
-int Gossip::Retold() const { return 1 + std::bit_width(peers_.size() + 1); }
+int Gossip::RoundsPerChange() const { return 1 + std::bit_width(peers_.size() + 1); }
 
 void Gossip::Changed(const Fingerprint& job, bool urgent) {
   if (peers_.empty()) return;  // checksum comparison finds it once there are peers
   if (const auto it = dirty_.find(job); it != dirty_.end()) {
-    it->second = Retold();
+    it->second = RoundsPerChange();
   } else if (dirty_.size() < kMaxDirty) {
-    dirty_[job] = Retold();
-    turns_.push_back(job);
+    dirty_[job] = RoundsPerChange();
+    send_order_.push_back(job);
   }
-  if (urgent && urgent_.size() < kMaxWaiting && std::ranges::find(urgent_, job) == urgent_.end())
+  if (urgent && urgent_.size() < kMaxPendingDecisions && std::ranges::find(urgent_, job) == urgent_.end())
     urgent_.push_back(job);
 }
 
 void Gossip::CountHolders(const Fingerprint& job, const Ticket& ticket, Time now) {
   const std::uint32_t digest = DigestOfDecisions(ticket.decisions);
-  if (const auto it = waiting_.find(job); it != waiting_.end() && it->second.decisions == digest) {
-    it->second.asks = 0;
+  if (const auto it = pending_.find(job); it != pending_.end() && it->second.decisions == digest) {
+    it->second.requests = 0;
     return;
   }
-  if (waiting_.size() >= kMaxWaiting && !waiting_.contains(job))
-    waiting_.erase(std::ranges::min_element(waiting_, {}, [](const auto& it) { return it.second.since; }));
-  waiting_[job] = {.decisions = digest, .holders = {}, .next = now, .since = now};
+  if (pending_.size() >= kMaxPendingDecisions && !pending_.contains(job))
+    pending_.erase(std::ranges::min_element(pending_, {}, [](const auto& it) { return it.second.since; }));
+  pending_[job] = {.decisions = digest, .holders = {}, .next = now, .since = now};
 }
 
 int Gossip::Holders(const Fingerprint& job, const Ticket& ticket) const {
-  const auto it = waiting_.find(job);
-  if (it == waiting_.end() || it->second.decisions != DigestOfDecisions(ticket.decisions)) return 1;
+  const auto it = pending_.find(job);
+  if (it == pending_.end() || it->second.decisions != DigestOfDecisions(ticket.decisions)) return 1;
   return 1 + static_cast<int>(it->second.holders.size());
 }
 
@@ -88,13 +88,13 @@
   if (peers_.empty()) return 0;
   if (!urgent_.empty() || !answers_.empty()) return now;
   Time due = next_compare_;
-  if (!dirty_.empty() || !lacking_.empty()) due = std::min(due, next_round_);
-  for (const auto& [job, it] : waiting_)
-    if (it.asks < kMaxAsks) due = std::min(due, it.next);
+  if (!dirty_.empty() || !missing_.empty()) due = std::min(due, next_round_);
+  for (const auto& [job, it] : pending_)
+    if (it.requests < kMaxRequests) due = std::min(due, it.next);
   return std::max<Time>(due, 1);
 }
 
-std::vector<int> Gossip::Draw(int count) {
+std::vector<int> Gossip::RandomPeers(int count) {
   std::vector<int> drawn;
   const int most = std::min<int>(count, static_cast<int>(peers_.size()));
   while (static_cast<int>(drawn.size()) < most) {
@@ -105,24 +105,24 @@
 }
 
 std::vector<PeerProtocol::Datagram> Gossip::MakeDatagrams(const Table& table, Time now) {
-  std::vector<PeerProtocol::Datagram> words = std::move(answers_);
+  std::vector<PeerProtocol::Datagram> datagrams = std::move(answers_);
   answers_.clear();
-  if (peers_.empty()) return words;
-  TellToAll(table, now, &words);
-  if (now >= next_round_ && (!dirty_.empty() || !lacking_.empty())) {
+  if (peers_.empty()) return datagrams;
+  SendUrgent(table, now, &datagrams);
+  if (now >= next_round_ && (!dirty_.empty() || !missing_.empty())) {
     next_round_ = now + kRound;
-    TellRound(table, now, &words);
-    TellLacking(table, now, &words);
+    SendRound(table, now, &datagrams);
+    SendMissing(table, now, &datagrams);
   }
-  AskHolders(table, now, &words);
-  if (now >= next_compare_) Compare(table, now, &words);
-  return words;
+  SendToHolders(table, now, &datagrams);
+  if (now >= next_compare_) SendChecksums(table, now, &datagrams);
+  return datagrams;
 }
 
-void Gossip::TellToAll(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
+void Gossip::SendUrgent(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams) {
   if (budget_at_ != 0)
-    budget_ = std::min(kToAllBytesAtMost,
-                       budget_ + kToAllBytesASecond * static_cast<double>(now - budget_at_) / kSecond);
+    budget_ = std::min(kMaxBroadcastBytes,
+                       budget_ + kBroadcastBytesPerSecond * static_cast<double>(now - budget_at_) / kSecond);
   budget_at_ = now;
   Packer packer(kTickets);
   for (const Fingerprint& job : urgent_)
@@ -132,65 +132,66 @@
     const double cost = static_cast<double>(body.size() * peers_.size());
     if (cost > budget_) break;
     budget_ -= cost;
-    words->push_back({PeerProtocol::kAll, body});
+    datagrams->push_back({PeerProtocol::kAll, body});
   }
 }
 
-void Gossip::TellRound(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
+void Gossip::SendRound(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams) {
   Packer packer(kTickets);
-  for (std::size_t turns = turns_.size(); turns > 0; --turns) {
-    const Fingerprint job = turns_.front();
+  for (std::size_t turns = send_order_.size(); turns > 0; --turns) {
+    const Fingerprint job = send_order_.front();
     const Ticket* ticket = table.Find(job);
     if (ticket != nullptr && !packer.Add(job, *ticket, now, kMaxBodies)) break;
-    turns_.pop_front();
+    send_order_.pop_front();
     const auto it = dirty_.find(job);
     if (ticket == nullptr || --it->second <= 0)
       dirty_.erase(it);
     else
-      turns_.push_back(job);
+      send_order_.push_back(job);
   }
-  for (const int peer : Draw(kPeersARound))
-    for (const std::string& body : packer.bodies()) words->push_back({peer, body});
+  for (const int peer : RandomPeers(kPeersPerRound))
+    for (const std::string& body : packer.bodies()) datagrams->push_back({peer, body});
 }
 
-void Gossip::TellLacking(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
-  if (lacking_.empty()) return;
-  const int peer = lacking_.front().first;
+void Gossip::SendMissing(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams) {
+  if (missing_.empty()) return;
+  const int peer = missing_.front().first;
   Packer packer(kTickets);
-  while (!lacking_.empty() && lacking_.front().first == peer) {
-    const Ticket* ticket = table.Find(lacking_.front().second);
-    if (ticket != nullptr && !packer.Add(lacking_.front().second, *ticket, now, kMaxBodies)) break;
-    lacking_.pop_front();
+  while (!missing_.empty() && missing_.front().first == peer) {
+    const Ticket* ticket = table.Find(missing_.front().second);
+    if (ticket != nullptr && !packer.Add(missing_.front().second, *ticket, now, kMaxBodies)) break;
+    missing_.pop_front();
   }
-  for (const std::string& body : packer.bodies()) words->push_back({peer, body});
+  for (const std::string& body : packer.bodies()) datagrams->push_back({peer, body});
 }
 
-void Gossip::AskHolders(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
-  for (auto& [job, it] : waiting_) {
-    if (it.asks >= kMaxAsks || now < it.next) continue;
+void Gossip::SendToHolders(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams) {
+  for (auto& [job, it] : pending_) {
+    if (it.requests >= kMaxRequests || now < it.next) continue;
     const Ticket* ticket = table.Find(job);
-    it.next = now + 2 * kRound, it.asks += 1;
+    it.next = now + 2 * kRound, it.requests += 1;
     if (ticket == nullptr || DigestOfDecisions(ticket->decisions) != it.decisions) {
-      it.asks = kMaxAsks;
+      it.requests = kMaxRequests;
       continue;
     }
-    if (static_cast<int>(it.holders.size()) >= std::min<int>(kAskedAtOnce, static_cast<int>(peers_.size()))) {
-      it.asks = kMaxAsks;
+    if (static_cast<int>(it.holders.size()) >=
+        std::min<int>(kHoldersPerRequest, static_cast<int>(peers_.size()))) {
+      it.requests = kMaxRequests;
       continue;
     }
-    Packer packer(kTicketsWanted);
+    Packer packer(kTicketsToAcknowledge);
     packer.Add(job, *ticket, now, 1);
-    for (const int peer : Draw(kAskedAtOnce))
-      if (!it.holders.contains(peer)) words->push_back({peer, packer.bodies().front()});
+    for (const int peer : RandomPeers(kHoldersPerRequest))
+      if (!it.holders.contains(peer)) datagrams->push_back({peer, packer.bodies().front()});
   }
 }
 
-void Gossip::Compare(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words) {
-  next_compare_ = now + (fresh_compares_ > 0 ? kCompareFresh : kCompare);
-  fresh_compares_ = std::max(fresh_compares_ - 1, 0);
-  std::string body = Head(kSums);
-  for (int group = 0; group < Table::kGroups; ++group) PutNumber(&body, table.GroupSum(group));
-  for (const int peer : Draw(1)) words->push_back({peer, body});
+void Gossip::SendChecksums(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams) {
+  next_compare_ = now + (fast_compares_ > 0 ? kFastCompare : kCompare);
+  fast_compares_ = std::max(fast_compares_ - 1, 0);
+  std::string body = Head(kChecksums);
+  for (int group = 0; group < Table::kGroups; ++group) PutNumber(&body, table.GroupChecksum(group));
+  for (const int peer : RandomPeers(1)) datagrams->push_back({peer, body});
 }
 
 }  // namespace lichenlug
--- a/src/quarantine/gossip.h
+++ b/src/quarantine/gossip.h
@@ -28,16 +28,17 @@
 class Gossip {
  public:
   static constexpr Time kRound = 100 * kMillisecond, kCompare = 2 * kSecond,
-                        kCompareFresh = 200 * kMillisecond;
-  static constexpr int kPeersARound = 2, kMaxBodies = 2;
-  static constexpr int kAskedAtOnce = 8, kMaxAsks = 20;
-  static constexpr std::size_t kMaxDirty = 4096, kMaxLacking = 256, kMaxWaiting = 64, kMaxAnswers = 32;
-  static constexpr double kToAllBytesASecond = 4000, kToAllBytesAtMost = 400000;
+                        kFastCompare = 200 * kMillisecond;
+  static constexpr int kPeersPerRound = 2, kMaxBodies = 2;
+  static constexpr int kHoldersPerRequest = 8, kMaxRequests = 20;
+  static constexpr std::size_t kMaxDirty = 4096, kMaxMissing = 256, kMaxPendingDecisions = 64,
+                               kMaxAnswers = 32;
+  static constexpr double kBroadcastBytesPerSecond = 4000, kMaxBroadcastBytes = 400000;
 
-  struct Heard {
+  struct ReceivedTicket {
     Fingerprint job;
     Ticket ticket;
-    bool wanted = false;  // the sender requested an acknowledgement
+    bool acknowledge = false;  // the sender requested an acknowledgement
   };
 
   explicit Gossip(std::uint64_t seed) : random_(seed) {}
@@ -51,49 +52,50 @@
 
   Time DueAt(Time now) const;
   std::vector<PeerProtocol::Datagram> MakeDatagrams(const Table& table, Time now);
-  // Returns false if the message is malformed. The caller merges the returned tickets and calls Arrived for
-  // each merged one that is `wanted`.
+  // Returns false if the message is malformed. The caller merges the returned tickets and calls Acknowledge
+  // for each merged one that is `wanted`.
   bool HandleMessage(int peer, std::string_view body, const Table& table, Time now,
-                     std::vector<Heard>* tickets);
-  void Arrived(int peer, const Fingerprint& job, const Decisions& heard);
+                     std::vector<ReceivedTicket>* tickets);
+  void Acknowledge(int peer, const Fingerprint& job, const Decisions& received);
 
   static std::uint32_t DigestOfDecisions(const Decisions& decisions);
 
  private:
-  struct Waiting {
+  struct PendingDecision {
     std::uint32_t decisions = 0;
     std::set<int> holders;
-    int asks = 0;
+    int requests = 0;
     Time next = 0, since = 0;
   };
 
-  int Retold() const;
-  std::vector<int> Draw(int count);
-  void TellToAll(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
-  void TellRound(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
-  void TellLacking(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
-  void AskHolders(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
-  void Compare(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* words);
-  bool HearTickets(std::string_view body, bool wanted, Time now, std::vector<Heard>* tickets) const;
-  void Answer(int peer, std::string body);
-  void Send(int peer, int leaf, const Table& table);
-  bool HearArrived(int peer, std::string_view body);
-  bool HearSums(int peer, std::string_view body, const Table& table);
-  bool HearGroup(int peer, std::string_view body, const Table& table);
-  bool HearAsked(int peer, std::string_view body, const Table& table);
+  int RoundsPerChange() const;
+  std::vector<int> RandomPeers(int count);
+  void SendUrgent(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams);
+  void SendRound(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams);
+  void SendMissing(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams);
+  void SendToHolders(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams);
+  void SendChecksums(const Table& table, Time now, std::vector<PeerProtocol::Datagram>* datagrams);
+  bool HandleTickets(std::string_view body, bool acknowledge, Time now,
+                     std::vector<ReceivedTicket>* tickets) const;
+  void QueueAnswer(int peer, std::string body);
+  void QueueLeaf(int peer, int leaf, const Table& table);
+  bool HandleAcknowledgement(int peer, std::string_view body);
+  bool HandleChecksums(int peer, std::string_view body, const Table& table);
+  bool HandleGroup(int peer, std::string_view body, const Table& table);
+  bool HandleLeafRequest(int peer, std::string_view body, const Table& table);
 
   pcg32 random_;
   int own_ = 0;
   std::vector<int> peers_;
-  std::map<Fingerprint, int> dirty_;  // rounds left
-  std::deque<Fingerprint> turns_;     // send order of dirty_
+  std::map<Fingerprint, int> dirty_;    // rounds left
+  std::deque<Fingerprint> send_order_;  // send order of dirty_
   std::deque<Fingerprint> urgent_;
-  std::deque<std::pair<int, Fingerprint>> lacking_;  // by the peer that lacks it
-  std::map<Fingerprint, Waiting> waiting_;
+  std::deque<std::pair<int, Fingerprint>> missing_;  // by the peer that lacks it
+  std::map<Fingerprint, PendingDecision> pending_;
   std::vector<PeerProtocol::Datagram> answers_;
   Time next_round_ = 0, next_compare_ = 0, budget_at_ = 0;
-  double budget_ = kToAllBytesAtMost;
-  int fresh_compares_ = 50;  // fast comparisons left after a start
+  double budget_ = kMaxBroadcastBytes;
+  int fast_compares_ = 50;  // fast comparisons left after a start
 };
 
 }  // namespace lichenlug
--- a/src/quarantine/gossip_hear.cpp
+++ b/src/quarantine/gossip_hear.cpp
@@ -3,11 +3,11 @@
 
 #include "quarantine/codec.h"
 #include "quarantine/gossip.h"
-#include "quarantine/gossip_words.h"
+#include "quarantine/gossip_messages.h"
 
 namespace lichenlug {
 
-using namespace gossip_words;
+using namespace gossip_messages;
 
 namespace {
 
@@ -15,42 +15,43 @@
 
 }  // namespace
 
-void Gossip::Answer(int peer, std::string body) {
+void Gossip::QueueAnswer(int peer, std::string body) {
   if (answers_.size() < kMaxAnswers) answers_.push_back({peer, std::move(body)});
 }
 
-void Gossip::Arrived(int peer, const Fingerprint& job, const Decisions& heard) {
-  std::string body = Head(kArrived);
+void Gossip::Acknowledge(int peer, const Fingerprint& job, const Decisions& received) {
+  std::string body = Head(kAcknowledgement);
   PutNumber(&body, job.high), PutNumber(&body, job.low);
-  PutNumber(&body, DigestOfDecisions(heard));
-  Answer(peer, std::move(body));
+  PutNumber(&body, DigestOfDecisions(received));
+  QueueAnswer(peer, std::move(body));
 }
 
 bool Gossip::HandleMessage(int peer, std::string_view body, const Table& table, Time now,
-                           std::vector<Heard>* tickets) {
+                           std::vector<ReceivedTicket>* tickets) {
   if (body.empty() || body.size() > PeerProtocol::kMaxBody + 1) return false;
   const auto head = static_cast<std::uint8_t>(body[0]);
   if (head >> 4 != kFormat) return false;
   body.remove_prefix(1);
   switch (head & 0xf) {
     case kTickets:
-      return HearTickets(body, false, now, tickets);
-    case kTicketsWanted:
-      return HearTickets(body, true, now, tickets);
-    case kArrived:
-      return HearArrived(peer, body);
-    case kSums:
-      return HearSums(peer, body, table);
+      return HandleTickets(body, false, now, tickets);
+    case kTicketsToAcknowledge:
+      return HandleTickets(body, true, now, tickets);
+    case kAcknowledgement:
+      return HandleAcknowledgement(peer, body);
+    case kChecksums:
+      return HandleChecksums(peer, body, table);
     case kGroup:
-      return HearGroup(peer, body, table);
-    case kAsked:
-      return HearAsked(peer, body, table);
+      return HandleGroup(peer, body, table);
+    case kLeafRequest:
+      return HandleLeafRequest(peer, body, table);
     default:
       return false;
   }
 }
 
-bool Gossip::HearTickets(std::string_view body, bool wanted, Time now, std::vector<Heard>* tickets) const {
+bool Gossip::HandleTickets(std::string_view body, bool acknowledge, Time now,
+                           std::vector<ReceivedTicket>* tickets) const {
   ByteReader in(body);
   while (in.left() > 0) {
     const auto size = in.Number<std::uint8_t>();
@@ -60,44 +61,44 @@
       tickets->clear();
       return false;
     }
-    tickets->push_back({record->first, record->second, wanted});
+    tickets->push_back({record->first, record->second, acknowledge});
   }
   return !tickets->empty();
 }
 
-bool Gossip::HearArrived(int peer, std::string_view body) {
+bool Gossip::HandleAcknowledgement(int peer, std::string_view body) {
   ByteReader in(body);
   Fingerprint job;
   job.high = in.Number<std::uint64_t>(), job.low = in.Number<std::uint64_t>();
   const auto decisions = in.Number<std::uint32_t>();
   if (!in.good() || in.left() > 1) return false;
-  const auto it = waiting_.find(job);
-  if (it != waiting_.end() && it->second.decisions == decisions &&
+  const auto it = pending_.find(job);
+  if (it != pending_.end() && it->second.decisions == decisions &&
       std::ranges::find(peers_, peer) != peers_.end())
     it->second.holders.insert(peer);
   return true;
 }
 
-bool Gossip::HearSums(int peer, std::string_view body, const Table& table) {
+bool Gossip::HandleChecksums(int peer, std::string_view body, const Table& table) {
   if (body.size() < 4 * Table::kGroups || body.size() > 4 * Table::kGroups + 1) return false;
   ByteReader in(body);
   std::vector<int> unlike;
   for (int group = 0; group < Table::kGroups; ++group)
-    if (in.Number<std::uint32_t>() != table.GroupSum(group)) unlike.push_back(group);
-  if (unlike.empty()) fresh_compares_ = 0;
+    if (in.Number<std::uint32_t>() != table.GroupChecksum(group)) unlike.push_back(group);
+  if (unlike.empty()) fast_compares_ = 0;
   const auto first = unlike.empty() ? 0 : random_(static_cast<std::uint32_t>(unlike.size()));
   for (std::size_t i = 0; i < std::min<std::size_t>(unlike.size(), kMaxGroupsAnswered); ++i) {
     const int group = unlike[(first + i) % unlike.size()];
     std::string answer = Head(kGroup);
     PutNumber(&answer, static_cast<std::uint8_t>(group));
     for (int leaf = 0; leaf < Table::kLeavesOfGroup; ++leaf)
-      PutNumber(&answer, table.LeafSum(group * Table::kLeavesOfGroup + leaf));
-    Answer(peer, std::move(answer));
+      PutNumber(&answer, table.LeafChecksum(group * Table::kLeavesOfGroup + leaf));
+    QueueAnswer(peer, std::move(answer));
   }
   return true;
 }
 
-bool Gossip::HearGroup(int peer, std::string_view body, const Table& table) {
+bool Gossip::HandleGroup(int peer, std::string_view body, const Table& table) {
   if (body.size() < 1 + 4 * Table::kLeavesOfGroup || body.size() > 2 + 4 * Table::kLeavesOfGroup)
     return false;
   ByteReader in(body);
@@ -108,19 +109,19 @@
   for (int i = 0; i < Table::kLeavesOfGroup; ++i) {
     const int leaf = group * Table::kLeavesOfGroup + i;
     const auto sum = in.Number<std::uint32_t>();
-    if (sum == table.LeafSum(leaf) || count >= kMaxLeavesRequested) continue;
-    Send(peer, leaf, table);
+    if (sum == table.LeafChecksum(leaf) || count >= kMaxLeavesRequested) continue;
+    QueueLeaf(peer, leaf, table);
     PutNumber(&asked, static_cast<std::uint16_t>(leaf));
     ++count;
   }
   if (count == 0) return true;
-  std::string answer = Head(kAsked);
+  std::string answer = Head(kLeafRequest);
   PutNumber(&answer, static_cast<std::uint8_t>(count));
-  Answer(peer, answer + asked);
+  QueueAnswer(peer, answer + asked);
   return true;
 }
 
-bool Gossip::HearAsked(int peer, std::string_view body, const Table& table) {
+bool Gossip::HandleLeafRequest(int peer, std::string_view body, const Table& table) {
   ByteReader in(body);
   const int count = in.Number<std::uint8_t>();
   if (count == 0 || count > kMaxLeavesRequested || in.left() < 2u * static_cast<unsigned>(count))
@@ -130,14 +131,14 @@
   if (in.left() > 1) return false;
   for (const int leaf : leaves)
     if (leaf >= Table::kGroups * Table::kLeavesOfGroup) return false;
-  for (const int leaf : leaves) Send(peer, leaf, table);
+  for (const int leaf : leaves) QueueLeaf(peer, leaf, table);
   return true;
 }
 
-void Gossip::Send(int peer, int leaf, const Table& table) {
+void Gossip::QueueLeaf(int peer, int leaf, const Table& table) {
   for (auto it = table.all().lower_bound(Table::FirstOf(leaf));
-       it != table.all().end() && Table::LeafOf(it->first) == leaf && lacking_.size() < kMaxLacking; ++it)
-    lacking_.emplace_back(peer, it->first);
+       it != table.all().end() && Table::LeafOf(it->first) == leaf && missing_.size() < kMaxMissing; ++it)
+    missing_.emplace_back(peer, it->first);
 }
 
 }  // namespace lichenlug
--- a/src/quarantine/homes.cpp
+++ b/src/quarantine/homes.cpp
@@ -7,9 +7,9 @@
 
 namespace lichenlug {
 
-void Homes::Notice(bool at_stake, Time now) {
-  if (called_ != 0 && now - called_ > kAsleep) settled_ = now + kSettle;
-  called_ = at_stake ? now : 0;
+void Homes::RecordCall(bool at_stake, Time now) {
+  if (last_call_ != 0 && now - last_call_ > kPauseDetected) recovered_at_ = now + kPauseRecovery;
+  last_call_ = at_stake ? now : 0;
 }
 
 bool Homes::SetView(const TierView& view, Time now) {
@@ -35,7 +35,7 @@
   return home;
 }
 
-void Homes::Place(const Fingerprint& job, Ticket* ticket, Time now) const {
+void Homes::SetHome(const Fingerprint& job, Ticket* ticket, Time now) const {
   const int home = HomeOf(job);
   if (ticket->home == home) return;
   ticket->home_since = ticket->home < 0 ? changed_ : now;
@@ -43,7 +43,7 @@
 }
 
 bool Homes::MayAct(const Ticket& ticket, Time now) const {
-  return ticket.home == own_ && now - ticket.home_since >= kTake && now >= settled_;
+  return ticket.home == own_ && now - ticket.home_since >= kTakeover && now >= recovered_at_;
 }
 
 }  // namespace lichenlug
--- a/src/quarantine/pages.cpp
+++ b/src/quarantine/pages.cpp
@@ -9,11 +9,11 @@
 using nlohmann::json;
 using What = Quarantine::Owned::What;
 
-OwnersAnswer Problem(int status, const char* type, const char* detail) {
+OwnerResponse Problem(int status, const char* type, const char* detail) {
   return {status, json{{"type", type}, {"detail", detail}}.dump()};
 }
 
-OwnersAnswer Of(const Quarantine::Owned& owned, const Fingerprint& job) {
+OwnerResponse ToAnswer(const Quarantine::Owned& owned, const Fingerprint& job) {
   switch (owned.what) {
     case What::kDone:
       return {200, json{{"ticket", job.Ticket()},
@@ -25,7 +25,7 @@
       return Problem(404, "not-found", "this tenant has no such ticket");
     case What::kNotHeld:
       return Problem(409, "not-held", "the job is not held; submit it again");
-    case What::kTooManyDeciders:
+    case What::kTooManyWriters:
       return Problem(
           409, "too-many-deciders",
           "too many dispatchers have decided on this ticket; use one that has decided on it before");
@@ -43,22 +43,22 @@
            {"failed_trials", ticket.failed_trials},
            {"evidence", std::round(ticket.evidence.Sum(now) * 10) / 10}};
   const Decisions::Dot status = ticket.decisions.Current(UnixSeconds(now));
-  if (const std::uint32_t until = status.what == Decided::kDiscarded ? status.until : ticket.condemned_until)
+  if (const std::uint32_t until = status.what == Decision::kDiscarded ? status.until : ticket.condemned_until)
     row["until"] = until;
   return row;
 }
 
 }  // namespace
 
-OwnersAnswer ListPage(const Quarantine& quarantine, std::string_view tenant, std::string_view after, int most,
-                      Time now) {
+OwnerResponse ListPage(const Quarantine& quarantine, std::string_view tenant, std::string_view after,
+                       int most, Time now) {
   Fingerprint from;
   if (!after.empty()) {
     const auto parsed = Fingerprint::Parse(after);
     if (!parsed) return Problem(400, "bad-ticket", "after must be 32 hexadecimal digits");
     from = *parsed;
   }
-  most = std::clamp(most, 1, kMaxOnPage);
+  most = std::clamp(most, 1, kMaxPerPage);
   const auto found = quarantine.List(ShortHash(tenant), from, most + 1);
   json page{{"tickets", json::array()}};
   for (std::size_t i = 0; i < std::min<std::size_t>(found.size(), static_cast<std::size_t>(most)); ++i)
@@ -68,24 +68,25 @@
   return {200, page.dump()};
 }
 
-OwnersAnswer ReleasePage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, Time now) {
+OwnerResponse ReleasePage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket,
+                          Time now) {
   const auto job = Fingerprint::Parse(ticket);
-  if (!job) return Of({.what = What::kNotFound}, {});
-  return Of(quarantine->Release(ShortHash(tenant), *job, now), *job);
+  if (!job) return ToAnswer({.what = What::kNotFound}, {});
+  return ToAnswer(quarantine->Release(ShortHash(tenant), *job, now), *job);
 }
 
-OwnersAnswer DiscardPage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, int days,
-                         Time now) {
+OwnerResponse DiscardPage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, int days,
+                          Time now) {
   const auto job = Fingerprint::Parse(ticket);
-  if (!job) return Of({.what = What::kNotFound}, {});
-  if (days < 1 || days > 30) return Of({.what = What::kBadEnd}, {});
+  if (!job) return ToAnswer({.what = What::kNotFound}, {});
+  if (days < 1 || days > 30) return ToAnswer({.what = What::kBadEnd}, {});
   // Ends with a UTC day, so that a repeated request is the same decision.
   const std::uint32_t day = 24 * 3600;
   const std::uint32_t until = (UnixSeconds(now) / day + static_cast<std::uint32_t>(days)) * day;
-  return Of(quarantine->Discard(ShortHash(tenant), *job, until, now), *job);
+  return ToAnswer(quarantine->Discard(ShortHash(tenant), *job, until, now), *job);
 }
 
-OwnersAnswer HeldAnswer(const Fingerprint& job, const Quarantine::Verdict& verdict) {
+OwnerResponse HeldResponse(const Fingerprint& job, const Quarantine::Verdict& verdict) {
   const bool discarded = verdict.what == Quarantine::Verdict::What::kDiscarded;
   const std::string path = "/-/quarantine/" + job.Ticket();
   json answer{{"type", discarded ? "job-discarded" : "job-quarantined"},
--- a/src/quarantine/pages.h
+++ b/src/quarantine/pages.h
@@ -15,20 +15,20 @@
 
 namespace lichenlug {
 
-struct OwnersAnswer {
+struct OwnerResponse {
   int status = 200;
   std::string json;
 };
 
-inline constexpr int kMaxOnPage = 100;
+inline constexpr int kMaxPerPage = 100;
 
-OwnersAnswer ListPage(const Quarantine& quarantine, std::string_view tenant, std::string_view after, int most,
-                      Time now);
-OwnersAnswer ReleasePage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, Time now);
-OwnersAnswer DiscardPage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, int days,
-                         Time now);
+OwnerResponse ListPage(const Quarantine& quarantine, std::string_view tenant, std::string_view after,
+                       int most, Time now);
+OwnerResponse ReleasePage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, Time now);
+OwnerResponse DiscardPage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, int days,
+                          Time now);
 
 // The final answer to a held job: its type, its ticket, and its owner's options.
-OwnersAnswer HeldAnswer(const Fingerprint& job, const Quarantine::Verdict& verdict);
+OwnerResponse HeldResponse(const Fingerprint& job, const Quarantine::Verdict& verdict);
 
 }  // namespace lichenlug
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -8,7 +8,7 @@
 // Without this, client retries and other dispatchers would send such a job from runner to runner. From the
 // first strong sign on, the whole tier runs the job one at a time, started by its home (homes.h) under a
 // claim that the home renews; the other dispatchers refuse it immediately. After kMaxStrikes lost runners
-// without a verdict it pauses (kRest). A job condemned by evidence.h gets a final answer until the
+// without a verdict it pauses (kStrikePause). A job condemned by evidence.h gets a final answer until the
 // owner releases it (for one trial) or the stated end.
 #pragma once
 
@@ -46,12 +46,12 @@
  public:
   static constexpr int kMaxStrikes = 3;
   // Pause before the next run after kMaxStrikes; doubles with each further strike.
-  static constexpr Time kRest = 60 * kSecond;
+  static constexpr Time kStrikePause = 60 * kSecond;
   static constexpr Time kClaim = 10 * kSecond, kRenew = 3 * kSecond;
   // Seconds that a quarantine lasts without a decision by the owner.
-  static constexpr std::uint32_t kHold = 24 * 3600;
-  static constexpr std::uint32_t kLongestDiscard = 30 * 24 * 3600;
-  static constexpr std::size_t kMaxFlights = 65536, kMaxNews = 256;
+  static constexpr std::uint32_t kQuarantineSeconds = 24 * 3600;
+  static constexpr std::uint32_t kMaxDiscardSeconds = 30 * 24 * 3600;
+  static constexpr std::size_t kMaxRunning = 65536, kMaxQueued = 256;
 
   struct Settings {
     std::size_t most = 10000, max_per_tenant = 1000;  // tickets
@@ -88,8 +88,8 @@
   };
 
   struct Counters {
-    std::uint64_t later = 0, refused = 0, condemned = 0, malformed = 0, no_room = 0, trials = 0,
-                  news_dropped = 0;
+    std::uint64_t deferred = 0, refused = 0, condemned = 0, malformed = 0, table_full = 0, trials = 0,
+                  reports_dropped = 0;
   };
 
   struct Owned {
@@ -97,7 +97,7 @@
       kDone,
       kNotFound,
       kNotHeld,
-      kTooManyDeciders,
+      kTooManyWriters,
       kBadEnd
     } what = What::kDone;
     State state = State::kWatched;
@@ -130,7 +130,9 @@
 
   const Table& table() const { return table_; }
   // Merges a ticket from a snapshot.
-  void Restore(const Fingerprint& job, const Ticket& ticket, Time now) { (void)Learn(job, ticket, now); }
+  void Restore(const Fingerprint& job, const Ticket& ticket, Time now) {
+    (void)MergeTicket(job, ticket, now);
+  }
   const Counters& counters() const { return counters_; }
   int members() const { return homes_.members(); }
 
@@ -140,29 +142,30 @@
     bool trial = false;
     Time renew_at = 0;
   };
-  struct Seen {  // a bad end seen locally, for TakenBack
+  struct LocalEnd {  // a bad end seen locally, for TakenBack
     std::string runner;
     std::uint32_t runner_hash = 0, job_class = 0;
   };
-  static constexpr std::size_t kMaxSeen = 4, kMaxSeenJobs = 4096;
+  static constexpr std::size_t kMaxLocalEnds = 4, kMaxLocalEndJobs = 4096;
 
-  void Notice(Time now) { homes_.Notice(!at_stake_.empty(), now); }
+  void RecordCall(Time now) { homes_.RecordCall(!at_stake_.empty(), now); }
   bool MayBegin(const Fingerprint& job, const Ticket& ticket, Time now) const;
-  Time RestsUntil(const Ticket& ticket) const;
-  Verdict Begin(const Fingerprint& job, Ticket* ticket, State state, Time now);
+  Time PausedUntil(const Ticket& ticket) const;
+  Verdict StartRun(const Fingerprint& job, Ticket* ticket, State state, Time now);
   void EndClaim(const Fingerprint& job, Ticket* ticket, Outcome outcome, Time now);
   void Remember(const Job& job, const Runner& runner, std::uint32_t runner_hash);
   void AddSign(const Fingerprint& job, Ticket* ticket, const Sign& sign, Time now);
-  void Compare(const Background::End& end, Time now);  // for a new bad end: reweighs the ends near it
-  bool Learn(const Fingerprint& job, const Ticket& heard, Time now);  // false if the ticket was rejected
+  void AddBadEnd(const Background::End& end, Time now);  // for a new bad end: reweighs the ends near it
+  bool MergeTicket(const Fingerprint& job, const Ticket& received,
+                   Time now);  // false if the ticket was rejected
   // Call after each change of a ticket: condemns it if needed, updates its checksum and gossips it.
-  void Settle(const Fingerprint& job, Ticket* ticket, State before, bool was_condemned, bool urgent,
-              Time now);
-  void Condemned(const Fingerprint& job, const Ticket& ticket, Time now);
-  void MindClaims(Time now);
-  void PutBack(Ticket* ticket, Time now);
-  Owned Answer(const Fingerprint& job, const Ticket& ticket, Owned::What what, Time now) const;
-  Owned Take(const Fingerprint& job, Ticket* ticket, Decided what, std::uint32_t until, Time now);
+  void ApplyChange(const Fingerprint& job, Ticket* ticket, State before, bool was_condemned, bool urgent,
+                   Time now);
+  void OnCondemned(const Fingerprint& job, const Ticket& ticket, Time now);
+  void MaintainClaims(Time now);
+  void RecordFailedTrial(Ticket* ticket, Time now);
+  Owned MakeAnswer(const Fingerprint& job, const Ticket& ticket, Owned::What what, Time now) const;
+  Owned RecordDecision(const Fingerprint& job, Ticket* ticket, Decision what, std::uint32_t until, Time now);
 
   const int own_;
   const std::uint32_t by_;  // writer of decisions taken here
@@ -170,9 +173,9 @@
   Background background_;
   Homes homes_;
   Gossip gossip_;
-  std::map<Fingerprint, int> flights_;
+  std::map<Fingerprint, int> running_;
   std::map<Fingerprint, Claim> claims_;
-  std::map<Fingerprint, std::vector<Seen>> seen_;
+  std::map<Fingerprint, std::vector<LocalEnd>> local_ends_;
   std::set<Fingerprint> at_stake_;  // suspected, released, on trial: run one at a time
   std::vector<TakenBack> taken_back_;
   std::vector<Change> changes_;
--- a/src/quarantine/quarantine_shared.cpp
+++ b/src/quarantine/quarantine_shared.cpp
@@ -7,26 +7,26 @@
 namespace {
 
 // Tolerated clock difference in seconds: tickets held longer than the limits plus this are rejected.
-constexpr std::uint32_t kClocksApart = 3600;
+constexpr std::uint32_t kClockToleranceSeconds = 3600;
 
 }  // namespace
 
 Time Quarantine::DueAt() const {
   const Time gossip = gossip_.DueAt(std::max<Time>(now_, 1));
   if (at_stake_.empty()) return gossip;
-  const Time pulse = now_ + Homes::kPulse;
+  const Time pulse = now_ + Homes::kCallPeriod;
   return gossip == 0 ? pulse : std::min(gossip, pulse);
 }
 
 std::vector<PeerProtocol::Datagram> Quarantine::MakeDatagrams(Time now) {
   now_ = now;
-  Notice(now);
-  MindClaims(now);
+  RecordCall(now);
+  MaintainClaims(now);
   table_.Sweep(now);
   return gossip_.MakeDatagrams(table_, now);
 }
 
-void Quarantine::MindClaims(Time now) {
+void Quarantine::MaintainClaims(Time now) {
   for (auto& [job, claim] : claims_) {
     Ticket* ticket = table_.Find(job);
     if (now < claim.renew_at || ticket == nullptr) continue;
@@ -44,8 +44,8 @@
         homes_.MayAct(*ticket, now)) {  // its home disappeared: the trial counts as failed
       const bool was_condemned = ticket->condemned(now);
       ticket->attempt.running = false;
-      PutBack(ticket, now);
-      Settle(job, ticket, state, was_condemned, true, now);
+      RecordFailedTrial(ticket, now);
+      ApplyChange(job, ticket, state, was_condemned, true, now);
     } else if (state != State::kSuspected && state != State::kReleased && state != State::kOnTrial) {
       at_stake_.erase(job);
     }
@@ -54,76 +54,77 @@
 
 bool Quarantine::HandleMessage(int peer, std::string_view body, Time now) {
   now_ = std::max(now_, now);
-  Notice(now);
-  std::vector<Gossip::Heard> heard;
-  if (!gossip_.HandleMessage(peer, body, table_, now, &heard)) {
+  RecordCall(now);
+  std::vector<Gossip::ReceivedTicket> received;
+  if (!gossip_.HandleMessage(peer, body, table_, now, &received)) {
     ++counters_.malformed;
     return false;
   }
-  for (const Gossip::Heard& it : heard)
-    if (Learn(it.job, it.ticket, now) && it.wanted) gossip_.Arrived(peer, it.job, it.ticket.decisions);
+  for (const Gossip::ReceivedTicket& it : received)
+    if (MergeTicket(it.job, it.ticket, now) && it.acknowledge)
+      gossip_.Acknowledge(peer, it.job, it.ticket.decisions);
   return true;
 }
 
-bool Quarantine::Learn(const Fingerprint& job, const Ticket& heard, Time now) {
+bool Quarantine::MergeTicket(const Fingerprint& job, const Ticket& received, Time now) {
   const std::uint32_t today = UnixSeconds(now);
-  if (heard.condemned_until > today + kHold + kClocksApart ||
-      heard.decisions.Current(today).until > today + kLongestDiscard + kClocksApart) {
+  if (received.condemned_until > today + kQuarantineSeconds + kClockToleranceSeconds ||
+      received.decisions.Current(today).until > today + kMaxDiscardSeconds + kClockToleranceSeconds) {
     ++counters_.malformed;
     return false;
   }
   Ticket* ticket = table_.Find(job);
   if (ticket == nullptr) {
-    if (heard.Spent(now) && heard.decisions.dots().empty()) return true;
-    ticket = table_.Make(job, heard.tenant, now);
+    if (received.Expired(now) && received.decisions.dots().empty()) return true;
+    ticket = table_.FindOrAdd(job, received.tenant, now);
     if (ticket == nullptr) {
-      ++counters_.no_room;
+      ++counters_.table_full;
       return false;
     }
   }
   const State before = ticket->StateAt(now);
   const bool was_condemned = ticket->condemned(now);
   const std::vector<Sign> known = ticket->evidence.signs();
-  if (!Merge(ticket, heard)) return true;
+  if (!Merge(ticket, received)) return true;
   std::vector<Background::End> fresh;
   for (const Sign& sign : ticket->evidence.signs())
     if (sign.bad() && std::ranges::none_of(known, [&](const Sign& it) { return it.SameAs(sign); }))
       fresh.push_back({job, ticket->job_class, sign});
   for (const Background::End& end : fresh)
-    if (!ticket->condemned(now)) ticket->evidence.Lower(end.sign, background_.Weigh(end, now));
-  Settle(job, ticket, before, was_condemned, false, now);
+    if (!ticket->condemned(now)) ticket->evidence.Lower(end.sign, background_.WeightOf(end, now));
+  ApplyChange(job, ticket, before, was_condemned, false, now);
   for (const Background::End& end : fresh)
-    if (!ticket->condemned(now)) Compare(end, now);
+    if (!ticket->condemned(now)) AddBadEnd(end, now);
   return true;
 }
 
 void Quarantine::TierChanged(const TierView& view, Time now) {
   now_ = now;
-  Notice(now);
+  RecordCall(now);
   if (!homes_.SetView(view, now)) return;
   gossip_.SetMembers(own_, homes_.counted());
   background_.SetMembers(homes_.members());
   for (const Fingerprint& job : at_stake_)
-    if (Ticket* ticket = table_.Find(job)) homes_.Place(job, ticket, now);
+    if (Ticket* ticket = table_.Find(job)) homes_.SetHome(job, ticket, now);
 }
 
-Quarantine::Owned Quarantine::Answer(const Fingerprint& job, const Ticket& ticket, Owned::What what,
-                                     Time now) const {
+Quarantine::Owned Quarantine::MakeAnswer(const Fingerprint& job, const Ticket& ticket, Owned::What what,
+                                         Time now) const {
   return {.what = what,
           .state = ticket.StateAt(now),
           .holders = gossip_.Holders(job, ticket),
           .members = homes_.members()};
 }
 
-Quarantine::Owned Quarantine::Take(const Fingerprint& job, Ticket* ticket, Decided what, std::uint32_t until,
-                                   Time now) {
+Quarantine::Owned Quarantine::RecordDecision(const Fingerprint& job, Ticket* ticket, Decision what,
+                                             std::uint32_t until, Time now) {
   const State before = ticket->StateAt(now);
   const bool was_condemned = ticket->condemned(now);
   if (!ticket->decisions.Decide(by_, what, until))
-    return Answer(job, *ticket, Owned::What::kTooManyDeciders, now);
-  Settle(job, ticket, before, was_condemned, true, now);
+    return MakeAnswer(job, *ticket, Owned::What::kTooManyWriters, now);
+  ApplyChange(job, ticket, before, was_condemned, true, now);
   gossip_.CountHolders(job, *ticket, now);
-  return Answer(job, *ticket, Owned::What::kDone, now);
+  return MakeAnswer(job, *ticket, Owned::What::kDone, now);
 }
 
 Quarantine::Owned Quarantine::Release(std::uint64_t tenant, const Fingerprint& job, Time now) {
@@ -134,15 +135,15 @@
     case State::kReleased:
     case State::kOnTrial:
       gossip_.CountHolders(job, *ticket, now);
-      return Answer(job, *ticket, Owned::What::kDone, now);
+      return MakeAnswer(job, *ticket, Owned::What::kDone, now);
     case State::kQuarantined:
     case State::kDiscarded:
-      return Take(job, ticket, Decided::kReleased, 0, now);
+      return RecordDecision(job, ticket, Decision::kReleased, 0, now);
     case State::kWatched:
     case State::kSuspected:
       break;
   }
-  return Answer(job, *ticket, Owned::What::kNotHeld, now);
+  return MakeAnswer(job, *ticket, Owned::What::kNotHeld, now);
 }
 
 Quarantine::Owned Quarantine::Discard(std::uint64_t tenant, const Fingerprint& job, std::uint32_t until,
@@ -150,14 +151,14 @@
   now_ = now;
   Ticket* ticket = table_.Find(job);
   if (ticket == nullptr || ticket->tenant != tenant) return {.what = Owned::What::kNotFound};
-  if (until <= UnixSeconds(now) || until > UnixSeconds(now) + kLongestDiscard)
-    return Answer(job, *ticket, Owned::What::kBadEnd, now);
+  if (until <= UnixSeconds(now) || until > UnixSeconds(now) + kMaxDiscardSeconds)
+    return MakeAnswer(job, *ticket, Owned::What::kBadEnd, now);
   const Decisions::Dot status = ticket->decisions.Current(UnixSeconds(now));
-  if (status.what == Decided::kDiscarded && status.until == until) {
+  if (status.what == Decision::kDiscarded && status.until == until) {
     gossip_.CountHolders(job, *ticket, now);
-    return Answer(job, *ticket, Owned::What::kDone, now);
+    return MakeAnswer(job, *ticket, Owned::What::kDone, now);
   }
-  return Take(job, ticket, Decided::kDiscarded, until, now);
+  return RecordDecision(job, ticket, Decision::kDiscarded, until, now);
 }
 
 std::vector<std::pair<Fingerprint, Ticket>> Quarantine::List(std::uint64_t tenant, const Fingerprint& after,
--- a/src/quarantine/snapshot.cpp
+++ b/src/quarantine/snapshot.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kMagic = "LLQUARAN";
 constexpr std::uint16_t kVersion = 1;
-constexpr std::size_t kSum = 8, kLongestRecord = 1024;
+constexpr std::size_t kSum = 8, kMaxRecordInSnapshot = 1024;
 
 class Category : public std::error_category {
  public:
@@ -45,7 +45,7 @@
   PutNumber(&bytes, static_cast<std::uint64_t>(now));
   PutNumber(&bytes, static_cast<std::uint32_t>(table.all().size()));
   for (const auto& [job, ticket] : table.all()) {
-    const std::string record = Encode(job, ticket, now, kLongestRecord);
+    const std::string record = Encode(job, ticket, now, kMaxRecordInSnapshot);
     PutNumber(&bytes, static_cast<std::uint16_t>(record.size()));
     bytes += record;
   }
--- a/src/quarantine/store.cpp
+++ b/src/quarantine/store.cpp
@@ -11,9 +11,9 @@
 namespace lichenlug {
 namespace {
 
-constexpr std::size_t kLargest = 64u << 20;
+constexpr std::size_t kMaxFileBytes = 64u << 20;
 
-std::string PathIn(const std::string& folder) { return folder + "/quarantine.snapshot"; }
+std::string SnapshotPath(const std::string& folder) { return folder + "/quarantine.snapshot"; }
 
 // Closes the file descriptor on destruction.
 struct Descriptor {
@@ -41,19 +41,19 @@
 }
 
 std::optional<StoreError> SaveFile(const std::string& folder, const std::string& bytes) {
-  const std::string path = PathIn(folder), beside = path + ".new";
+  const std::string path = SnapshotPath(folder), temporary = path + ".new";
   {
-    const Descriptor file{::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)};
-    if (file.number < 0) return Failed("open", beside);
+    const Descriptor file{::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)};
+    if (file.number < 0) return Failed("open", temporary);
     for (std::size_t done = 0; done < bytes.size();) {
       const ssize_t wrote = ::write(file.number, bytes.data() + done, bytes.size() - done);
       if (wrote < 0 && errno == EINTR) continue;
-      if (wrote < 0) return Failed("write", beside);
+      if (wrote < 0) return Failed("write", temporary);
       done += static_cast<std::size_t>(wrote);
     }
-    if (::fsync(file.number) != 0) return Failed("sync", beside);
+    if (::fsync(file.number) != 0) return Failed("sync", temporary);
   }
-  if (std::rename(beside.c_str(), path.c_str()) != 0) return Failed("rename to", path);
+  if (std::rename(temporary.c_str(), path.c_str()) != 0) return Failed("rename to", path);
   const Descriptor directory{::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
   if (directory.number < 0) return Failed("open", folder);
   if (::fsync(directory.number) != 0) return Failed("sync", folder);
@@ -61,7 +61,7 @@
 }
 
 StoredBytes LoadFile(const std::string& folder) {
-  const std::string path = PathIn(folder);
+  const std::string path = SnapshotPath(folder);
   const Descriptor file{::open(path.c_str(), O_RDONLY | O_CLOEXEC)};
   if (file.number < 0) {
     struct stat is {};
@@ -72,7 +72,7 @@
   }
   StoredBytes read;
   std::array<char, 65536> buffer;
-  while (read.bytes.size() <= kLargest) {
+  while (read.bytes.size() <= kMaxFileBytes) {
     const ssize_t got = ::read(file.number, buffer.data(), buffer.size());
     if (got < 0 && errno == EINTR) continue;
     if (got < 0) return {{}, Failed("read", path)};
--- a/src/quarantine/table.h
+++ b/src/quarantine/table.h
@@ -24,34 +24,34 @@
   Ticket* Find(const Fingerprint& job);
   const Ticket* Find(const Fingerprint& job) const;
   // The ticket, created if needed; null if the table is full.
-  Ticket* Make(const Fingerprint& job, std::uint64_t tenant, Time now);
+  Ticket* FindOrAdd(const Fingerprint& job, std::uint64_t tenant, Time now);
   void Changed(const Fingerprint& job, Ticket* ticket, Time now);  // updates the checksums
   void Erase(const Fingerprint& job);
-  // Removes expired tickets; each call checks the next kSwept of the table.
+  // Removes expired tickets; each call checks the next kSweepBatch of the table.
   void Sweep(Time now);
 
-  std::uint32_t GroupSum(int group) const;
-  std::uint32_t LeafSum(int leaf) const { return leaves_[static_cast<std::size_t>(leaf)]; }
+  std::uint32_t GroupChecksum(int group) const;
+  std::uint32_t LeafChecksum(int leaf) const { return leaves_[static_cast<std::size_t>(leaf)]; }
   static int LeafOf(const Fingerprint& job) { return static_cast<int>(job.high >> 54); }
   // The first fingerprint of a leaf.
   static Fingerprint FirstOf(int leaf) { return {static_cast<std::uint64_t>(leaf) << 54, 0}; }
 
   const std::map<Fingerprint, Ticket>& all() const { return tickets_; }
   std::map<Fingerprint, Ticket>& all() { return tickets_; }
-  std::uint64_t let_through() const { return let_through_; }
-  std::uint64_t pushed_out() const { return pushed_out_; }
+  std::uint64_t untracked() const { return untracked_; }
+  std::uint64_t evicted() const { return evicted_; }
 
  private:
-  static constexpr int kSwept = 64;
+  static constexpr int kSweepBatch = 64;
 
-  bool PushOut(std::uint64_t tenant, Time now);
+  bool EvictSuspicion(std::uint64_t tenant, Time now);
 
   std::size_t max_, max_per_tenant_;
   std::map<Fingerprint, Ticket> tickets_;
-  std::map<std::uint64_t, std::size_t> of_tenant_;
+  std::map<std::uint64_t, std::size_t> tickets_per_tenant_;
   std::array<std::uint32_t, static_cast<std::size_t>(kGroups) * kLeavesOfGroup> leaves_{};
-  Fingerprint swept_;
-  std::uint64_t let_through_ = 0, pushed_out_ = 0;
+  Fingerprint sweep_position_;
+  std::uint64_t untracked_ = 0, evicted_ = 0;
 };
 
 }  // namespace lichenlug
--- a/src/quarantine/ticket.cpp
+++ b/src/quarantine/ticket.cpp
@@ -9,8 +9,8 @@
 namespace lichenlug {
 namespace {
 
-constexpr double kTooFaint = 0.5;
-constexpr Time kDecidedKept = 30 * 24 * 3600 * kSecond;  // the longest discard
+constexpr double kNegligibleEvidence = 0.5;
+constexpr Time kDecisionRetention = 30 * 24 * 3600 * kSecond;  // the longest discard
 
 bool MergeAttempt(Attempt* into, const Attempt& from) {
   const auto rank = [](const Attempt& it) { return std::tuple(it.epoch, it.home, !it.running); };
@@ -18,10 +18,10 @@
   const Time until = rank(*into) == rank(from)
                          ? std::max(into->until, from.until)
                          : std::max(*into, from, [&](auto& a, auto& b) { return rank(a) < rank(b); }).until;
-  const bool news = rank(*into) < rank(from) || lost != into->lost || until > into->until + kSecond;
+  const bool changed = rank(*into) < rank(from) || lost != into->lost || until > into->until + kSecond;
   if (rank(*into) < rank(from)) *into = from;
   into->lost = lost, into->until = until;
-  return news;
+  return changed;
 }
 
 }  // namespace
@@ -45,42 +45,42 @@
 }
 
 State Ticket::StateAt(Time now) const {
-  const Decided decided = decisions.Current(UnixSeconds(now)).what;
-  if (decided == Decided::kDiscarded) return State::kDiscarded;
-  if (decided == Decided::kPutBack) return State::kQuarantined;
+  const Decision decided = decisions.Current(UnixSeconds(now)).what;
+  if (decided == Decision::kDiscarded) return State::kDiscarded;
+  if (decided == Decision::kTrialFailed) return State::kQuarantined;
   if (condemned(now)) {
-    if (decided == Decided::kOnTrial) return State::kOnTrial;
-    return decided == Decided::kReleased ? State::kReleased : State::kQuarantined;
+    if (decided == Decision::kOnTrial) return State::kOnTrial;
+    return decided == Decision::kReleased ? State::kReleased : State::kQuarantined;
   }
-  return evidence.Sum(now) >= kStrongAt ? State::kSuspected : State::kWatched;
+  return evidence.Sum(now) >= kSuspectAt ? State::kSuspected : State::kWatched;
 }
 
-bool Ticket::Spent(Time now) const {
+bool Ticket::Expired(Time now) const {
   if (StateAt(now) != State::kWatched || attempt.Runs(now)) return false;
-  if (!decisions.dots().empty() && now - changed < kDecidedKept) return false;
+  if (!decisions.dots().empty() && now - changed_at < kDecisionRetention) return false;
   const double sum = evidence.Sum(now);
-  return sum <= kSettledAt || (sum < kTooFaint && evidence.strikes() == 0) ||
+  return sum <= kClearedAt || (sum < kNegligibleEvidence && evidence.strikes() == 0) ||
          std::ranges::all_of(evidence.signs(), [&](const Sign& it) { return now - it.at > 4 * kHalfLife; });
 }
 
-bool Ticket::MayBePushedOut(Time now) const {
+bool Ticket::Evictable(Time now) const {
   const State state = StateAt(now);
   return state == State::kWatched || state == State::kSuspected;
 }
 
 bool Merge(Ticket* into, const Ticket& from) {
-  bool news = into->decisions.Merge(from.decisions);
+  bool changed = into->decisions.Merge(from.decisions);
   if (from.generation > into->generation) {
     into->generation = from.generation;
     into->evidence = from.evidence;
     into->condemned_until = from.condemned_until;
     into->attempt = from.attempt;
     into->failed_trials = from.failed_trials;
-    news = true;
+    changed = true;
   } else if (from.generation == into->generation) {
-    news |= into->evidence.Merge(from.evidence);
-    news |= MergeAttempt(&into->attempt, from.attempt);
-    news |= from.condemned_until > into->condemned_until || from.failed_trials > into->failed_trials;
+    changed |= into->evidence.Merge(from.evidence);
+    changed |= MergeAttempt(&into->attempt, from.attempt);
+    changed |= from.condemned_until > into->condemned_until || from.failed_trials > into->failed_trials;
     into->condemned_until = std::max(into->condemned_until, from.condemned_until);
     into->failed_trials = std::max(into->failed_trials, from.failed_trials);
   }
@@ -88,7 +88,7 @@
   into->job_class = std::max(into->job_class, from.job_class);
   if (std::pair(from.line.size(), from.line) > std::pair(into->line.size(), into->line))
     into->line = from.line;
-  return news;
+  return changed;
 }
 
 std::uint32_t DigestOf(const Fingerprint& job, const Ticket& ticket) {
--- a/src/quarantine/ticket.h
+++ b/src/quarantine/ticket.h
@@ -40,7 +40,7 @@
   Attempt attempt;
 
   // Local state, not shared.
-  Time changed = 0;
+  Time changed_at = 0;
   int home = -1;  // the dispatcher that may begin runs, in the local view
   Time home_since = 0;
   std::uint32_t digest = 0;  // as included in the table's checksums
@@ -50,9 +50,9 @@
   int strikes() const { return evidence.strikes() + attempt.lost; }
   // Whether the ticket can be removed. Decisions are kept for a time, so that a dispatcher that missed a
   // successful trial can't restore the evidence that it cleared.
-  bool Spent(Time now) const;
+  bool Expired(Time now) const;
   // A suspicion may be evicted; a condemned or decided ticket may not.
-  bool MayBePushedOut(Time now) const;
+  bool Evictable(Time now) const;
 };
 
 // Commutative, associative, idempotent. Returns true if `into` has changed.
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -21,15 +21,15 @@
 constexpr Time kNow = 1'700'000'000 * kSecond;
 
 // A tier of one dispatcher, which is the home of all jobs.
-struct Alone {
+struct SingleDispatcher {
   Quarantine quarantine;
   Time now = kNow;
   int killed = 0;
-  explicit Alone(Quarantine::Settings settings = {}) : quarantine(0, 1, settings) {
+  explicit SingleDispatcher(Quarantine::Settings settings = {}) : quarantine(0, 1, settings) {
     quarantine.TierChanged(
         {.version = 1, .own = 0, .members = {{.number = 0, .zone = 0, .status = MemberStatus::kAlive}}}, now);
     now += 10 * kSecond;
-    CalmTraffic(&quarantine, now);
+    RecordHealthyRuns(&quarantine, now);
   }
   What Run(const Job& job, const Runner& runner, Outcome outcome) {
     const What what = quarantine.Admit(job, now).what;
@@ -44,7 +44,7 @@
     return ticket == nullptr ? State::kWatched : ticket->StateAt(now);
   }
   void Condemn(const Job& job) {
-    now += 3 * kSecond;  // three deaths within Background::kTogether would be attributed to the zone
+    now += 3 * kSecond;  // three deaths within Background::kZoneFailureWindow would be attributed to the zone
     for (int i = 0; i < 3; ++i, ++killed)
       Run(job, {.name = "p" + std::to_string(killed), .life = 1}, Outcome::kDied);
     ASSERT_EQ(Of(job), State::kQuarantined);
@@ -53,32 +53,32 @@
 
 TEST(QuarantineFingerprint, AMendedBodyIsAnotherJobAndPartsDoNotRunTogether) {
   const JobParts job{"t", "c", "POST", "/a?b", "o", "body"};
-  JobParts mended = job, shifted = job;
-  mended.body = "bodY";
+  JobParts corrected = job, shifted = job;
+  corrected.body = "bodY";
   shifted.tenant = "tc", shifted.job_class = "";
-  EXPECT_NE(FingerprintOf(job), FingerprintOf(mended));
+  EXPECT_NE(FingerprintOf(job), FingerprintOf(corrected));
   EXPECT_NE(FingerprintOf(job), FingerprintOf(shifted));
   EXPECT_EQ(Fingerprint::Parse(FingerprintOf(job).Ticket()), FingerprintOf(job));
   EXPECT_EQ(Fingerprint::Parse("g" + FingerprintOf(job).Ticket().substr(1)), std::nullopt);
-  EXPECT_EQ(LineOf({"t", "c", "GET", "/a\n?secret", "o\x80", "body"}), "c GET /a? o?");
-  EXPECT_EQ(LineOf({"t", "c", "GET", std::string(1000, 'x'), "o", ""}).size(), kMaxLine);
+  EXPECT_EQ(DescriptionOf({"t", "c", "GET", "/a\n?secret", "o\x80", "body"}), "c GET /a? o?");
+  EXPECT_EQ(DescriptionOf({"t", "c", "GET", std::string(1000, 'x'), "o", ""}).size(), kMaxDescription);
 }
 
 TEST(QuarantineJudgement, APoisonTakesTwoRunnersAndIsTakenBackFromTheirRecord) {
-  Alone one;
+  SingleDispatcher one;
   const Job poison = JobNamed("bad");
   EXPECT_EQ(one.Run(poison, {.name = "a", .life = 1}, Outcome::kDied), What::kRun);
   EXPECT_EQ(one.Run(poison, {.name = "b", .life = 1}, Outcome::kHung), What::kRunAlone);
   EXPECT_EQ(one.Run(poison, {.name = "c", .life = 1}, Outcome::kDied), What::kQuarantined);
-  const auto taken = one.quarantine.TakeTakenBack();
-  ASSERT_EQ(taken.size(), 2u);
-  EXPECT_EQ(taken[0].runner, "a");
-  EXPECT_EQ(taken[1].job_class, poison.job_class);
+  const auto runners_lost = one.quarantine.TakeTakenBack();
+  ASSERT_EQ(runners_lost.size(), 2u);
+  EXPECT_EQ(runners_lost[0].runner, "a");
+  EXPECT_EQ(runners_lost[1].job_class, poison.job_class);
   EXPECT_EQ(one.quarantine.TakeChanges().back().to, State::kQuarantined);
 }
 
 TEST(QuarantineJudgement, CleanFailuresNeverHoldAJob) {
-  Alone one;
+  SingleDispatcher one;
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(one.Run(JobNamed("bad data"), {.name = "r" + std::to_string(i), .life = 1}, Outcome::kFailed),
               What::kRun);
@@ -90,7 +90,7 @@
 }
 
 TEST(QuarantineJudgement, ARunnerThatKillsEverybodyCondemnsNobody) {
-  Alone one;
+  SingleDispatcher one;
   for (std::uint64_t life = 1; life < 40; ++life) {
     one.now += kSecond;
     one.Run(JobNamed("o" + std::to_string(life % 13)), {.name = "bad", .life = life}, Outcome::kDied);
@@ -99,7 +99,7 @@
 }
 
 TEST(QuarantineJudgement, AZoneThatFallsTwiceCondemnsNobody) {
-  Alone one;
+  SingleDispatcher one;
   for (const char* fall : {"x", "y"}) {
     for (int i = 0; i < 20; ++i)
       one.quarantine.Ended(JobNamed("o" + std::to_string(i)),
@@ -111,7 +111,7 @@
 }
 
 TEST(QuarantineJudgement, ABadClassCondemnsNobody) {
-  Alone one;
+  SingleDispatcher one;
   for (int i = 0; i < 300; ++i) {
     one.now += 200 * kMillisecond;
     one.Run(JobNamed("o" + std::to_string(i % 30)),
@@ -121,7 +121,7 @@
 }
 
 TEST(QuarantineJudgement, APoisonOfOneKindOfRunnerIsNotClearedByTheOthers) {
-  Alone one;
+  SingleDispatcher one;
   const Job poison = JobNamed("bad");
   for (int i = 0; i < 6; ++i) {
     const std::string name = std::to_string(i);
@@ -133,7 +133,7 @@
 }
 
 TEST(QuarantineJudgement, TwoPoisonsByTurnsAreTwoAndTheirCompanionsAreCleared) {
-  Alone one;
+  SingleDispatcher one;
   const Job a = JobNamed("a"), b = JobNamed("b"), beside = JobNamed("beside");
   for (int i = 0; i < 2; ++i) {
     const std::string name = std::to_string(i);
@@ -152,7 +152,7 @@
 }
 
 TEST(QuarantineJudgement, EvidenceFades) {
-  Alone one;
+  SingleDispatcher one;
   one.Run(JobNamed("o"), {.name = "a", .life = 1}, Outcome::kDied);
   EXPECT_EQ(one.Of(JobNamed("o")), State::kSuspected);
   one.now += 2 * kHalfLife;
@@ -160,7 +160,7 @@
 }
 
 TEST(QuarantineOwners, AReleaseIsOneTrialAndOnlyItsSuccessClears) {
-  Alone one;
+  SingleDispatcher one;
   const Job job = JobNamed("o");
   one.Condemn(job);
   EXPECT_EQ(one.quarantine.Release(ShortHash("u"), job.fingerprint, one.now).what,
@@ -179,7 +179,7 @@
 }
 
 TEST(QuarantineOwners, ADiscardStandsUntilItsEnd) {
-  Alone one;
+  SingleDispatcher one;
   const Job job = JobNamed("o");
   one.Condemn(job);
   const std::uint32_t until = UnixSeconds(one.now) + 100;
@@ -192,7 +192,7 @@
 }
 
 TEST(QuarantineOwners, PagesShowTheOwnTenantsOnly) {
-  Alone one;
+  SingleDispatcher one;
   for (int i = 0; i < 5; ++i) one.Condemn(JobNamed("o" + std::to_string(i)));
   one.Condemn(JobNamed("hers", "u"));
   const auto first = nlohmann::json::parse(ListPage(one.quarantine, "t", "", 3, one.now).json);
@@ -201,16 +201,16 @@
       nlohmann::json::parse(ListPage(one.quarantine, "t", first["next"].get<std::string>(), 3, one.now).json);
   EXPECT_EQ(rest["tickets"].size(), 2u);
   EXPECT_FALSE(rest.contains("next"));
-  const std::string hers = JobNamed("hers", "u").fingerprint.Ticket();
-  EXPECT_EQ(ReleasePage(&one.quarantine, "t", hers, one.now).status, 404);
-  EXPECT_EQ(DiscardPage(&one.quarantine, "u", hers, 31, one.now).status, 400);
-  const OwnersAnswer done = DiscardPage(&one.quarantine, "u", hers, 7, one.now);
+  const std::string other_tenants = JobNamed("hers", "u").fingerprint.Ticket();
+  EXPECT_EQ(ReleasePage(&one.quarantine, "t", other_tenants, one.now).status, 404);
+  EXPECT_EQ(DiscardPage(&one.quarantine, "u", other_tenants, 31, one.now).status, 400);
+  const OwnerResponse done = DiscardPage(&one.quarantine, "u", other_tenants, 7, one.now);
   EXPECT_EQ(nlohmann::json::parse(done.json)["held_by"], 1);
   EXPECT_EQ(ListPage(one.quarantine, "t", "xyz", 3, one.now).status, 400);
 }
 
 TEST(QuarantineBounds, ATenantPushesOutItsOwnOldestSuspicionsOnly) {
-  Alone one({.most = 60, .max_per_tenant = 10});
+  SingleDispatcher one({.most = 60, .max_per_tenant = 10});
   one.Condemn(JobNamed("kept"));
   one.quarantine.Ended(JobNamed("hers", "u"), {.name = "z", .life = 1}, Outcome::kDied, one.now);
   for (int i = 0; i < 100; ++i)
@@ -220,11 +220,11 @@
   EXPECT_EQ(one.Of(JobNamed("kept")), State::kQuarantined);
   EXPECT_NE(one.quarantine.table().Find(JobNamed("hers", "u").fingerprint), nullptr);
   EXPECT_EQ(one.quarantine.table().Find(JobNamed("o0").fingerprint), nullptr);
-  Alone full({.most = 60, .max_per_tenant = 2});
+  SingleDispatcher full({.most = 60, .max_per_tenant = 2});
   for (const char* name : {"a", "b"}) full.Condemn(JobNamed(name));
   full.quarantine.Ended(JobNamed("c"), {.name = "z", .life = 1}, Outcome::kDied, full.now);
   EXPECT_EQ(full.Run(JobNamed("c"), {.name = "y", .life = 1}, Outcome::kDied), What::kRun);
-  EXPECT_EQ(full.quarantine.counters().no_room, 2u);
+  EXPECT_EQ(full.quarantine.counters().table_full, 2u);
 }
 
 // Random tickets for the merge laws; equal dots carry the same decision in all of them.
@@ -250,14 +250,14 @@
     if (draw(2) == 0) {
       const auto count = static_cast<std::uint16_t>(1 + draw(3));
       // A dot identifies one decision; copies differ only in whether it has been replaced.
-      const auto what = draw(2) == 0 ? Decided::kNothing : static_cast<Decided>(1 + (by + count) % 5);
+      const auto what = draw(2) == 0 ? Decision::kNothing : static_cast<Decision>(1 + (by + count) % 5);
       it.decisions.Load(
-          {.by = by, .count = count, .what = what, .until = what == Decided::kNothing ? 0u : 5u});
+          {.by = by, .count = count, .what = what, .until = what == Decision::kNothing ? 0u : 5u});
     }
   return it;
 }
 
-std::string Shown(const Ticket& it) {
+std::string ToComparable(const Ticket& it) {
   return Encode({1, 2}, it, kNow, 1000) + std::to_string(it.attempt.until);
 }
 
@@ -269,29 +269,29 @@
       Merge(&into, from);
       return into;
     };
-    RC_ASSERT(Shown(merged(a, b)) == Shown(merged(b, a)));
-    RC_ASSERT(Shown(merged(merged(a, b), c)) == Shown(merged(a, merged(b, c))));
+    RC_ASSERT(ToComparable(merged(a, b)) == ToComparable(merged(b, a)));
+    RC_ASSERT(ToComparable(merged(merged(a, b), c)) == ToComparable(merged(a, merged(b, c))));
     Ticket twice = merged(a, b);
     RC_ASSERT(!Merge(&twice, b));
-    RC_ASSERT(Shown(twice) == Shown(merged(a, b)));
+    RC_ASSERT(ToComparable(twice) == ToComparable(merged(a, b)));
   }));
 }
 
 TEST(QuarantineMerge, DiscardWinsOverAReleaseThatDidNotKnowItAndLaterOnesThatDid) {
   Decisions before, release, discard;
-  before.Decide(1, Decided::kPutBack, UINT32_MAX);
+  before.Decide(1, Decision::kTrialFailed, UINT32_MAX);
   release = discard = before;
-  release.Decide(2, Decided::kReleased, 0);
-  release.Decide(2, Decided::kReleased, 0);  // a repeated release still hasn't seen the discard
-  discard.Decide(3, Decided::kDiscarded, 1000);
+  release.Decide(2, Decision::kReleased, 0);
+  release.Decide(2, Decision::kReleased, 0);  // a repeated release still hasn't seen the discard
+  discard.Decide(3, Decision::kDiscarded, 1000);
   Decisions both = release;
   both.Merge(discard);
-  EXPECT_EQ(both.Current(1).what, Decided::kDiscarded);
+  EXPECT_EQ(both.Current(1).what, Decision::kDiscarded);
   Decisions later = both;
-  later.Decide(2, Decided::kReleased, 0);
+  later.Decide(2, Decision::kReleased, 0);
   later.Merge(discard);
   later.Merge(release);
-  EXPECT_EQ(later.Current(1).what, Decided::kReleased);
+  EXPECT_EQ(later.Current(1).what, Decision::kReleased);
 }
 
 TEST(QuarantineBytes, AnyTicketFitsADatagramAndReadsBack) {
@@ -309,7 +309,7 @@
 }
 
 TEST(QuarantineBytes, RubbishChangesNothing) {
-  Alone one;
+  SingleDispatcher one;
   one.Condemn(JobNamed("o"));
   const std::string before = WriteSnapshot(one.quarantine.table(), one.now);
   pcg32 random(5);
@@ -325,7 +325,7 @@
 }
 
 TEST(QuarantineSnapshot, CutAtAnyByteFlippedOrNewerIsToldAndStartsEmpty) {
-  Alone one;
+  SingleDispatcher one;
   for (int i = 0; i < 4; ++i) one.Condemn(JobNamed("o" + std::to_string(i)));
   const std::string bytes = WriteSnapshot(one.quarantine.table(), one.now);
   Snapshot whole = ReadSnapshot(bytes);
@@ -344,7 +344,7 @@
   std::string newer = bytes;
   newer[8] = 2;
   EXPECT_EQ(ReadSnapshot(newer).error, SnapshotError::kNewer);
-  Alone next;
+  SingleDispatcher next;
   next.now = one.now + 3600 * kSecond;
   for (const auto& [job, ticket] : whole.tickets) next.quarantine.Restore(job, ticket, next.now);
   EXPECT_EQ(next.quarantine.Admit(JobNamed("o1"), next.now).what, What::kQuarantined);
--- a/tests/quarantine_tier_test.cpp
+++ b/tests/quarantine_tier_test.cpp
@@ -11,32 +11,34 @@
 const Job kPoison = JobNamed("bad");
 
 // Clients submit the poison job at all dispatchers for `span`. Returns the number of runs that were started.
-int HandInFor(TierOf* tier, Time span, Outcome outcome) {
+int SubmitFor(SimulatedTier* tier, Time span, Outcome outcome) {
   const int before = tier->runners;
   for (const Time end = tier->now + span; tier->now < end; tier->Step())
     for (int i = 0; i < tier->size(); ++i)
-      if (tier->Awake(i) && tier->Draw(3) == 0) tier->HandIn(i, kPoison, outcome);
+      if (tier->Awake(i) && tier->Draw(3) == 0) tier->Submit(i, kPoison, outcome);
   return tier->runners - before;
 }
 
 // One dispatcher runs the job, and its bad end is gossiped to the tier.
-void FirstEvidence(TierOf* tier) {
-  tier->HandIn(tier->Draw(tier->size()), kPoison, Outcome::kDied);
-  tier->Play(6 * kSecond);
+void FirstEvidence(SimulatedTier* tier) {
+  tier->Submit(tier->Draw(tier->size()), kPoison, Outcome::kDied);
+  tier->Advance(6 * kSecond);
 }
 
-int HomeOfPoison(TierOf* tier) { return tier->at(tier->DrawAwake()).table().Find(kPoison.fingerprint)->home; }
+int HomeOfPoison(SimulatedTier* tier) {
+  return tier->at(tier->DrawAwake()).table().Find(kPoison.fingerprint)->home;
+}
 
-void Heal(TierOf* tier) {
+void Heal(SimulatedTier* tier) {
   tier->loss = 0;
   for (int i = 0; i < tier->size(); ++i) {
     if (!tier->node(i).alive) tier->Start(i);
-    tier->Cut(i, 0);
+    tier->SetPartition(i, 0);
   }
-  tier->Play(15 * kSecond);
+  tier->Advance(15 * kSecond);
 }
 
-void AllSay(TierOf* tier, State state, int seed) {
+void ExpectStateOnAll(SimulatedTier* tier, State state, int seed) {
   for (int i = 0; i < tier->size(); ++i)
     ASSERT_EQ(tier->StateAt(i, kPoison), state) << "at " << i << " seed " << seed;
 }
@@ -44,26 +46,26 @@
 TEST(QuarantineTier, HarmIsBoundedWhateverHappensToItsHome) {
   int worst = 0, worst_cut = 0;
   for (int seed = 1; seed <= kSchedules; ++seed) {
-    TierOf tier(3 + seed % 4, static_cast<std::uint64_t>(seed));
+    SimulatedTier tier(3 + seed % 4, static_cast<std::uint64_t>(seed));
     tier.loss = 0.3 * (seed % 3) / 2;
     FirstEvidence(&tier);
-    int taken = 1;
-    taken += HandInFor(&tier, tier.Draw(25) * TierOf::kStep, Outcome::kDied);
+    int runners_lost = 1;
+    runners_lost += SubmitFor(&tier, tier.Draw(25) * SimulatedTier::kStep, Outcome::kDied);
     const int fault = tier.Draw(4), home = HomeOfPoison(&tier);
     if (fault == 1) tier.Kill(home);
-    if (fault == 2) tier.Pause(home, (5 + tier.Draw(60)) * TierOf::kStep);
+    if (fault == 2) tier.Pause(home, (5 + tier.Draw(60)) * SimulatedTier::kStep);
     if (fault == 3)
-      for (int i = 0; i < tier.size(); i += 2) tier.Cut(i, 1);
-    taken += HandInFor(&tier, 15 * kSecond, Outcome::kDied);
-    (fault == 3 ? worst_cut : worst) = std::max(fault == 3 ? worst_cut : worst, taken);
-    ASSERT_LE(taken, fault == 3 ? 6 : 3) << "seed " << seed << " fault " << fault;
+      for (int i = 0; i < tier.size(); i += 2) tier.SetPartition(i, 1);
+    runners_lost += SubmitFor(&tier, 15 * kSecond, Outcome::kDied);
+    (fault == 3 ? worst_cut : worst) = std::max(fault == 3 ? worst_cut : worst, runners_lost);
+    ASSERT_LE(runners_lost, fault == 3 ? 6 : 3) << "seed " << seed << " fault " << fault;
     if (seed % 10 == 0) {
       Heal(&tier);
-      HandInFor(&tier, 5 * kSecond, Outcome::kDied);
-      tier.Play(5 * kSecond);
-      AllSay(&tier, State::kQuarantined, seed);
+      SubmitFor(&tier, 5 * kSecond, Outcome::kDied);
+      tier.Advance(5 * kSecond);
+      ExpectStateOnAll(&tier, State::kQuarantined, seed);
     }
-    ASSERT_EQ(tier.too_long, 0u);
+    ASSERT_EQ(tier.oversized, 0u);
   }
   EXPECT_GE(worst, 2);
   EXPECT_GE(worst_cut, 3);
@@ -71,22 +73,22 @@
 
 TEST(QuarantineTier, AReleaseIsOneTrialInTheTierAndAtMostOneAPart) {
   for (int seed = 1; seed <= kSchedules; ++seed) {
-    TierOf tier(3 + seed % 4, static_cast<std::uint64_t>(seed));
+    SimulatedTier tier(3 + seed % 4, static_cast<std::uint64_t>(seed));
     FirstEvidence(&tier);
-    HandInFor(&tier, 6 * kSecond, Outcome::kDied);
+    SubmitFor(&tier, 6 * kSecond, Outcome::kDied);
     tier.loss = 0.3 * (seed % 3) / 2;
     const int fault = tier.Draw(4), home = HomeOfPoison(&tier);
     const bool works = tier.Draw(2) == 0;
     tier.at(tier.Draw(tier.size())).Release(kPoison.tenant, kPoison.fingerprint, tier.now);
-    tier.Play(tier.Draw(20) * TierOf::kStep);
+    tier.Advance(tier.Draw(20) * SimulatedTier::kStep);
     int trials =
-        HandInFor(&tier, tier.Draw(20) * TierOf::kStep, works ? Outcome::kSucceeded : Outcome::kDied);
+        SubmitFor(&tier, tier.Draw(20) * SimulatedTier::kStep, works ? Outcome::kSucceeded : Outcome::kDied);
     if (works && trials > 0) continue;  // cleared: runs are no longer limited
     if (fault == 1) tier.Kill(home);
-    if (fault == 2) tier.Pause(home, (5 + tier.Draw(60)) * TierOf::kStep);
+    if (fault == 2) tier.Pause(home, (5 + tier.Draw(60)) * SimulatedTier::kStep);
     if (fault == 3)
-      for (int i = 0; i < tier.size(); i += 2) tier.Cut(i, 1);
-    trials += HandInFor(&tier, 20 * kSecond, Outcome::kDied);
+      for (int i = 0; i < tier.size(); i += 2) tier.SetPartition(i, 1);
+    trials += SubmitFor(&tier, 20 * kSecond, Outcome::kDied);
     ASSERT_LE(trials, fault == 3 ? 2 : 1) << "seed " << seed << " fault " << fault;
   }
 }
@@ -94,57 +96,57 @@
 TEST(QuarantineTier, ADecisionThatMoreThanOneHaveIsNotLost) {
   int acknowledged = 0;
   for (int seed = 1; seed <= kSchedules / 5; ++seed) {
-    TierOf tier(4 + seed % 4, static_cast<std::uint64_t>(seed));
+    SimulatedTier tier(4 + seed % 4, static_cast<std::uint64_t>(seed));
     FirstEvidence(&tier);
-    HandInFor(&tier, 6 * kSecond, Outcome::kDied);
+    SubmitFor(&tier, 6 * kSecond, Outcome::kDied);
     tier.loss = 0.5 * (seed % 3) / 2;
     const int taker = tier.Draw(tier.size()), other = (taker + 1) % tier.size();
     const std::uint32_t until = UnixSeconds(tier.now) + 3600;
     if (seed % 2 == 0) {  // release and discard in different partitions
-      tier.Cut(taker, 1), tier.Cut((taker + 2) % tier.size(), 1);
-      tier.Play(3 * kSecond);
+      tier.SetPartition(taker, 1), tier.SetPartition((taker + 2) % tier.size(), 1);
+      tier.Advance(3 * kSecond);
       tier.at(other).Release(kPoison.tenant, kPoison.fingerprint, tier.now);
     }
     tier.at(taker).Discard(kPoison.tenant, kPoison.fingerprint, until, tier.now);
-    tier.Play(tier.Draw(8) * TierOf::kStep);
+    tier.Advance(tier.Draw(8) * SimulatedTier::kStep);
     const auto again = tier.at(taker).Discard(kPoison.tenant, kPoison.fingerprint, until, tier.now);
     if (again.holders < 2) continue;
     ++acknowledged;
     tier.Kill(taker);
-    tier.Play(tier.Draw(30) * TierOf::kStep);
+    tier.Advance(tier.Draw(30) * SimulatedTier::kStep);
     Heal(&tier);
     if (seed % 3 == 0)  // rolling restart
-      for (int i = 0; i < tier.size(); ++i) tier.Start(i), tier.Play(5 * kSecond);
-    AllSay(&tier, State::kDiscarded, seed);
+      for (int i = 0; i < tier.size(); ++i) tier.Start(i), tier.Advance(5 * kSecond);
+    ExpectStateOnAll(&tier, State::kDiscarded, seed);
   }
   EXPECT_GT(acknowledged, kSchedules / 20);
 }
 
 TEST(QuarantineTier, ManyDispatchersThatMeetItAtOnceLoseNoMoreRunners) {
-  TierOf tier(60, 3);
-  tier.HandIn(17, kPoison, Outcome::kDied);
+  SimulatedTier tier(60, 3);
+  tier.Submit(17, kPoison, Outcome::kDied);
   while (!tier.runs.empty()) tier.Step();
-  tier.Play(3 * TierOf::kStep);  // the evidence has spread
-  EXPECT_LE(1 + HandInFor(&tier, 60 * kSecond, Outcome::kDied), 3);
+  tier.Advance(3 * SimulatedTier::kStep);  // the evidence has spread
+  EXPECT_LE(1 + SubmitFor(&tier, 60 * kSecond, Outcome::kDied), 3);
 }
 
 TEST(QuarantineTier, ARestartedDispatcherHearsAllTicketsAndAnIdleTierIsQuiet) {
-  TierOf tier(4, 9);
+  SimulatedTier tier(4, 9);
   std::vector<Job> jobs;
   for (int i = 0; i < 300; ++i) {
     jobs.push_back(JobNamed("o" + std::to_string(i)));
     for (int r = 0; r < 3; ++r)
       tier.at(0).Ended(jobs.back(), {.name = std::to_string(i * 3 + r), .life = 1, .zone = i % 50},
                        Outcome::kDied, tier.now);
-    tier.Play(400 * TierOf::kStep / 300);
+    tier.Advance(400 * SimulatedTier::kStep / 300);
   }
-  tier.Play(60 * kSecond);
+  tier.Advance(60 * kSecond);
   tier.Kill(3);
   tier.Start(3);
-  tier.Play(30 * kSecond);
+  tier.Advance(30 * kSecond);
   EXPECT_EQ(tier.at(3).table().all().size(), tier.at(0).table().all().size());
   const std::uint64_t before = tier.bytes;
-  tier.Play(100 * kSecond);
+  tier.Advance(100 * kSecond);
   EXPECT_LT(static_cast<double>(tier.bytes - before) / 100 / tier.size(), 500);  // bytes a second per member
 }
 
--- a/tests/quarantine_world.h
+++ b/tests/quarantine_world.h
@@ -21,37 +21,37 @@
 }
 
 // Records successful runs of harmless jobs, as a baseline for the dispatcher.
-inline void CalmTraffic(Quarantine* quarantine, Time now) {
+inline void RecordHealthyRuns(Quarantine* quarantine, Time now) {
   for (int i = 0; i < 2000; ++i)
     quarantine->Ended(JobNamed("calm" + std::to_string(i)),
                       {.name = "calm" + std::to_string(i % 40), .life = 1}, Outcome::kSucceeded, now);
 }
 
-struct TierOf {
+struct SimulatedTier {
   static constexpr Time kStep = 100 * kMillisecond;
 
   struct Node {
     std::unique_ptr<Quarantine> quarantine;
-    int part = 0, lives = 0;
+    int partition = 0, starts = 0;
     bool alive = true;
     Time paused_until = 0, view_at = 0;  // view_at 0: the view is up to date
     std::uint64_t view_version = 0;
   };
   struct Run {
-    int node = 0, lives = 0;
+    int node = 0, starts = 0;
     Job job;
     Time began = 0, ends = 0;
     bool alone = false;
     Outcome outcome = Outcome::kDied;
     std::string runner;
   };
-  struct Flying {
+  struct InFlight {
     int from, to;
     std::string body;
     Time at;
   };
 
-  TierOf(int nodes, std::uint64_t seed) : random(seed), nodes_(static_cast<std::size_t>(nodes)) {
+  SimulatedTier(int nodes, std::uint64_t seed) : random(seed), nodes_(static_cast<std::size_t>(nodes)) {
     for (int i = 0; i < nodes; ++i) Start(i);
     for (int i = 0; i < nodes; ++i) ShowView(i);
     now += 10 * kSecond;
@@ -71,7 +71,7 @@
   void Start(int i) {
     Node& it = node(i);
     it.alive = true, it.paused_until = 0;
-    it.quarantine = std::make_unique<Quarantine>(i, static_cast<std::uint64_t>(++it.lives),
+    it.quarantine = std::make_unique<Quarantine>(i, static_cast<std::uint64_t>(++it.starts),
                                                  Quarantine::Settings{.seed = random()});
     Changed();
   }
@@ -83,8 +83,8 @@
     node(i).paused_until = now + span;
     Changed();
   }
-  void Cut(int i, int part) {
-    node(i).part = part;
+  void SetPartition(int i, int partition) {
+    node(i).partition = partition;
     Changed();
   }
   // Each node gets the new view after a random delay.
@@ -95,22 +95,23 @@
     TierView view;
     view.version = ++node(i).view_version, view.own = i;
     for (int m = 0; m < size(); ++m)
-      view.members.push_back(
-          {.number = m,
-           .zone = m % 2,
-           .status = Awake(m) && node(m).part == node(i).part ? MemberStatus::kAlive : MemberStatus::kDead,
-           .life = static_cast<std::uint64_t>(node(m).lives)});
+      view.members.push_back({.number = m,
+                              .zone = m % 2,
+                              .status = Awake(m) && node(m).partition == node(i).partition
+                                            ? MemberStatus::kAlive
+                                            : MemberStatus::kDead,
+                              .life = static_cast<std::uint64_t>(node(m).starts)});
     at(i).TierChanged(view, now);
   }
 
   // A client submits the job. Returns the verdict if the job was refused, nullopt if it runs.
-  std::optional<Quarantine::Verdict> HandIn(int i, const Job& job, Outcome outcome) {
+  std::optional<Quarantine::Verdict> Submit(int i, const Job& job, Outcome outcome) {
     const Quarantine::Verdict verdict = at(i).Admit(job, now);
     if (!verdict.runs()) return verdict;
-    if (verdict.what == Quarantine::Verdict::What::kRunAlone) TellOf(i);  // sent before the run starts
+    if (verdict.what == Quarantine::Verdict::What::kRunAlone) SendDatagrams(i);  // sent before the run starts
     at(i).Started(job, now);
     runs.push_back({.node = i,
-                    .lives = node(i).lives,
+                    .starts = node(i).starts,
                     .job = job,
                     .began = now,
                     .ends = now + (2 + Draw(15)) * kStep,
@@ -127,31 +128,32 @@
       if (it.paused_until != 0 && now >= it.paused_until && now - it.paused_until < kStep) Changed();
       if (Awake(i) && it.view_at != 0 && now >= it.view_at) it.view_at = 0, ShowView(i);
     }
-    std::vector<Flying> flying;
-    flying.swap(flying_);
-    for (Flying& word : flying) {
-      if (word.at > now || (node(word.to).alive && !Awake(word.to)))
-        flying_.push_back(std::move(word));
-      else if (Awake(word.to) && node(word.from).part == node(word.to).part)
-        at(word.to).HandleMessage(word.from, word.body, now);
+    std::vector<InFlight> flying;
+    flying.swap(in_flight_);
+    for (InFlight& datagram : flying) {
+      if (datagram.at > now || (node(datagram.to).alive && !Awake(datagram.to)))
+        in_flight_.push_back(std::move(datagram));
+      else if (Awake(datagram.to) && node(datagram.from).partition == node(datagram.to).partition)
+        at(datagram.to).HandleMessage(datagram.from, datagram.body, now);
     }
     for (std::size_t r = 0; r < runs.size();) {
       const Run run = runs[r];
-      if (now < run.ends || (node(run.node).lives == run.lives && node(run.node).alive && !Awake(run.node))) {
+      if (now < run.ends ||
+          (node(run.node).starts == run.starts && node(run.node).alive && !Awake(run.node))) {
         ++r;
         continue;
       }
       runs.erase(runs.begin() + static_cast<std::ptrdiff_t>(r));
-      if (node(run.node).alive && node(run.node).lives == run.lives)
+      if (node(run.node).alive && node(run.node).starts == run.starts)
         at(run.node).Ended(run.job, {.name = run.runner, .life = 1, .zone = 1 + run.node % 2}, run.outcome,
                            now);
     }
     for (int i = 0; i < size(); ++i) {
       const Time due = Awake(i) ? at(i).DueAt() : 0;
-      if (due != 0 && due <= now) TellOf(i);
+      if (due != 0 && due <= now) SendDatagrams(i);
     }
   }
-  void Play(Time span) {
+  void Advance(Time span) {
     for (const Time end = now + span; now < end;) Step();
   }
   int RunsOf(const Job& job) const {
@@ -168,22 +170,24 @@
   double loss = 0;
   std::vector<Run> runs;
   int runners = 0;
-  std::uint64_t words = 0, bytes = 0, too_long = 0;
+  std::uint64_t datagrams = 0, bytes = 0, oversized = 0;
 
  private:
-  void TellOf(int i) {
-    for (const PeerProtocol::Datagram& word : at(i).MakeDatagrams(now))
+  void SendDatagrams(int i) {
+    for (const PeerProtocol::Datagram& datagram : at(i).MakeDatagrams(now))
       for (int to = 0; to < size(); ++to)
-        if (to != i && (word.peer == PeerProtocol::kAll || word.peer == to)) Send(i, to, word.body);
+        if (to != i && (datagram.peer == PeerProtocol::kAll || datagram.peer == to))
+          Send(i, to, datagram.body);
   }
   void Send(int from, int to, const std::string& body) {
-    ++words, bytes += body.size(), too_long += body.empty() || body.size() > PeerProtocol::kMaxBody ? 1 : 0;
+    ++datagrams, bytes += body.size(),
+        oversized += body.empty() || body.size() > PeerProtocol::kMaxBody ? 1 : 0;
     for (int copy = 0; copy < (random(10) == 0 ? 2 : 1); ++copy)
-      if (random(1000) >= loss * 1000) flying_.push_back({from, to, body, now + Draw(3) * kStep});
+      if (random(1000) >= loss * 1000) in_flight_.push_back({from, to, body, now + Draw(3) * kStep});
   }
 
   std::vector<Node> nodes_;
-  std::vector<Flying> flying_;
+  std::vector<InFlight> in_flight_;
 };
 
 }  // namespace lichenlug
