--- a/src/checkpoints/checkpoints.cpp
+++ b/src/checkpoints/checkpoints.cpp
@@ -89,7 +89,7 @@
   // Computed for the same instant on all dispatchers: clocks within a site agree far better than
   // kRatesPeriod.
   if (const Time at = now / kRatesPeriod * kRatesPeriod; at != rates_at_) {
-    facts_.Fade(at);
+    facts_.DropExpired(at);
     rates_ = Rates(facts_, at), rates_at_ = at;
   }
   return rates_;
--- a/src/checkpoints/exact.cpp
+++ b/src/checkpoints/exact.cpp
@@ -34,7 +34,7 @@
   return 1 / (1 + Exp(-(0.07056 * z * z * z + 1.5976 * z)));
 }
 
-std::int64_t Fade(std::int64_t age, std::int64_t half_life) {
+std::int64_t DecayedWeight(std::int64_t age, std::int64_t half_life) {
   if (age <= 0) return kFullWeight;
   const std::int64_t halves = age / half_life;
   if (halves >= 30) return 0;
--- a/src/checkpoints/exact.h
+++ b/src/checkpoints/exact.h
@@ -18,6 +18,6 @@
 inline constexpr std::int64_t kFullWeight = std::int64_t{1} << 30;
 
 // kFullWeight * 2^(-age / half_life), to one part in 10^6; 0 after thirty half-lives. Never negative.
-std::int64_t Fade(std::int64_t age, std::int64_t half_life);
+std::int64_t DecayedWeight(std::int64_t age, std::int64_t half_life);
 
 }  // namespace lichenlug::exact
--- a/src/checkpoints/facts.cpp
+++ b/src/checkpoints/facts.cpp
@@ -64,7 +64,7 @@
   lives_.erase(from, lives_.end());
 }
 
-void Facts::Fade(Time now) {
+void Facts::DropExpired(Time now) {
   const Ticks oldest = (now - kHorizon) / kTick;
   std::erase_if(lives_, [&](const auto& it) { return it.second.until < oldest; });
   if (lives_.size() < bounds_.lives / 2) hash_cutoff_ = kNoCutoff;
--- a/src/checkpoints/facts.h
+++ b/src/checkpoints/facts.h
@@ -68,7 +68,7 @@
 
   void Join(const LifeKey& key, const Life& other);
   void Join(const Facts& other);
-  void Fade(Time now);  // drops what is older than the horizon
+  void DropExpired(Time now);  // drops what is older than the horizon
 
   const Lives& lives() const { return lives_; }
   const Life* NewestLife(std::uint32_t runner, Ticks* start) const;
--- a/src/checkpoints/rates.cpp
+++ b/src/checkpoints/rates.cpp
@@ -31,7 +31,7 @@
          (static_cast<double>(kTick) / kSecond);
 }
 
-std::int64_t Rates::Weight(Ticks at) const { return exact::Fade(now_ - at, kHalfLifeTicks); }
+std::int64_t Rates::Weight(Ticks at) const { return exact::DecayedWeight(now_ - at, kHalfLifeTicks); }
 
 void Rates::Add(Ages* ages, const LifeKey& key, const Life& life, bool died) const {
   const Ticks young_until = key.start + kYoungTicks;
--- a/src/quarantine/background.cpp
+++ b/src/quarantine/background.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void Background::Fade(Rate* rate, Time now) {
+void Background::Decay(Rate* rate, Time now) {
   if (now <= rate->at) return;
   const double left = std::exp2(-static_cast<double>(now - rate->at) / kWindow);
   rate->tries *= left, rate->failed *= left, rate->at = now;
@@ -33,7 +33,7 @@
   if (what == Outcome::kNothing) return;
   for (Rate* rate : {&all_, FindOrAddRate(&runners_, runner), FindOrAddRate(&classes_, job_class)}) {
     if (rate == nullptr) continue;
-    Fade(rate, now);
+    Decay(rate, now);
     rate->tries += 1;
     rate->failed += what == Outcome::kFailed ? 1 : 0;
   }
@@ -50,13 +50,13 @@
   const auto it = of.find(which);
   if (it == of.end()) return 0;
   Rate rate = it->second;
-  Fade(&rate, now);
+  Decay(&rate, now);
   return rate.tries * members_;
 }
 
 std::uint8_t Background::WeightOf(const End& end, Time now) const {
   Rate all = all_;
-  Fade(&all, now);
+  Decay(&all, now);
   const Sign& sign = end.sign;
   if (sign.what == Outcome::kSucceeded) return 0;
   if (const auto it = explained_.find({sign.runner, sign.life});
@@ -65,7 +65,7 @@
   if (sign.what == Outcome::kFailed) {
     const auto it = classes_.find(end.job_class);
     Rate of_class = it == classes_.end() ? Rate{} : it->second;
-    Fade(&of_class, now);
+    Decay(&of_class, now);
     const double tier = (all.failed + kMinFailedRate * kTierPrior) / (all.tries + kTierPrior);
     const double here = (of_class.failed + tier * kClassPrior) / (of_class.tries + kClassPrior);
     return ToWeight(std::log(kFailedIfPoison / std::max({tier, here, kMinFailedRate})));
--- a/src/quarantine/background.h
+++ b/src/quarantine/background.h
@@ -55,7 +55,7 @@
     double tries = 0, failed = 0;
     Time at = 0;
   };
-  static void Fade(Rate* rate, Time now);
+  static void Decay(Rate* rate, Time now);
   double Tries(const std::map<std::uint32_t, Rate>& of, std::uint32_t which, Time now) const;
   Rate* FindOrAddRate(std::map<std::uint32_t, Rate>* of, std::uint32_t which);
 
--- a/src/quarantine/codec.cpp
+++ b/src/quarantine/codec.cpp
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now, std::size_t most) {
+std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now, std::size_t max_bytes) {
   std::string bytes;
   PutNumber(&bytes, job.high), PutNumber(&bytes, job.low);
   PutNumber(&bytes, ticket.tenant), PutNumber(&bytes, ticket.job_class);
@@ -68,7 +68,7 @@
     PutNumber(&bytes, dot.by), PutNumber(&bytes, dot.count);
     PutNumber(&bytes, static_cast<std::uint8_t>(dot.what)), PutNumber(&bytes, dot.until);
   }
-  if (bytes.size() + ticket.line.size() <= most) bytes += ticket.line;
+  if (bytes.size() + ticket.line.size() <= max_bytes) bytes += ticket.line;
   return bytes;
 }
 
--- a/src/quarantine/codec.h
+++ b/src/quarantine/codec.h
@@ -53,7 +53,8 @@
 // Encodes at most `most` bytes; the description line is omitted if it doesn't fit. Without it a record has at
 // most kMaxRecord bytes for any ticket.
 inline constexpr std::size_t kMaxRecord = 252;
-std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now, std::size_t most = kMaxRecord);
+std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now,
+                   std::size_t max_bytes = kMaxRecord);
 
 // Returns nullopt if the record is malformed.
 std::optional<std::pair<Fingerprint, Ticket>> Decode(std::string_view record, Time now);
--- a/src/quarantine/evidence.h
+++ b/src/quarantine/evidence.h
@@ -3,8 +3,8 @@
 // A sequential probability ratio test (Wald, "Sequential Tests of Statistical Hypotheses", Annals of
 // Mathematical Statistics 16, 1945). Hypotheses: the job kills its runners (a run ends badly with probability
 // kBadIfPoison), or it doesn't (a run ends badly as often as those of other jobs at that place and time,
-// background.h). Each sign carries the log likelihood ratio. Error rates: kInnocent, the probability that an
-// innocent job is condemned, and kMissed, that a poison job is cleared.
+// background.h). Each sign carries the log likelihood ratio. Error rates: kFalsePositiveRate, the probability
+// that an innocent job is condemned, and kFalseNegativeRate, that a poison job is cleared.
 //
 // One bad runner can't condemn a job: signs count once per runner and life, and further lives of a runner
 // count half. The set merges, so duplicated, delayed or reordered facts have no effect.
@@ -29,9 +29,10 @@
 };
 
 inline constexpr double kBadIfPoison = 0.9;
-inline constexpr double kInnocent = 1e-5, kMissed = 0.01;
-inline const double kCondemnAt = std::log((1 - kMissed) / kInnocent);  // 11.5
-inline const double kClearedAt = std::log(kMissed / (1 - kInnocent));  // -4.6: no longer watched
+inline constexpr double kFalsePositiveRate = 1e-5, kFalseNegativeRate = 0.01;
+inline const double kCondemnAt = std::log((1 - kFalseNegativeRate) / kFalsePositiveRate);  // 11.5
+inline const double kClearedAt =
+    std::log(kFalseNegativeRate / (1 - kFalsePositiveRate));  // -4.6: no longer watched
 inline constexpr double kSuspectAt = 4;  // from this value on, one run at a time in the whole tier
 inline constexpr double kMaxFailedWeight =
     3;  // sum of all `failed` signs: never reaches kSuspectAt by itself
--- a/src/quarantine/gossip.cpp
+++ b/src/quarantine/gossip.cpp
@@ -19,11 +19,11 @@
 class Packer {
  public:
   explicit Packer(MessageType type) : type_(type) {}
-  // Returns false if the ticket would need more than `most` bodies.
-  bool Add(const Fingerprint& job, const Ticket& ticket, Time now, int most) {
+  // Returns false if the ticket would need more than `max_bodies` bodies.
+  bool Add(const Fingerprint& job, const Ticket& ticket, Time now, int max_bodies) {
     const std::string record = Encode(job, ticket, now);
     if (bodies_.empty() || bodies_.back().size() + 1 + record.size() > PeerProtocol::kMaxBody) {
-      if (static_cast<int>(bodies_.size()) >= most) return false;
+      if (static_cast<int>(bodies_.size()) >= max_bodies) return false;
       bodies_.push_back(Head(type_));
     }
     PutNumber(&bodies_.back(), static_cast<std::uint8_t>(record.size()));
--- a/src/quarantine/gossip_hear.cpp
+++ b/src/quarantine/gossip_hear.cpp
@@ -82,13 +82,13 @@
 bool Gossip::HandleChecksums(int peer, std::string_view body, const Table& table) {
   if (body.size() < 4 * Table::kGroups || body.size() > 4 * Table::kGroups + 1) return false;
   ByteReader in(body);
-  std::vector<int> unlike;
+  std::vector<int> differing;
   for (int group = 0; group < Table::kGroups; ++group)
-    if (in.Number<std::uint32_t>() != table.GroupChecksum(group)) unlike.push_back(group);
-  if (unlike.empty()) fast_compares_ = 0;
-  const auto first = unlike.empty() ? 0 : random_(static_cast<std::uint32_t>(unlike.size()));
-  for (std::size_t i = 0; i < std::min<std::size_t>(unlike.size(), kMaxGroupsAnswered); ++i) {
-    const int group = unlike[(first + i) % unlike.size()];
+    if (in.Number<std::uint32_t>() != table.GroupChecksum(group)) differing.push_back(group);
+  if (differing.empty()) fast_compares_ = 0;
+  const auto first = differing.empty() ? 0 : random_(static_cast<std::uint32_t>(differing.size()));
+  for (std::size_t i = 0; i < std::min<std::size_t>(differing.size(), kMaxGroupsAnswered); ++i) {
+    const int group = differing[(first + i) % differing.size()];
     std::string answer = Head(kGroup);
     PutNumber(&answer, static_cast<std::uint8_t>(group));
     for (int leaf = 0; leaf < Table::kLeavesOfGroup; ++leaf)
--- a/src/quarantine/pages.cpp
+++ b/src/quarantine/pages.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 using nlohmann::json;
-using What = Quarantine::Owned::What;
+using What = Quarantine::DecisionResult::What;
 
 OwnerResponse Problem(int status, const char* type, const char* detail) {
   return {status, json{{"type", type}, {"detail", detail}}.dump()};
 }
 
-OwnerResponse ToAnswer(const Quarantine::Owned& owned, const Fingerprint& job) {
-  switch (owned.what) {
+OwnerResponse ToAnswer(const Quarantine::DecisionResult& result, const Fingerprint& job) {
+  switch (result.what) {
     case What::kDone:
       return {200, json{{"ticket", job.Ticket()},
-                        {"state", StateName(owned.state)},
-                        {"held_by", owned.holders},
-                        {"members", owned.members}}
+                        {"state", StateName(result.state)},
+                        {"held_by", result.holders},
+                        {"members", result.members}}
                        .dump()};
     case What::kNotFound:
       return Problem(404, "not-found", "this tenant has no such ticket");
@@ -29,7 +29,7 @@
       return Problem(
           409, "too-many-deciders",
           "too many dispatchers have decided on this ticket; use one that has decided on it before");
-    case What::kBadEnd:
+    case What::kInvalidEnd:
       return Problem(400, "bad-end", "days must be 1 to 30");
   }
   return {};
@@ -51,20 +51,20 @@
 }  // namespace
 
 OwnerResponse ListPage(const Quarantine& quarantine, std::string_view tenant, std::string_view after,
-                       int most, Time now) {
+                       int max_count, Time now) {
   Fingerprint from;
   if (!after.empty()) {
     const auto parsed = Fingerprint::Parse(after);
     if (!parsed) return Problem(400, "bad-ticket", "after must be 32 hexadecimal digits");
     from = *parsed;
   }
-  most = std::clamp(most, 1, kMaxPerPage);
-  const auto found = quarantine.List(ShortHash(tenant), from, most + 1);
+  max_count = std::clamp(max_count, 1, kMaxPerPage);
+  const auto found = quarantine.List(ShortHash(tenant), from, max_count + 1);
   json page{{"tickets", json::array()}};
-  for (std::size_t i = 0; i < std::min<std::size_t>(found.size(), static_cast<std::size_t>(most)); ++i)
+  for (std::size_t i = 0; i < std::min<std::size_t>(found.size(), static_cast<std::size_t>(max_count)); ++i)
     page["tickets"].push_back(Row(found[i].first, found[i].second, now));
-  if (found.size() > static_cast<std::size_t>(most))
-    page["next"] = found[static_cast<std::size_t>(most) - 1].first.Ticket();
+  if (found.size() > static_cast<std::size_t>(max_count))
+    page["next"] = found[static_cast<std::size_t>(max_count) - 1].first.Ticket();
   return {200, page.dump()};
 }
 
@@ -79,7 +79,7 @@
                           Time now) {
   const auto job = Fingerprint::Parse(ticket);
   if (!job) return ToAnswer({.what = What::kNotFound}, {});
-  if (days < 1 || days > 30) return ToAnswer({.what = What::kBadEnd}, {});
+  if (days < 1 || days > 30) return ToAnswer({.what = What::kInvalidEnd}, {});
   // Ends with a UTC day, so that a repeated request is the same decision.
   const std::uint32_t day = 24 * 3600;
   const std::uint32_t until = (UnixSeconds(now) / day + static_cast<std::uint32_t>(days)) * day;
--- a/src/quarantine/pages.h
+++ b/src/quarantine/pages.h
@@ -23,7 +23,7 @@
 inline constexpr int kMaxPerPage = 100;
 
 OwnerResponse ListPage(const Quarantine& quarantine, std::string_view tenant, std::string_view after,
-                       int most, Time now);
+                       int max_count, Time now);
 OwnerResponse ReleasePage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, Time now);
 OwnerResponse DiscardPage(Quarantine* quarantine, std::string_view tenant, std::string_view ticket, int days,
                           Time now);
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -17,8 +17,8 @@
 
 Quarantine::Quarantine(int own, std::uint64_t life, const Settings& settings)
     : own_(own),
-      by_(static_cast<std::uint32_t>(ShortHash(std::to_string(own) + " " + std::to_string(life)))),
-      table_(settings.most, settings.max_per_tenant),
+      writer_(static_cast<std::uint32_t>(ShortHash(std::to_string(own) + " " + std::to_string(life)))),
+      table_(settings.max_tickets, settings.max_per_tenant),
       gossip_(settings.seed) {}
 
 Quarantine::Verdict Quarantine::Admit(const Job& job, Time now) {
@@ -68,7 +68,7 @@
 
 Quarantine::Verdict Quarantine::StartRun(const Fingerprint& job, Ticket* ticket, State state, Time now) {
   const bool trial = state == State::kReleased;
-  if (trial && !ticket->decisions.Decide(by_, Decision::kOnTrial, 0))
+  if (trial && !ticket->decisions.Decide(writer_, Decision::kOnTrial, 0))
     return {.what = Verdict::What::kLater, .retry_after = kRetryWhileRunning, .home = ticket->home};
   Attempt& attempt = ticket->attempt;
   if (attempt.running && attempt.lost < UINT8_MAX) ++attempt.lost;
@@ -96,8 +96,8 @@
 void Quarantine::Ended(const Job& job, const Runner& runner, Outcome outcome, Time now) {
   now_ = now;
   RecordCall(now);
-  if (const auto flight = running_.find(job.fingerprint); flight != running_.end() && --flight->second <= 0)
-    running_.erase(flight);
+  if (const auto run = running_.find(job.fingerprint); run != running_.end() && --run->second <= 0)
+    running_.erase(run);
   Sign sign{.runner = static_cast<std::uint32_t>(ShortHash(runner.name)),
             .life = static_cast<std::uint16_t>(runner.life ^ runner.life >> 16 ^ runner.life >> 32),
             .runner_kind = static_cast<std::uint8_t>(runner.kind),
@@ -139,12 +139,12 @@
     ticket->attempt.running = false;
   if (claim->second.trial && claim->second.generation == ticket->generation) {
     if (outcome == Outcome::kSucceeded) {
-      if (ticket->decisions.Decide(by_, Decision::kCleared, 0)) {
+      if (ticket->decisions.Decide(writer_, Decision::kCleared, 0)) {
         ticket->generation += 1;
         ticket->evidence = {}, ticket->condemned_until = 0, ticket->attempt.lost = 0;
       }
     } else if (outcome == Outcome::kNothing) {
-      ticket->decisions.Decide(by_, Decision::kReleased, 0);
+      ticket->decisions.Decide(writer_, Decision::kReleased, 0);
     } else {
       RecordFailedTrial(ticket, now);
     }
@@ -155,7 +155,7 @@
 
 void Quarantine::RecordFailedTrial(Ticket* ticket, Time now) {
   const std::uint32_t until = UnixSeconds(now) + kQuarantineSeconds;
-  ticket->decisions.Decide(by_, Decision::kTrialFailed, until);
+  ticket->decisions.Decide(writer_, Decision::kTrialFailed, until);
   ticket->condemned_until = std::max(ticket->condemned_until, until);
   if (ticket->failed_trials < UINT8_MAX) ++ticket->failed_trials;
 }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -54,7 +54,7 @@
   static constexpr std::size_t kMaxRunning = 65536, kMaxQueued = 256;
 
   struct Settings {
-    std::size_t most = 10000, max_per_tenant = 1000;  // tickets
+    std::size_t max_tickets = 10000, max_per_tenant = 1000;  // tickets
     std::uint64_t seed = 1;
   };
 
@@ -92,13 +92,13 @@
                   reports_dropped = 0;
   };
 
-  struct Owned {
+  struct DecisionResult {
     enum class What : std::uint8_t {
       kDone,
       kNotFound,
       kNotHeld,
       kTooManyWriters,
-      kBadEnd
+      kInvalidEnd
     } what = What::kDone;
     State state = State::kWatched;
     int holders = 0, members = 0;  // members that have the decision, and all counted members
@@ -114,11 +114,11 @@
 
   // Owners' decisions. Another tenant's ticket gives kNotFound. `until` is in Unix seconds and must lie in
   // the future.
-  Owned Release(std::uint64_t tenant, const Fingerprint& ticket, Time now);
-  Owned Discard(std::uint64_t tenant, const Fingerprint& ticket, std::uint32_t until, Time now);
-  // Up to `most` tickets of a tenant, those after `after`.
+  DecisionResult Release(std::uint64_t tenant, const Fingerprint& ticket, Time now);
+  DecisionResult Discard(std::uint64_t tenant, const Fingerprint& ticket, std::uint32_t until, Time now);
+  // Up to `max_count` tickets of a tenant, those after `after`.
   std::vector<std::pair<Fingerprint, Ticket>> List(std::uint64_t tenant, const Fingerprint& after,
-                                                   int most) const;
+                                                   int max_count) const;
 
   std::vector<TakenBack> TakeTakenBack() { return std::exchange(taken_back_, {}); }
   std::vector<Change> TakeChanges() { return std::exchange(changes_, {}); }
@@ -164,11 +164,13 @@
   void OnCondemned(const Fingerprint& job, const Ticket& ticket, Time now);
   void MaintainClaims(Time now);
   void RecordFailedTrial(Ticket* ticket, Time now);
-  Owned MakeAnswer(const Fingerprint& job, const Ticket& ticket, Owned::What what, Time now) const;
-  Owned RecordDecision(const Fingerprint& job, Ticket* ticket, Decision what, std::uint32_t until, Time now);
+  DecisionResult MakeAnswer(const Fingerprint& job, const Ticket& ticket, DecisionResult::What what,
+                            Time now) const;
+  DecisionResult RecordDecision(const Fingerprint& job, Ticket* ticket, Decision what, std::uint32_t until,
+                                Time now);
 
   const int own_;
-  const std::uint32_t by_;  // writer of decisions taken here
+  const std::uint32_t writer_;  // writer of decisions taken here
   Table table_;
   Background background_;
   Homes homes_;
--- a/src/quarantine/quarantine_shared.cpp
+++ b/src/quarantine/quarantine_shared.cpp
@@ -108,34 +108,34 @@
     if (Ticket* ticket = table_.Find(job)) homes_.SetHome(job, ticket, now);
 }
 
-Quarantine::Owned Quarantine::MakeAnswer(const Fingerprint& job, const Ticket& ticket, Owned::What what,
-                                         Time now) const {
+Quarantine::DecisionResult Quarantine::MakeAnswer(const Fingerprint& job, const Ticket& ticket,
+                                                  DecisionResult::What what, Time now) const {
   return {.what = what,
           .state = ticket.StateAt(now),
           .holders = gossip_.Holders(job, ticket),
           .members = homes_.members()};
 }
 
-Quarantine::Owned Quarantine::RecordDecision(const Fingerprint& job, Ticket* ticket, Decision what,
-                                             std::uint32_t until, Time now) {
+Quarantine::DecisionResult Quarantine::RecordDecision(const Fingerprint& job, Ticket* ticket, Decision what,
+                                                      std::uint32_t until, Time now) {
   const State before = ticket->StateAt(now);
   const bool was_condemned = ticket->condemned(now);
-  if (!ticket->decisions.Decide(by_, what, until))
-    return MakeAnswer(job, *ticket, Owned::What::kTooManyWriters, now);
+  if (!ticket->decisions.Decide(writer_, what, until))
+    return MakeAnswer(job, *ticket, DecisionResult::What::kTooManyWriters, now);
   ApplyChange(job, ticket, before, was_condemned, true, now);
   gossip_.CountHolders(job, *ticket, now);
-  return MakeAnswer(job, *ticket, Owned::What::kDone, now);
+  return MakeAnswer(job, *ticket, DecisionResult::What::kDone, now);
 }
 
-Quarantine::Owned Quarantine::Release(std::uint64_t tenant, const Fingerprint& job, Time now) {
+Quarantine::DecisionResult Quarantine::Release(std::uint64_t tenant, const Fingerprint& job, Time now) {
   now_ = now;
   Ticket* ticket = table_.Find(job);
-  if (ticket == nullptr || ticket->tenant != tenant) return {.what = Owned::What::kNotFound};
+  if (ticket == nullptr || ticket->tenant != tenant) return {.what = DecisionResult::What::kNotFound};
   switch (ticket->StateAt(now)) {
     case State::kReleased:
     case State::kOnTrial:
       gossip_.CountHolders(job, *ticket, now);
-      return MakeAnswer(job, *ticket, Owned::What::kDone, now);
+      return MakeAnswer(job, *ticket, DecisionResult::What::kDone, now);
     case State::kQuarantined:
     case State::kDiscarded:
       return RecordDecision(job, ticket, Decision::kReleased, 0, now);
@@ -143,29 +143,29 @@
     case State::kSuspected:
       break;
   }
-  return MakeAnswer(job, *ticket, Owned::What::kNotHeld, now);
+  return MakeAnswer(job, *ticket, DecisionResult::What::kNotHeld, now);
 }
 
-Quarantine::Owned Quarantine::Discard(std::uint64_t tenant, const Fingerprint& job, std::uint32_t until,
-                                      Time now) {
+Quarantine::DecisionResult Quarantine::Discard(std::uint64_t tenant, const Fingerprint& job,
+                                               std::uint32_t until, Time now) {
   now_ = now;
   Ticket* ticket = table_.Find(job);
-  if (ticket == nullptr || ticket->tenant != tenant) return {.what = Owned::What::kNotFound};
+  if (ticket == nullptr || ticket->tenant != tenant) return {.what = DecisionResult::What::kNotFound};
   if (until <= UnixSeconds(now) || until > UnixSeconds(now) + kMaxDiscardSeconds)
-    return MakeAnswer(job, *ticket, Owned::What::kBadEnd, now);
+    return MakeAnswer(job, *ticket, DecisionResult::What::kInvalidEnd, now);
   const Decisions::Dot status = ticket->decisions.Current(UnixSeconds(now));
   if (status.what == Decision::kDiscarded && status.until == until) {
     gossip_.CountHolders(job, *ticket, now);
-    return MakeAnswer(job, *ticket, Owned::What::kDone, now);
+    return MakeAnswer(job, *ticket, DecisionResult::What::kDone, now);
   }
   return RecordDecision(job, ticket, Decision::kDiscarded, until, now);
 }
 
 std::vector<std::pair<Fingerprint, Ticket>> Quarantine::List(std::uint64_t tenant, const Fingerprint& after,
-                                                             int most) const {
+                                                             int max_count) const {
   std::vector<std::pair<Fingerprint, Ticket>> found;
   for (auto it = table_.all().upper_bound(after);
-       it != table_.all().end() && static_cast<int>(found.size()) < most; ++it)
+       it != table_.all().end() && static_cast<int>(found.size()) < max_count; ++it)
     if (it->second.tenant == tenant) found.push_back(*it);
   return found;
 }
--- a/src/quarantine/snapshot.cpp
+++ b/src/quarantine/snapshot.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kMagic = "LLQUARAN";
 constexpr std::uint16_t kVersion = 1;
-constexpr std::size_t kSum = 8, kMaxRecordInSnapshot = 1024;
+constexpr std::size_t kChecksumBytes = 8, kMaxRecordInSnapshot = 1024;
 
 class Category : public std::error_category {
  public:
@@ -61,18 +61,18 @@
   if (version != kVersion) return {{}, version > kVersion ? SnapshotError::kNewer : SnapshotError::kOlder};
   const auto written = static_cast<Time>(in.Number<std::uint64_t>());
   const auto count = in.Number<std::uint32_t>();
-  if (!in.good() || in.left() < kSum) return {{}, SnapshotError::kCutShort};
+  if (!in.good() || in.left() < kChecksumBytes) return {{}, SnapshotError::kCutShort};
   Snapshot read;
   for (std::uint32_t i = 0; i < count; ++i) {
     const auto size = in.Number<std::uint16_t>();
     const std::string_view record = in.Text(size);
-    if (!in.good() || in.left() < kSum) return {{}, SnapshotError::kCutShort};
+    if (!in.good() || in.left() < kChecksumBytes) return {{}, SnapshotError::kCutShort};
     auto ticket = Decode(record, written);
     if (!ticket) return {{}, SnapshotError::kDamaged};
     read.tickets.push_back(std::move(*ticket));
   }
   const std::string_view summed = bytes.substr(0, bytes.size() - in.left());
-  if (in.left() != kSum || in.Number<std::uint64_t>() != XXH3_64bits(summed.data(), summed.size()))
+  if (in.left() != kChecksumBytes || in.Number<std::uint64_t>() != XXH3_64bits(summed.data(), summed.size()))
     return {{}, SnapshotError::kDamaged};
   return read;
 }
--- a/src/quarantine/table.h
+++ b/src/quarantine/table.h
@@ -19,7 +19,8 @@
   // Checksums: one leaf for each 1,024th of the fingerprint space, 32 leaves in a group.
   static constexpr int kGroups = 32, kLeavesOfGroup = 32;
 
-  Table(std::size_t most, std::size_t max_per_tenant) : max_(most), max_per_tenant_(max_per_tenant) {}
+  Table(std::size_t max_tickets, std::size_t max_per_tenant)
+      : max_(max_tickets), max_per_tenant_(max_per_tenant) {}
 
   Ticket* Find(const Fingerprint& job);
   const Ticket* Find(const Fingerprint& job) const;
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -70,10 +70,10 @@
   EXPECT_EQ(one.Run(poison, {.name = "a", .life = 1}, Outcome::kDied), What::kRun);
   EXPECT_EQ(one.Run(poison, {.name = "b", .life = 1}, Outcome::kHung), What::kRunAlone);
   EXPECT_EQ(one.Run(poison, {.name = "c", .life = 1}, Outcome::kDied), What::kQuarantined);
-  const auto runners_lost = one.quarantine.TakeTakenBack();
-  ASSERT_EQ(runners_lost.size(), 2u);
-  EXPECT_EQ(runners_lost[0].runner, "a");
-  EXPECT_EQ(runners_lost[1].job_class, poison.job_class);
+  const auto taken_back = one.quarantine.TakeTakenBack();
+  ASSERT_EQ(taken_back.size(), 2u);
+  EXPECT_EQ(taken_back[0].runner, "a");
+  EXPECT_EQ(taken_back[1].job_class, poison.job_class);
   EXPECT_EQ(one.quarantine.TakeChanges().back().to, State::kQuarantined);
 }
 
@@ -164,7 +164,7 @@
   const Job job = JobNamed("o");
   one.Condemn(job);
   EXPECT_EQ(one.quarantine.Release(ShortHash("u"), job.fingerprint, one.now).what,
-            Quarantine::Owned::What::kNotFound);
+            Quarantine::DecisionResult::What::kNotFound);
   one.quarantine.Release(job.tenant, job.fingerprint, one.now);
   EXPECT_EQ(one.quarantine.Admit(job, one.now).what, What::kRunAlone);
   EXPECT_EQ(one.quarantine.Admit(job, one.now).what, What::kLater);
@@ -210,7 +210,7 @@
 }
 
 TEST(QuarantineBounds, ATenantPushesOutItsOwnOldestSuspicionsOnly) {
-  SingleDispatcher one({.most = 60, .max_per_tenant = 10});
+  SingleDispatcher one({.max_tickets = 60, .max_per_tenant = 10});
   one.Condemn(JobNamed("kept"));
   one.quarantine.Ended(JobNamed("hers", "u"), {.name = "z", .life = 1}, Outcome::kDied, one.now);
   for (int i = 0; i < 100; ++i)
@@ -220,7 +220,7 @@
   EXPECT_EQ(one.Of(JobNamed("kept")), State::kQuarantined);
   EXPECT_NE(one.quarantine.table().Find(JobNamed("hers", "u").fingerprint), nullptr);
   EXPECT_EQ(one.quarantine.table().Find(JobNamed("o0").fingerprint), nullptr);
-  SingleDispatcher full({.most = 60, .max_per_tenant = 2});
+  SingleDispatcher full({.max_tickets = 60, .max_per_tenant = 2});
   for (const char* name : {"a", "b"}) full.Condemn(JobNamed(name));
   full.quarantine.Ended(JobNamed("c"), {.name = "z", .life = 1}, Outcome::kDied, full.now);
   EXPECT_EQ(full.Run(JobNamed("c"), {.name = "y", .life = 1}, Outcome::kDied), What::kRun);
--- a/tests/quarantine_world.h
+++ b/tests/quarantine_world.h
@@ -128,9 +128,9 @@
       if (it.paused_until != 0 && now >= it.paused_until && now - it.paused_until < kStep) Changed();
       if (Awake(i) && it.view_at != 0 && now >= it.view_at) it.view_at = 0, ShowView(i);
     }
-    std::vector<InFlight> flying;
-    flying.swap(in_flight_);
-    for (InFlight& datagram : flying) {
+    std::vector<InFlight> datagrams_before;
+    datagrams_before.swap(in_flight_);
+    for (InFlight& datagram : datagrams_before) {
       if (datagram.at > now || (node(datagram.to).alive && !Awake(datagram.to)))
         in_flight_.push_back(std::move(datagram));
       else if (Awake(datagram.to) && node(datagram.from).partition == node(datagram.to).partition)
