--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -51,7 +51,7 @@
   }
 };
 
-TEST(QuarantineFingerprint, AMendedBodyIsAnotherJobAndPartsDoNotRunTogether) {
+TEST(QuarantineFingerprint, ChangedBodyIsAnotherJobAndPartBoundariesMatter) {
   const JobParts job{"t", "c", "POST", "/a?b", "o", "body"};
   JobParts corrected = job, shifted = job;
   corrected.body = "bodY";
@@ -64,7 +64,7 @@
   EXPECT_EQ(DescriptionOf({"t", "c", "GET", std::string(1000, 'x'), "o", ""}).size(), kMaxDescription);
 }
 
-TEST(QuarantineJudgement, APoisonTakesTwoRunnersAndIsTakenBackFromTheirRecord) {
+TEST(QuarantineEvidence, PoisonJobCostsTwoRunnersAndTheirFailuresAreTakenBack) {
   SingleDispatcher one;
   const Job poison = JobNamed("bad");
   EXPECT_EQ(one.Run(poison, {.name = "a", .life = 1}, Outcome::kDied), What::kRun);
@@ -77,7 +77,7 @@
   EXPECT_EQ(one.quarantine.TakeChanges().back().to, State::kQuarantined);
 }
 
-TEST(QuarantineJudgement, CleanFailuresNeverHoldAJob) {
+TEST(QuarantineEvidence, FailedAnswersAloneNeverQuarantineAJob) {
   SingleDispatcher one;
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(one.Run(JobNamed("bad data"), {.name = "r" + std::to_string(i), .life = 1}, Outcome::kFailed),
@@ -89,7 +89,7 @@
   EXPECT_NE(one.Of(JobNamed("bad data")), State::kQuarantined);
 }
 
-TEST(QuarantineJudgement, ARunnerThatKillsEverybodyCondemnsNobody) {
+TEST(QuarantineEvidence, BadRunnerCondemnsNoJob) {
   SingleDispatcher one;
   for (std::uint64_t life = 1; life < 40; ++life) {
     one.now += kSecond;
@@ -98,7 +98,7 @@
   for (int i = 0; i < 13; ++i) EXPECT_NE(one.Of(JobNamed("o" + std::to_string(i))), State::kQuarantined) << i;
 }
 
-TEST(QuarantineJudgement, AZoneThatFallsTwiceCondemnsNobody) {
+TEST(QuarantineEvidence, RepeatedZoneFailureCondemnsNoJob) {
   SingleDispatcher one;
   for (const char* fall : {"x", "y"}) {
     for (int i = 0; i < 20; ++i)
@@ -110,7 +110,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(one.Of(JobNamed("o" + std::to_string(i))), State::kWatched) << i;
 }
 
-TEST(QuarantineJudgement, ABadClassCondemnsNobody) {
+TEST(QuarantineEvidence, BadJobClassCondemnsNoJob) {
   SingleDispatcher one;
   for (int i = 0; i < 300; ++i) {
     one.now += 200 * kMillisecond;
@@ -120,7 +120,7 @@
   EXPECT_EQ(one.quarantine.counters().condemned, 0u);
 }
 
-TEST(QuarantineJudgement, APoisonOfOneKindOfRunnerIsNotClearedByTheOthers) {
+TEST(QuarantineEvidence, SuccessOnOtherRunnerKindsDoesNotClearAPoisonJob) {
   SingleDispatcher one;
   const Job poison = JobNamed("bad");
   for (int i = 0; i < 6; ++i) {
@@ -132,7 +132,7 @@
   EXPECT_EQ(one.quarantine.table().Find(poison.fingerprint)->strikes(), 2);
 }
 
-TEST(QuarantineJudgement, TwoPoisonsByTurnsAreTwoAndTheirCompanionsAreCleared) {
+TEST(QuarantineEvidence, AlternatingPoisonJobsAreBothCondemnedAndOthersCleared) {
   SingleDispatcher one;
   const Job a = JobNamed("a"), b = JobNamed("b"), beside = JobNamed("beside");
   for (int i = 0; i < 2; ++i) {
@@ -151,7 +151,7 @@
   EXPECT_EQ(one.Of(beside), State::kWatched);
 }
 
-TEST(QuarantineJudgement, EvidenceFades) {
+TEST(QuarantineEvidence, EvidenceDecays) {
   SingleDispatcher one;
   one.Run(JobNamed("o"), {.name = "a", .life = 1}, Outcome::kDied);
   EXPECT_EQ(one.Of(JobNamed("o")), State::kSuspected);
@@ -159,7 +159,7 @@
   EXPECT_EQ(one.Of(JobNamed("o")), State::kWatched);
 }
 
-TEST(QuarantineOwners, AReleaseIsOneTrialAndOnlyItsSuccessClears) {
+TEST(QuarantineOwners, ReleasePermitsOneTrialAndOnlyItsSuccessClears) {
   SingleDispatcher one;
   const Job job = JobNamed("o");
   one.Condemn(job);
@@ -178,7 +178,7 @@
   EXPECT_EQ(one.Run(job, {.name = "q", .life = 2}, Outcome::kSucceeded), What::kRun);
 }
 
-TEST(QuarantineOwners, ADiscardStandsUntilItsEnd) {
+TEST(QuarantineOwners, DiscardHoldsUntilItsEnd) {
   SingleDispatcher one;
   const Job job = JobNamed("o");
   one.Condemn(job);
@@ -191,7 +191,7 @@
   EXPECT_EQ(one.quarantine.Admit(job, one.now + 101 * kSecond).what, What::kQuarantined);
 }
 
-TEST(QuarantineOwners, PagesShowTheOwnTenantsOnly) {
+TEST(QuarantineOwners, PagesShowOnlyTheTenantsOwnTickets) {
   SingleDispatcher one;
   for (int i = 0; i < 5; ++i) one.Condemn(JobNamed("o" + std::to_string(i)));
   one.Condemn(JobNamed("hers", "u"));
@@ -209,7 +209,7 @@
   EXPECT_EQ(ListPage(one.quarantine, "t", "xyz", 3, one.now).status, 400);
 }
 
-TEST(QuarantineBounds, ATenantPushesOutItsOwnOldestSuspicionsOnly) {
+TEST(QuarantineBounds, TenantEvictsOnlyItsOwnOldestSuspicions) {
   SingleDispatcher one({.max_tickets = 60, .max_per_tenant = 10});
   one.Condemn(JobNamed("kept"));
   one.quarantine.Ended(JobNamed("hers", "u"), {.name = "z", .life = 1}, Outcome::kDied, one.now);
@@ -277,7 +277,7 @@
   }));
 }
 
-TEST(QuarantineMerge, DiscardWinsOverAReleaseThatDidNotKnowItAndLaterOnesThatDid) {
+TEST(QuarantineMerge, DiscardBeatsAConcurrentReleaseButNotALaterOne) {
   Decisions before, release, discard;
   before.Decide(1, Decision::kTrialFailed, UINT32_MAX);
   release = discard = before;
@@ -294,7 +294,7 @@
   EXPECT_EQ(later.Current(1).what, Decision::kReleased);
 }
 
-TEST(QuarantineBytes, AnyTicketFitsADatagramAndReadsBack) {
+TEST(QuarantineBytes, AnyTicketFitsADatagramAndRoundTrips) {
   EXPECT_TRUE(rc::check("codec", [](std::uint64_t seed) {
     pcg32 random(seed);
     const Ticket a = RandomTicket(&random);
@@ -308,7 +308,7 @@
   }));
 }
 
-TEST(QuarantineBytes, RubbishChangesNothing) {
+TEST(QuarantineBytes, MalformedMessagesChangeNothing) {
   SingleDispatcher one;
   one.Condemn(JobNamed("o"));
   const std::string before = WriteSnapshot(one.quarantine.table(), one.now);
@@ -324,7 +324,7 @@
   EXPECT_GT(one.quarantine.counters().malformed, 5000u);
 }
 
-TEST(QuarantineSnapshot, CutAtAnyByteFlippedOrNewerIsToldAndStartsEmpty) {
+TEST(QuarantineSnapshot, TruncatedCorruptedOrNewerFileGivesAnErrorAndNoTickets) {
   SingleDispatcher one;
   for (int i = 0; i < 4; ++i) one.Condemn(JobNamed("o" + std::to_string(i)));
   const std::string bytes = WriteSnapshot(one.quarantine.table(), one.now);
@@ -350,7 +350,7 @@
   EXPECT_EQ(next.quarantine.Admit(JobNamed("o1"), next.now).what, What::kQuarantined);
 }
 
-TEST(QuarantineStore, SavesAndSaysWhatCanBeDone) {
+TEST(QuarantineStore, SavesAtomicallyAndErrorsNameARemedy) {
   const auto folder =
       std::filesystem::temp_directory_path() / ("lichenlug-store-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
--- a/tests/quarantine_tier_test.cpp
+++ b/tests/quarantine_tier_test.cpp
@@ -43,7 +43,7 @@
     ASSERT_EQ(tier->StateAt(i, kPoison), state) << "at " << i << " seed " << seed;
 }
 
-TEST(QuarantineTier, HarmIsBoundedWhateverHappensToItsHome) {
+TEST(QuarantineTier, LostRunnersAreBoundedWhateverHappensToTheHome) {
   int worst = 0, worst_cut = 0;
   for (int seed = 1; seed <= kSchedules; ++seed) {
     SimulatedTier tier(3 + seed % 4, static_cast<std::uint64_t>(seed));
@@ -71,7 +71,7 @@
   EXPECT_GE(worst_cut, 3);
 }
 
-TEST(QuarantineTier, AReleaseIsOneTrialInTheTierAndAtMostOneAPart) {
+TEST(QuarantineTier, ReleasePermitsOneTrialPerTierAndAtMostOnePerPartition) {
   for (int seed = 1; seed <= kSchedules; ++seed) {
     SimulatedTier tier(3 + seed % 4, static_cast<std::uint64_t>(seed));
     FirstEvidence(&tier);
@@ -93,7 +93,7 @@
   }
 }
 
-TEST(QuarantineTier, ADecisionThatMoreThanOneHaveIsNotLost) {
+TEST(QuarantineTier, DecisionHeldByTwoDispatchersSurvivesACrash) {
   int acknowledged = 0;
   for (int seed = 1; seed <= kSchedules / 5; ++seed) {
     SimulatedTier tier(4 + seed % 4, static_cast<std::uint64_t>(seed));
@@ -122,7 +122,7 @@
   EXPECT_GT(acknowledged, kSchedules / 20);
 }
 
-TEST(QuarantineTier, ManyDispatchersThatMeetItAtOnceLoseNoMoreRunners) {
+TEST(QuarantineTier, ConcurrentSubmissionsAtManyDispatchersLoseNoMoreRunners) {
   SimulatedTier tier(60, 3);
   tier.Submit(17, kPoison, Outcome::kDied);
   while (!tier.runs.empty()) tier.Step();
@@ -130,7 +130,7 @@
   EXPECT_LE(1 + SubmitFor(&tier, 60 * kSecond, Outcome::kDied), 3);
 }
 
-TEST(QuarantineTier, ARestartedDispatcherHearsAllTicketsAndAnIdleTierIsQuiet) {
+TEST(QuarantineTier, RestartedDispatcherReceivesAllTicketsAndIdleTierSendsLittle) {
   SimulatedTier tier(4, 9);
   std::vector<Job> jobs;
   for (int i = 0; i < 300; ++i) {
