--- a/src/quarantine/background.h
+++ b/src/quarantine/background.h
@@ -36,9 +36,10 @@
   };
 
   void SetMembers(int members) { members_ = members < 1 ? 1 : members; }
-  void RecordRun(std::uint32_t runner, std::uint32_t job_class, Outcome what,
-                 Time now);    // a local run of any job
-  void Ended(const End& end);  // a bad end, seen locally or received from a peer
+  // Records a local run of any job.
+  void RecordRun(std::uint32_t runner, std::uint32_t job_class, Outcome what, Time now);
+  // Records a bad end, seen locally or received from a peer.
+  void Ended(const End& end);
 
   // The log likelihood ratio for this end, in sixteenths; 0 if other jobs fared as badly.
   std::uint8_t WeightOf(const End& end, Time now) const;
--- a/src/quarantine/evidence.h
+++ b/src/quarantine/evidence.h
@@ -31,8 +31,8 @@
 inline constexpr double kBadIfPoison = 0.9;
 inline constexpr double kFalsePositiveRate = 1e-5, kFalseNegativeRate = 0.01;
 inline const double kCondemnAt = std::log((1 - kFalseNegativeRate) / kFalsePositiveRate);  // 11.5
-inline const double kClearedAt =
-    std::log(kFalseNegativeRate / (1 - kFalsePositiveRate));  // -4.6: no longer watched
+// -4.6: no longer watched.
+inline const double kClearedAt = std::log(kFalseNegativeRate / (1 - kFalsePositiveRate));
 inline constexpr double kSuspectAt = 4;  // from this value on, one run at a time in the whole tier
 inline constexpr double kMaxFailedWeight =
     3;  // sum of all `failed` signs: never reaches kSuspectAt by itself
--- a/src/quarantine/gossip.h
+++ b/src/quarantine/gossip.h
@@ -53,7 +53,7 @@
   Time DueAt(Time now) const;
   std::vector<PeerProtocol::Datagram> MakeDatagrams(const Table& table, Time now);
   // Returns false if the message is malformed. The caller merges the returned tickets and calls Acknowledge
-  // for each merged one that is `wanted`.
+  // for each merged one with `acknowledge` set.
   bool HandleMessage(int peer, std::string_view body, const Table& table, Time now,
                      std::vector<ReceivedTicket>* tickets);
   void Acknowledge(int peer, const Fingerprint& job, const Decisions& received);
@@ -88,7 +88,7 @@
   int own_ = 0;
   std::vector<int> peers_;
   std::map<Fingerprint, int> dirty_;    // rounds left
-  std::deque<Fingerprint> send_order_;  // send order of dirty_
+  std::deque<Fingerprint> send_order_;  // jobs of dirty_
   std::deque<Fingerprint> urgent_;
   std::deque<std::pair<int, Fingerprint>> missing_;  // by the peer that lacks it
   std::map<Fingerprint, PendingDecision> pending_;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -156,8 +156,8 @@
   void Remember(const Job& job, const Runner& runner, std::uint32_t runner_hash);
   void AddSign(const Fingerprint& job, Ticket* ticket, const Sign& sign, Time now);
   void AddBadEnd(const Background::End& end, Time now);  // for a new bad end: reweighs the ends near it
-  bool MergeTicket(const Fingerprint& job, const Ticket& received,
-                   Time now);  // false if the ticket was rejected
+  // Returns false if the ticket was rejected.
+  bool MergeTicket(const Fingerprint& job, const Ticket& received, Time now);
   // Call after each change of a ticket: condemns it if needed, updates its checksum and gossips it.
   void ApplyChange(const Fingerprint& job, Ticket* ticket, State before, bool was_condemned, bool urgent,
                    Time now);
@@ -170,7 +170,7 @@
                                 Time now);
 
   const int own_;
-  const std::uint32_t writer_;  // writer of decisions taken here
+  const std::uint32_t writer_;  // identifies this dispatcher and life in decisions
   Table table_;
   Background background_;
   Homes homes_;
