--- a/src/checkpoints/checkpoints.cpp
+++ b/src/checkpoints/checkpoints.cpp
@@ -186,7 +186,7 @@
   for (const auto& [id, running] : jobs_) wishes.push_back({running.facts.tenant, MakeJob(running, now)});
   const double all = static_cast<double>(lending_.Allowed(now)) * kMillionth;
   const double allowed = std::max(0.0, all - static_cast<double>(lending_.Yield(now)) * kMillionth);
-  const DealResult dealt = Deal(&wishes, allowed);
+  const DealResult allocation = Deal(&wishes, allowed);
   const double reserved = static_cast<double>(lending_.reserved(now)) * kMillionth;
   double then_left = reserved;
   for (const auto& [id, running] : jobs_) then_left -= running.then_rate;
@@ -199,7 +199,7 @@
   const auto update = [&](JobId id, double rate) {
     Running& running = jobs_[id];
     then_left += running.then_rate;
-    const double part = dealt.given <= reserved ? rate : reserved * rate / dealt.given;
+    const double part = allocation.given <= reserved ? rate : reserved * rate / allocation.given;
     SetRate(&running, rate, std::max(0.0, std::min(part, then_left)), now);
     then_left -= running.then_rate;
     updates.emplace_back(id, running.plan);
@@ -213,7 +213,7 @@
     const bool gains = old - fresh > settings_.update_cost * wish.job.worth_a_second + old / 20;
     const bool expires =
         running.then_rate < 0.999 * running.rate && running.plan.until - now < Lending::kLease / 2;
-    const bool over = dealt.wanted > allowed && wish.given < 0.9 * has;
+    const bool over = allocation.wanted > allowed && wish.given < 0.9 * has;
     if (!gains && !expires && !over) continue;
     const double rate = gains || over ? wish.given : has;
     if (rate <= HeldRate(running, now) * (1 + 1e-12)) {
@@ -230,9 +230,9 @@
   }
   const double used = Committed(now);
   lending_.SetDemand(static_cast<Amount>(std::ceil(used / kMillionth)),
-                     static_cast<Amount>(std::max(0.0, dealt.wanted - allowed) / kMillionth), dealt.gain,
-                     now);
-  if (dealt.wanted > allowed) ScheduleSend(now);
+                     static_cast<Amount>(std::max(0.0, allocation.wanted - allowed) / kMillionth),
+                     allocation.gain, now);
+  if (allocation.wanted > allowed) ScheduleSend(now);
   return updates;
 }
 
--- a/src/checkpoints/lending.cpp
+++ b/src/checkpoints/lending.cpp
@@ -40,10 +40,10 @@
 Amount Lending::LentOut(Time now) const {
   Amount sum = 0;
   for (const auto& [peer, borrower] : borrowers_) {
-    Amount most = 0;
+    Amount max_amount = 0;
     for (const Lent& lease : borrower.leases)
-      if (now < lease.end) most = std::max(most, lease.amount);
-    sum += most;
+      if (now < lease.end) max_amount = std::max(max_amount, lease.amount);
+    sum += max_amount;
   }
   return sum;
 }
@@ -63,9 +63,9 @@
   return end;
 }
 
-void Lending::SetDemand(Amount used, Amount more, double gain, Time now) {
-  used_ = used, more_ = more, gain_ = gain;
-  if (more_ > 0) next_request_ = std::max(next_request_, now);
+void Lending::SetDemand(Amount used, Amount additional, double gain, Time now) {
+  used_ = used, additional_ = additional, gain_ = gain;
+  if (additional_ > 0) next_request_ = std::max(next_request_, now);
 }
 
 std::vector<PeerProtocol::Datagram> Lending::MakeRequests(const TierView& tier, Time now) {
@@ -74,12 +74,12 @@
   Amount borrowed = 0;
   for (const auto& [peer, lender] : lenders_)
     if (now < lender.end) borrowed += lender.amount;
-  const Amount needed = std::min(borrowed, std::max<Amount>(0, used_ - (own_ - LentOut(now)))) + more_;
+  const Amount needed = std::min(borrowed, std::max<Amount>(0, used_ - (own_ - LentOut(now)))) + additional_;
   if (needed <= 0 || now < next_request_ || now < quiet_until_ || tier.members.empty()) return datagrams;
   next_request_ = now + kRequestPeriod;
   const auto request = [&](int peer, Amount amount) {
     Lender& lender = lenders_[peer];
-    lender.request = ++requests_, lender.asked = now;
+    lender.request = ++requests_, lender.requested_at = now;
     std::string body(1, kRequestMessage);
     Append(&body, lender.request, 4), Append(&body, life_, 8);
     Append(&body, static_cast<std::uint64_t>(amount), 8),
@@ -88,18 +88,18 @@
   };
   for (const auto& [peer, lender] : lenders_)
     if (now < lender.end && lender.amount > 0 && lender.end - now < kLease / 2 &&
-        now - lender.asked > kRequestPeriod)
-      request(peer, lender.amount + more_ / kMaxConcurrentRequests);
-  if (more_ <= 0) return datagrams;
+        now - lender.requested_at > kRequestPeriod)
+      request(peer, lender.amount + additional_ / kMaxConcurrentRequests);
+  if (additional_ <= 0) return datagrams;
   const int size = static_cast<int>(tier.members.size());
-  for (int i = 0, asked = 0; i < size && asked < kMaxConcurrentRequests; ++i) {
+  for (int i = 0, sent = 0; i < size && sent < kMaxConcurrentRequests; ++i) {
     next_peer_ = (next_peer_ + 1) % size;
     const TierMember& member = tier.members[static_cast<std::size_t>(next_peer_)];
     if (member.number == number_ || !TierView::Counts(member.status)) continue;
     if (const auto at = lenders_.find(member.number); at != lenders_.end() && now < at->second.end) {
       if (at->second.amount > 0) continue;
     }
-    request(member.number, more_), ++asked;
+    request(member.number, additional_), ++sent;
   }
   return datagrams;
 }
@@ -116,9 +116,9 @@
                             std::vector<PeerProtocol::Datagram>* answers) {
   const auto request = static_cast<std::uint32_t>(ReadNumber(&body, 4));
   const std::uint64_t life = ReadNumber(&body, 8);
-  const auto asked = static_cast<Amount>(ReadNumber(&body, 8));
+  const auto requested = static_cast<Amount>(ReadNumber(&body, 8));
   const auto gain = std::bit_cast<double>(ReadNumber(&body, 8));
-  if (asked <= 0 || !(gain >= 0)) return false;
+  if (requested <= 0 || !(gain >= 0)) return false;
   Borrower& borrower = borrowers_[peer];
   if (life < borrower.life || (life == borrower.life && request <= borrower.request))
     return true;  // duplicate or outdated
@@ -128,10 +128,10 @@
   for (const Lent& lease : borrower.leases) held = std::max(held, lease.amount);
   const Amount lendable = own_ - own_ / 4 - LentOut(now) + held;
   const Amount free = Allowed(now) - used_ + held;
-  Amount amount_lent = std::min({asked, lendable, free});
+  Amount amount_lent = std::min({requested, lendable, free});
   if (now < quiet_until_) amount_lent = 0;
-  if (gain_ > 0 && gain > kMinGainRatio * gain_ && amount_lent < asked && lendable > amount_lent)
-    yield_ = std::min(asked, lendable) / 2, yield_until_ = now + kLease;
+  if (gain_ > 0 && gain > kMinGainRatio * gain_ && amount_lent < requested && lendable > amount_lent)
+    yield_ = std::min(requested, lendable) / 2, yield_until_ = now + kLease;
   if (gain <= kMinGainRatio * gain_) amount_lent = std::min(amount_lent, held);
   if (amount_lent <= 0 || borrower.leases.size() >= kMaxLeases) return true;
   borrower.leases.push_back({amount_lent, now + kLease + kMargin});
@@ -152,7 +152,7 @@
   // their sum.
   if (life != life_ || at == lenders_.end() || at->second.request != request) return true;
   Lender& lender = at->second;
-  const Time end = lender.asked + kLease;
+  const Time end = lender.requested_at + kLease;
   if (end <= now) return true;
   lender.amount = amount, lender.end = end;
   return true;
--- a/src/checkpoints/lending.h
+++ b/src/checkpoints/lending.h
@@ -50,7 +50,7 @@
 
   // Sets the current use, the additional demand, and the worth of the next unit (comparable between
   // dispatchers).
-  void SetDemand(Amount used, Amount more, double gain, Time now);
+  void SetDemand(Amount used, Amount additional, double gain, Time now);
   // The amount requested by a dispatcher with a higher gain; to be released before LeaseEnd.
   Amount Yield(Time now) const { return now < yield_until_ ? yield_ : 0; }
 
@@ -72,7 +72,7 @@
   };
   struct Lender {
     std::uint32_t request = 0;  // the last request
-    Time asked = 0;
+    Time requested_at = 0;
     Amount amount = 0;
     Time end = 0;
   };
@@ -85,7 +85,7 @@
   const Amount own_;
   const std::uint64_t life_;
   const Time quiet_until_;
-  Amount used_ = 0, more_ = 0, yield_ = 0;
+  Amount used_ = 0, additional_ = 0, yield_ = 0;
   Time yield_until_ = 0, next_request_ = 0;
   double gain_ = 0;
   std::uint32_t requests_ = 0;
--- a/src/checkpoints/rates.cpp
+++ b/src/checkpoints/rates.cpp
@@ -11,7 +11,7 @@
 constexpr Ticks kHalfLifeTicks = Facts::kHalfLife / kTick;
 constexpr Ticks kYoungTicks = Rates::kYoung / kTick;
 constexpr int kMinEventDeaths = 3;  // minimum deaths of a zone event
-constexpr int kPartOfZone = 4;      // and at least one in this many runners of the zone
+constexpr int kZoneDivisor = 4;     // and at least one in this many runners of the zone
 
 // Log likelihood of `deaths` in `exposure` at their own rate, without the terms that cancel in a ratio.
 double LogLikelihood(double deaths, double exposure) {
@@ -68,7 +68,7 @@
         return std::ranges::lower_bound(times, at) - times.begin();
       };
       const int alive = static_cast<int>(before(starts) - before(ends));
-      if (count * kPartOfZone < alive) {
+      if (count * kZoneDivisor < alive) {
         ++first;
         continue;
       }
--- a/src/quarantine/background.cpp
+++ b/src/quarantine/background.cpp
@@ -99,13 +99,13 @@
 }
 
 std::vector<Background::End> Background::NearbyEnds(const End& end) const {
-  std::vector<End> near;
-  for (auto it = ends_.rbegin(); it != ends_.rend() && near.size() < kMaxNearby; ++it)
+  std::vector<End> nearby;
+  for (auto it = ends_.rbegin(); it != ends_.rend() && nearby.size() < kMaxNearby; ++it)
     if (it->job != end.job && std::abs(it->sign.at - end.sign.at) <= kWindow &&
         (it->sign.runner == end.sign.runner || it->job_class == end.job_class ||
          (it->sign.zone == end.sign.zone && std::abs(it->sign.at - end.sign.at) <= kZoneFailureWindow)))
-      near.push_back(*it);
-  return near;
+      nearby.push_back(*it);
+  return nearby;
 }
 
 void Background::Exonerate(const Fingerprint& poison, const std::vector<Sign>& signs) {
--- a/src/quarantine/gossip.cpp
+++ b/src/quarantine/gossip.cpp
@@ -95,13 +95,13 @@
 }
 
 std::vector<int> Gossip::RandomPeers(int count) {
-  std::vector<int> drawn;
-  const int most = std::min<int>(count, static_cast<int>(peers_.size()));
-  while (static_cast<int>(drawn.size()) < most) {
+  std::vector<int> selected;
+  const int max_count = std::min<int>(count, static_cast<int>(peers_.size()));
+  while (static_cast<int>(selected.size()) < max_count) {
     const int peer = peers_[random_(static_cast<std::uint32_t>(peers_.size()))];
-    if (std::ranges::find(drawn, peer) == drawn.end()) drawn.push_back(peer);
+    if (std::ranges::find(selected, peer) == selected.end()) selected.push_back(peer);
   }
-  return drawn;
+  return selected;
 }
 
 std::vector<PeerProtocol::Datagram> Gossip::MakeDatagrams(const Table& table, Time now) {
--- a/src/quarantine/gossip_hear.cpp
+++ b/src/quarantine/gossip_hear.cpp
@@ -104,20 +104,20 @@
   ByteReader in(body);
   const int group = in.Number<std::uint8_t>();
   if (group >= Table::kGroups) return false;
-  std::string asked;
+  std::string requested_leaves;
   int count = 0;
   for (int i = 0; i < Table::kLeavesOfGroup; ++i) {
     const int leaf = group * Table::kLeavesOfGroup + i;
     const auto sum = in.Number<std::uint32_t>();
     if (sum == table.LeafChecksum(leaf) || count >= kMaxLeavesRequested) continue;
     QueueLeaf(peer, leaf, table);
-    PutNumber(&asked, static_cast<std::uint16_t>(leaf));
+    PutNumber(&requested_leaves, static_cast<std::uint16_t>(leaf));
     ++count;
   }
   if (count == 0) return true;
   std::string answer = Head(kLeafRequest);
   PutNumber(&answer, static_cast<std::uint8_t>(count));
-  QueueAnswer(peer, answer + asked);
+  QueueAnswer(peer, answer + requested_leaves);
   return true;
 }
 
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -168,12 +168,12 @@
 
 void Quarantine::AddBadEnd(const Background::End& end, Time now) {
   background_.Ended(end);
-  for (const Background::End& near : background_.NearbyEnds(end)) {
-    Ticket* other = table_.Find(near.job);
+  for (const Background::End& nearby : background_.NearbyEnds(end)) {
+    Ticket* other = table_.Find(nearby.job);
     if (other == nullptr) continue;
     const State before = other->StateAt(now);
-    if (other->evidence.Lower(near.sign, background_.WeightOf(near, now)))
-      ApplyChange(near.job, other, before, other->condemned(now), false, now);
+    if (other->evidence.Lower(nearby.sign, background_.WeightOf(nearby, now)))
+      ApplyChange(nearby.job, other, before, other->condemned(now), false, now);
   }
 }
 
--- a/src/quarantine/snapshot.cpp
+++ b/src/quarantine/snapshot.cpp
@@ -17,7 +17,7 @@
   const char* name() const noexcept override { return "quarantine snapshot"; }
   std::string message(int code) const override {
     switch (static_cast<SnapshotError>(code)) {
-      case SnapshotError::kCutShort:
+      case SnapshotError::kTruncated:
         return "the file is truncated; no action is needed, the next save replaces it";
       case SnapshotError::kNotASnapshot:
         return "not a quarantine snapshot; check the configured folder";
@@ -25,7 +25,7 @@
         return "written by a newer version; run that version or remove the file";
       case SnapshotError::kOlder:
         return "the format is no longer supported; the next save replaces the file";
-      case SnapshotError::kDamaged:
+      case SnapshotError::kCorrupted:
         return "checksum mismatch; check the disk; the next save replaces the file";
     }
     return "unknown";
@@ -55,25 +55,25 @@
 
 Snapshot ReadSnapshot(std::string_view bytes) {
   if (!bytes.starts_with(kMagic.substr(0, bytes.size()))) return {{}, SnapshotError::kNotASnapshot};
-  if (bytes.size() < kMagic.size() + sizeof kVersion) return {{}, SnapshotError::kCutShort};
+  if (bytes.size() < kMagic.size() + sizeof kVersion) return {{}, SnapshotError::kTruncated};
   ByteReader in(bytes.substr(kMagic.size()));
   const auto version = in.Number<std::uint16_t>();
   if (version != kVersion) return {{}, version > kVersion ? SnapshotError::kNewer : SnapshotError::kOlder};
   const auto written = static_cast<Time>(in.Number<std::uint64_t>());
   const auto count = in.Number<std::uint32_t>();
-  if (!in.good() || in.left() < kChecksumBytes) return {{}, SnapshotError::kCutShort};
+  if (!in.good() || in.left() < kChecksumBytes) return {{}, SnapshotError::kTruncated};
   Snapshot read;
   for (std::uint32_t i = 0; i < count; ++i) {
     const auto size = in.Number<std::uint16_t>();
     const std::string_view record = in.Text(size);
-    if (!in.good() || in.left() < kChecksumBytes) return {{}, SnapshotError::kCutShort};
+    if (!in.good() || in.left() < kChecksumBytes) return {{}, SnapshotError::kTruncated};
     auto ticket = Decode(record, written);
-    if (!ticket) return {{}, SnapshotError::kDamaged};
+    if (!ticket) return {{}, SnapshotError::kCorrupted};
     read.tickets.push_back(std::move(*ticket));
   }
   const std::string_view summed = bytes.substr(0, bytes.size() - in.left());
   if (in.left() != kChecksumBytes || in.Number<std::uint64_t>() != XXH3_64bits(summed.data(), summed.size()))
-    return {{}, SnapshotError::kDamaged};
+    return {{}, SnapshotError::kCorrupted};
   return read;
 }
 
--- a/src/quarantine/snapshot.h
+++ b/src/quarantine/snapshot.h
@@ -16,7 +16,7 @@
 
 namespace lichenlug {
 
-enum class SnapshotError { kCutShort = 1, kNotASnapshot, kNewer, kOlder, kDamaged };
+enum class SnapshotError { kTruncated = 1, kNotASnapshot, kNewer, kOlder, kCorrupted };
 const std::error_category& SnapshotErrors();
 inline std::error_code make_error_code(SnapshotError it) { return {static_cast<int>(it), SnapshotErrors()}; }
 
--- a/tests/checkpoints_test.cpp
+++ b/tests/checkpoints_test.cpp
@@ -254,9 +254,9 @@
   const Job job{.work = 3600, .save = 1, .restart = 2, .rate = 1e-3};
   for (int i = 0; i < 200; ++i) wishes.push_back({"many", job});
   for (int i = 0; i < 4; ++i) wishes.push_back({"few", job});
-  const DealResult dealt = Deal(&wishes, 1);
-  EXPECT_LE(dealt.given, 1);
-  EXPECT_GT(dealt.gain, 0);
+  const DealResult allocation = Deal(&wishes, 1);
+  EXPECT_LE(allocation.given, 1);
+  EXPECT_GT(allocation.gain, 0);
   EXPECT_DOUBLE_EQ(wishes.back().given, wishes.back().unconstrained);
 }
 
