--- a/src/checkpoints/checkpoints.cpp
+++ b/src/checkpoints/checkpoints.cpp
@@ -149,7 +149,7 @@
   double then = static_cast<double>(lending_.reserved(now)) * kMillionth;
   for (const auto& [other, it] : jobs_) then -= it.then_rate;
   const double left = static_cast<double>(lending_.Allowed(now)) * kMillionth - Committed(now);
-  // Takes at most a tenth of the remainder when it is short: the next deal is only seconds away.
+  // Takes at most a tenth of the remainder when it is short: the next allocation is only seconds away.
   const double rate =
       std::max(0.0, std::min(unconstrained, unconstrained * 2 < left ? unconstrained : left / 10));
   SetRate(&running, rate, std::max(0.0, std::min(rate, then)), now);
--- a/src/quarantine/codec.h
+++ b/src/quarantine/codec.h
@@ -50,8 +50,8 @@
     *bytes += static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i) & 0xff);
 }
 
-// Encodes at most `most` bytes; the description line is omitted if it doesn't fit. Without it a record has at
-// most kMaxRecord bytes for any ticket.
+// Encodes at most `max_bytes` bytes; the description line is omitted if it doesn't fit. Without it a record
+// has at most kMaxRecord bytes for any ticket.
 inline constexpr std::size_t kMaxRecord = 252;
 std::string Encode(const Fingerprint& job, const Ticket& ticket, Time now,
                    std::size_t max_bytes = kMaxRecord);
