--- a/lab/control/callers.h
+++ b/lab/control/callers.h
@@ -20,8 +20,8 @@
 
   virtual ~CallPort() = default;
   virtual std::size_t machines() const = 0;
-  virtual MachineIndex FindByControlAddress(
-      const std::string& address) const = 0;  // machines() if there is none
+  // Returns machines() if no machine has the address.
+  virtual MachineIndex FindByControlAddress(const std::string& address) const = 0;
   virtual void Call(MachineIndex machine, node::ControlRequest request, Time timeout, Answered answered) = 0;
 };
 
--- a/lab/control/world.cpp
+++ b/lab/control/world.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-constexpr Time kDrainBound =
-    2 * kSecond;  // from the acknowledgement of a drain until it is effective everywhere
+constexpr Time kDrainBound = 2 * kSecond;  // from the acknowledgement of a drain to its effect
 constexpr Time kLease = 3 * kSecond;
 constexpr Time kRecovery = 10 * kSecond;  // the maximum, from the end of all faults
 constexpr Time kCheckInterval = 100 * kMillisecond;
--- a/lab/tests/control_test.cpp
+++ b/lab/tests/control_test.cpp
@@ -50,8 +50,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Each, ControlScenario, ::testing::ValuesIn(ScenarioNames()), TestNameOf);
 
-// Guards against an acknowledged change that is lost with two disks: a dispatcher that has just started knows
-// too few machines to detect that a group is too small.
+// A dispatcher that has just started knows too few machines to detect that a group is too small. A change
+// that such a group acknowledges could be lost with two disks.
 TEST_F(Control, AChangeAcknowledgedBeforeAllHaveStartedOutlastsTwoDisks) {
   std::size_t acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= kSeedsOfFounding; ++seed) {
