--- a/lab/commands/control.cpp
+++ b/lab/commands/control.cpp
@@ -29,7 +29,7 @@
 
 constexpr int kMaxShrinkPlays = 60;
 
-control::Day DayOf(const Options& options, std::uint64_t seed) {
+control::Day MakeDay(const Options& options, std::uint64_t seed) {
   return options.scenario.empty() ? control::DrawDay(seed) : control::Scenario(options.scenario, seed);
 }
 
@@ -41,7 +41,7 @@
       "  %.1f s, %zu changes and %zu drains acknowledged, %zu reads, %zu calls to the platform, %llu "
       "messages of "
       "%.2f MB, recovered after %.1f s, digest %016llx\n",
-      static_cast<double>(outcome.lasted) / kSecond, outcome.changes, outcome.drains, outcome.reads,
+      static_cast<double>(outcome.elapsed) / kSecond, outcome.changes, outcome.drains, outcome.reads,
       outcome.platform_calls, static_cast<unsigned long long>(outcome.messages),
       static_cast<double>(outcome.bytes) / 1e6,
       static_cast<double>(outcome.recovered_after.value_or(-kSecond)) / kSecond,
@@ -50,36 +50,36 @@
   for (const auto& [kind, bytes] : outcome.bytes_by_kind)
     std::printf(" %s %.2f", kind.c_str(), static_cast<double>(bytes) / 1e6);
   std::printf("\n");
-  for (const control::Finding& finding : outcome.findings) {
-    std::printf("  BROKEN %8.3f s %s: %s\n", static_cast<double>(finding.at) / kSecond, finding.judge.c_str(),
-                finding.line.c_str());
+  for (const control::Violation& violation : outcome.violations) {
+    std::printf("  BROKEN %8.3f s %s: %s\n", static_cast<double>(violation.at) / kSecond,
+                violation.checker.c_str(), violation.message.c_str());
   }
 }
 
-void PrintBroken(const Options& options, const control::Day& day, const control::Outcome& outcome) {
+void PrintFailedDay(const Options& options, const control::Day& day, const control::Outcome& outcome) {
   PrintDay(day, outcome);
   if (!options.shrink) return;
-  const control::Shrunk shrunk = control::Shrink(day, kMaxShrinkPlays);
+  const control::ShrinkResult shrunk = control::Shrink(day, kMaxShrinkPlays);
   std::printf("shrunk in %d plays to:\n", shrunk.plays);
   PrintDay(shrunk.day, shrunk.outcome);
 }
 
 int PlayDays(const Options& options) {
   const auto began = std::chrono::steady_clock::now();
-  std::atomic<std::uint64_t> next{0}, broken{0};
+  std::atomic<std::uint64_t> next{0}, failed{0};
   std::mutex output;
   const auto work = [&] {
     for (std::uint64_t i = next++; i < options.days; i = next++) {
-      const control::Day day = DayOf(options, options.seed + i);
+      const control::Day day = MakeDay(options, options.seed + i);
       const control::Outcome outcome = control::Play(day);
-      if (outcome.findings.empty()) {
+      if (outcome.violations.empty()) {
         const std::lock_guard lock(output);
         if (options.days == 1 && !options.quiet) PrintDay(day, outcome);
         continue;
       }
-      ++broken;
+      ++failed;
       const std::lock_guard lock(output);
-      PrintBroken(options, day, outcome);
+      PrintFailedDay(options, day, outcome);
       std::fflush(stdout);
     }
   };
@@ -91,9 +91,9 @@
   std::printf("%s: %llu days from seed %llu, %llu broken, %.1f s, %.0f days a minute\n",
               options.scenario.empty() ? "drawn" : options.scenario.c_str(),
               static_cast<unsigned long long>(options.days), static_cast<unsigned long long>(options.seed),
-              static_cast<unsigned long long>(broken.load()), took.count(),
+              static_cast<unsigned long long>(failed.load()), took.count(),
               static_cast<double>(options.days) * 60 / std::max(took.count(), 1e-3));
-  return broken > 0 ? 1 : 0;
+  return failed > 0 ? 1 : 0;
 }
 
 int Run(const Options& options) {
@@ -104,13 +104,13 @@
   FLAGS_logtostderr = true;
   FLAGS_minloglevel = options.log ? 0 : google::GLOG_FATAL;
   if (options.scenario != "all") return PlayDays(options);
-  int worst = 0;
+  int exit_code = 0;
   for (const std::string& name : control::ScenarioNames()) {
     Options one = options;
     one.scenario = name;
-    worst = std::max(worst, PlayDays(one));
+    exit_code = std::max(exit_code, PlayDays(one));
   }
-  return worst;
+  return exit_code;
 }
 
 }  // namespace
--- a/lab/control/callers.cpp
+++ b/lab/control/callers.cpp
@@ -10,8 +10,8 @@
 using Json = nlohmann::json;
 
 constexpr Time kCallTimeout = kSecond;
-constexpr Time kAgainAfter = 150 * kMillisecond;  // after a 503 response, or none
-constexpr Time kRunnerServesOn = 1500 * kMillisecond;
+constexpr Time kRetryDelay = 150 * kMillisecond;  // after a 503 response, or none
+constexpr Time kRunnerDrainTime = 1500 * kMillisecond;
 constexpr const char* kConfigurationPath = "/-/timetable";
 constexpr const char* kTagPrefix = "change-";
 
@@ -28,8 +28,8 @@
 std::string ConfigurationText(const Version& version, std::size_t min_bytes) {
   Json senders = Json::array();
   for (const std::string& tag : version.tags) senders.push_back(Sender(kTagPrefix + tag));
-  const std::size_t of_padding = Sender("padding-00000").dump().size() + 1;
-  for (std::size_t i = 0; i * of_padding < min_bytes; ++i)
+  const std::size_t padding_sender_bytes = Sender("padding-00000").dump().size() + 1;
+  for (std::size_t i = 0; i * padding_sender_bytes < min_bytes; ++i)
     senders.push_back(Sender("padding-" + std::to_string(i)));
   const Json body = {
       {"edition", version.edition},
@@ -53,48 +53,49 @@
   return version;
 }
 
-Operator::Operator(CallPort* port, EventQueue* events, ConfigurationHistory* history, InForce* in_force,
+Operator::Operator(CallPort* port, EventQueue* events, HistoryChecker* history, InForceChecker* in_force,
                    Task task)
     : port_(port),
       events_(events),
       history_(history),
       in_force_(in_force),
       task_(std::move(task)),
-      asked_(task_.first_asked) {}
+      next_machine_(task_.first_machine) {}
 
-bool Operator::GivesUp() {
+bool Operator::FinishAtDeadline() {
   is_done_ = is_done_ || events_->now() >= task_.deadline;
   return is_done_;
 }
 
 void Operator::Read() {
-  if (GivesUp()) return;
+  if (FinishAtDeadline()) return;
   const Time sent = events_->now();
-  port_->Call(Next(), {"GET", kConfigurationPath, "", ""}, kCallTimeout, [this, sent](const auto& response) {
-    const bool answered = response && response->status == 200;
-    const std::optional<Version> version = answered ? ReadVersion(response->body) : std::nullopt;
-    if (!version) return events_->After(kAgainAfter, [this] { Read(); });
-    ++reads_;
-    history_->ReadAnswered(sent, events_->now(), *version);
-    if (on_read_) on_read_(*version);
-    if (task_.tag.empty()) {
-      is_done_ = true;
-      return;
-    }
-    task_.base = *version;
-    Send();
-  });
+  port_->Call(
+      NextMachine(), {"GET", kConfigurationPath, "", ""}, kCallTimeout, [this, sent](const auto& response) {
+        const bool is_answered = response && response->status == 200;
+        const std::optional<Version> version = is_answered ? ReadVersion(response->body) : std::nullopt;
+        if (!version) return events_->After(kRetryDelay, [this] { Read(); });
+        ++reads_;
+        history_->ReadAnswered(sent, events_->now(), *version);
+        if (on_read_) on_read_(*version);
+        if (task_.tag.empty()) {
+          is_done_ = true;
+          return;
+        }
+        task_.base = *version;
+        Send();
+      });
 }
 
 // Retries the same call, byte for byte, until it is answered.
 void Operator::Send() {
-  if (GivesUp()) return;
+  if (FinishAtDeadline()) return;
   Version version = *task_.base;
   ++version.edition;
   version.tags.push_back(task_.tag);
   node::ControlRequest request{"PUT", kConfigurationPath, std::to_string(task_.base->edition),
                                ConfigurationText(version, task_.configuration_bytes)};
-  port_->Call(Next(), std::move(request), kCallTimeout,
+  port_->Call(NextMachine(), std::move(request), kCallTimeout,
               [this, edition = version.edition](const auto& response) {
                 if (response && response->status == 200) {
                   history_->Acknowledged(events_->now(), task_.tag, task_.base->edition, edition);
@@ -103,19 +104,19 @@
                 } else if (response && response->status == 412) {
                   is_done_ = true;  // another change on this base was accepted
                 } else {
-                  events_->After(kAgainAfter, [this] { Send(); });
+                  events_->After(kRetryDelay, [this] { Send(); });
                 }
               });
 }
 
-Runner::Runner(CallPort* port, EventQueue* events, Drains* drains, std::size_t number,
+Runner::Runner(CallPort* port, EventQueue* events, DrainChecker* drains, std::size_t number,
                Time heartbeat_interval)
     : port_(port),
       events_(events),
       drains_(drains),
       id_("runner-" + std::to_string(number)),
       address_("10.1.0." + std::to_string(number + 1) + ":9000"),
-      every_(heartbeat_interval),
+      heartbeat_interval_(heartbeat_interval),
       home_(number) {}
 
 void Runner::Start() { Heartbeat(); }
@@ -132,7 +133,7 @@
   Heartbeat();
 }
 
-node::ControlRequest Runner::RequestNow() {
+node::ControlRequest Runner::MakeRequest() {
   const std::string path = "/-/runners/" + id_;
   if (state_ == State::kEnding) return {"DELETE", path, "", ""};
   const Json body = {{"line", "first"},
@@ -147,42 +148,42 @@
 }
 
 void Runner::Heartbeat() {
-  if (state_ == State::kGone || calls_) return;
-  calls_ = true;
-  const State told = state_;
-  port_->Call(home_ % port_->machines(), RequestNow(), kCallTimeout, [this, told](const auto& response) {
-    calls_ = false;
-    if (state_ == State::kGone) return;
-    const bool is_taken = response && response->status == 200;
-    if (!is_taken) {
+  if (state_ == State::kStopped || call_in_flight_) return;
+  call_in_flight_ = true;
+  const State reported = state_;
+  port_->Call(home_ % port_->machines(), MakeRequest(), kCallTimeout, [this, reported](const auto& response) {
+    call_in_flight_ = false;
+    if (state_ == State::kStopped) return;
+    const bool is_accepted = response && response->status == 200;
+    if (!is_accepted) {
       ++home_;
-      return Repeat(50 * kMillisecond);
+      return ScheduleHeartbeat(50 * kMillisecond);
     }
-    if (told == State::kReady) {
+    if (reported == State::kReady) {
       const Json answer = Json::parse(response->body, nullptr, false);
       const std::string report_to = answer.is_object() ? answer.value("report_to", "") : "";
-      const MachineIndex named = port_->FindByControlAddress(report_to);
-      if (named < port_->machines()) home_ = named;
+      const MachineIndex target = port_->FindByControlAddress(report_to);
+      if (target < port_->machines()) home_ = target;
     } else {
-      Acknowledged(told);
+      Acknowledged(reported);
     }
-    Repeat(told == state_ ? every_ : 0);
+    ScheduleHeartbeat(reported == state_ ? heartbeat_interval_ : 0);
   });
 }
 
-void Runner::Acknowledged(State told) {
+void Runner::Acknowledged(State reported) {
   drains_->Acknowledged(events_->now(), id_);
-  if (told == State::kEnding) {
-    state_ = State::kGone;
-  } else if (!ends_soon_) {
-    ends_soon_ = true;
-    events_->After(kRunnerServesOn, [this] {
+  if (reported == State::kEnding) {
+    state_ = State::kStopped;
+  } else if (!end_scheduled_) {
+    end_scheduled_ = true;
+    events_->After(kRunnerDrainTime, [this] {
       if (state_ == State::kDraining) state_ = State::kEnding;
     });
   }
 }
 
-void Runner::Repeat(Time span) {
+void Runner::ScheduleHeartbeat(Time span) {
   events_->After(span, [this] { Heartbeat(); });
 }
 
--- a/lab/control/callers.h
+++ b/lab/control/callers.h
@@ -16,13 +16,14 @@
 class CallPort {
  public:
   // Without a response: the call timed out, or the connection was refused.
-  using Answered = std::function<void(const std::optional<node::ControlResponse>& response)>;
+  using OnResponse = std::function<void(const std::optional<node::ControlResponse>& response)>;
 
   virtual ~CallPort() = default;
   virtual std::size_t machines() const = 0;
   // Returns machines() if no machine has the address.
   virtual MachineIndex FindByControlAddress(const std::string& address) const = 0;
-  virtual void Call(MachineIndex machine, node::ControlRequest request, Time timeout, Answered answered) = 0;
+  virtual void Call(MachineIndex machine, node::ControlRequest request, Time timeout,
+                    OnResponse on_response) = 0;
 };
 
 // A configuration of at least `min_bytes` bytes that carries the tags of `version`.
@@ -36,33 +37,33 @@
   struct Task {
     std::string tag;              // identifies the change; empty: read only
     std::optional<Version> base;  // the version to build on; unset: read it first
-    MachineIndex first_asked = 0;
+    MachineIndex first_machine = 0;
     std::size_t configuration_bytes = 0;
     Time deadline = 0;
   };
 
   // All pointers must outlive the operator. Acknowledged changes are reported to `in_force`.
-  Operator(CallPort* port, EventQueue* events, ConfigurationHistory* history, InForce* in_force, Task task);
+  Operator(CallPort* port, EventQueue* events, HistoryChecker* history, InForceChecker* in_force, Task task);
 
   void Begin() { task_.base ? Send() : Read(); }
-  // `told` receives the version that was read; lets a second operator change the same base.
-  void OnRead(std::function<void(const Version&)> told) { on_read_ = std::move(told); }
+  // `callback` receives the version that was read; lets a second operator change the same base.
+  void OnRead(std::function<void(const Version&)> callback) { on_read_ = std::move(callback); }
   bool is_done() const { return is_done_; }
   std::size_t reads() const { return reads_; }
 
  private:
   void Read();
   void Send();
-  MachineIndex Next() { return asked_++ % port_->machines(); }
-  bool GivesUp();
+  MachineIndex NextMachine() { return next_machine_++ % port_->machines(); }
+  bool FinishAtDeadline();
 
   CallPort* port_;
   EventQueue* events_;
-  ConfigurationHistory* history_;
-  InForce* in_force_;
+  HistoryChecker* history_;
+  InForceChecker* in_force_;
   Task task_;
   std::function<void(const Version&)> on_read_;
-  std::size_t asked_;
+  std::size_t next_machine_;
   std::size_t reads_ = 0;
   bool is_done_ = false;
 };
@@ -70,31 +71,32 @@
 // A runner, reduced to the heartbeats that it sends.
 class Runner {
  public:
-  Runner(CallPort* port, EventQueue* events, Drains* drains, std::size_t number, Time heartbeat_interval);
+  Runner(CallPort* port, EventQueue* events, DrainChecker* drains, std::size_t number,
+         Time heartbeat_interval);
 
   void Start();
   void Drain();  // reports that it drains, and later that it ends
   void Leave();  // reports at once that it ends
-  void Crash() { state_ = State::kGone; }
+  void Crash() { state_ = State::kStopped; }
   const std::string& id() const { return id_; }
   bool is_ready() const { return state_ == State::kReady; }
 
  private:
-  enum class State { kReady, kDraining, kEnding, kGone };
+  enum class State { kReady, kDraining, kEnding, kStopped };
 
   void Heartbeat();
-  void Repeat(Time span);
-  node::ControlRequest RequestNow();
-  void Acknowledged(State told);
+  void ScheduleHeartbeat(Time span);
+  node::ControlRequest MakeRequest();
+  void Acknowledged(State reported);
 
   CallPort* port_;
   EventQueue* events_;
-  Drains* drains_;
+  DrainChecker* drains_;
   std::string id_, address_;
-  Time every_;
+  Time heartbeat_interval_;
   State state_ = State::kReady;
-  bool calls_ = false;  // a call is in flight; there is one at a time
-  bool ends_soon_ = false;
+  bool call_in_flight_ = false;  // a call is in flight; there is one at a time
+  bool end_scheduled_ = false;
   MachineIndex home_;
   std::uint64_t call_count_ = 0;
 };
--- a/lab/control/day.h
+++ b/lab/control/day.h
@@ -10,7 +10,7 @@
 
 namespace lichenlug::lab::control {
 
-enum class Trouble {
+enum class EventKind {
   kKill,           // SIGKILL; started again after `lasts`
   kTerminate,      // SIGTERM; started again `lasts` after its exit
   kReload,         // SIGHUP
@@ -32,14 +32,14 @@
   kRunnerLeaves,   // sends DELETE at once
   kRunnerCrashes,  // stops without a message
 };
-inline constexpr int kTroubles = static_cast<int>(Trouble::kRunnerCrashes) + 1;
+inline constexpr int kEventKinds = static_cast<int>(EventKind::kRunnerCrashes) + 1;
 
-const char* NameOf(Trouble trouble);
+const char* NameOf(EventKind kind);
 
 struct Event {
-  Trouble trouble = Trouble::kChange;
+  EventKind kind = EventKind::kChange;
   Time at = 0;
-  Time lasts = 0;
+  Time duration = 0;
   MachineIndex machine = 0;  // or the runner, modulo the number of runners
   std::size_t count = 1;
   Time step = 0;
@@ -48,19 +48,19 @@
 struct Day {
   std::uint64_t seed = 0;
   std::string name = "drawn";
-  std::size_t stores = 3;  // machines with a disk, numbered first; the first of them are the seeds
-  std::size_t others = 2;  // machines without a disk
+  std::size_t stores = 3;    // machines with a disk, numbered first; the first of them are the seeds
+  std::size_t diskless = 2;  // machines without a disk
   std::size_t zones = 2;
   std::size_t runners = 4;
   int tolerated = 1;
   std::size_t configuration_bytes = 4'000;
-  double others_bytes_per_microsecond = 1.25;  // 10 Mbit/s
-  Time in_force_within = 2 * kSecond;          // the maximum delay from acknowledgement to use
+  double diskless_bytes_per_microsecond = 1.25;  // 10 Mbit/s
+  Time in_force_within = 2 * kSecond;            // the maximum delay from acknowledgement to use
   Time first_change_at = 600 * kMillisecond;
-  Time troubles_end = 24 * kSecond;  // all events are over by then
-  std::vector<Event> events;         // sorted by time
+  Time faults_end = 24 * kSecond;  // all events are over by then
+  std::vector<Event> events;       // sorted by time
 
-  std::size_t machines() const { return stores + others; }
+  std::size_t machines() const { return stores + diskless; }
 };
 
 // Determined by the seed alone.
--- a/lab/control/disk.cpp
+++ b/lab/control/disk.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-constexpr Time kShortestSync = 300;
+constexpr Time kMinSyncTime = 300;
 constexpr Time kSyncSpread = 2 * kMillisecond;
-constexpr Time kLongestOpen = 150 * kMillisecond;
+constexpr Time kMaxOpenTime = 150 * kMillisecond;
 
 }  // namespace
 
-Time Disk::Draw(Time most) { return std::uniform_int_distribution<Time>(0, most)(*random_); }
+Time Disk::RandomTime(Time max) { return std::uniform_int_distribution<Time>(0, max)(*random_); }
 
 void Disk::Open(const std::string& new_replica_id, std::function<void(node::StoreContents)> done) {
-  const Time at = std::max(events_->now() + kMillisecond + Draw(kLongestOpen), stalled_until_);
-  events_->At(at, [this, new_replica_id, done = std::move(done), life = life_] {
-    if (life != life_) return;
+  const Time at = std::max(events_->now() + kMillisecond + RandomTime(kMaxOpenTime), stalled_until_);
+  events_->At(at, [this, new_replica_id, done = std::move(done), generation = generation_] {
+    if (generation != generation_) return;
     node::StoreContents contents;
     const bool is_full = events_->now() < full_until_;
-    contents.opened = !is_full || HoldsStore();
-    contents.created = !HoldsStore();
+    contents.opened = !is_full || HasStore();
+    contents.created = !HasStore();
     if (!contents.opened) {
       contents.error = "the disk is full";
       return done(std::move(contents));
@@ -36,31 +36,31 @@
 
 void Disk::Write(std::string key, std::string value, std::function<void(bool written)> done) {
   pending_.push_back({std::move(key), std::move(value), std::move(done)});
-  if (pending_.size() == 1) PlanWrite();
+  if (pending_.size() == 1) ScheduleWrite();
 }
 
-void Disk::PlanWrite() {
+void Disk::ScheduleWrite() {
   const Time begins = std::max(events_->now(), stalled_until_);
-  events_->At(begins + kShortestSync + Draw(kSyncSpread) + slow_by_,
-              [this, life = life_] { FinishWrite(life); });
+  events_->At(begins + kMinSyncTime + RandomTime(kSyncSpread) + slow_by_,
+              [this, generation = generation_] { FinishWrite(generation); });
 }
 
-void Disk::FinishWrite(std::uint64_t life) {
-  if (life != life_ || pending_.empty()) return;
-  if (events_->now() < stalled_until_) return PlanWrite();
+void Disk::FinishWrite(std::uint64_t generation) {
+  if (generation != generation_ || pending_.empty()) return;
+  if (events_->now() < stalled_until_) return ScheduleWrite();
   Pending write = std::move(pending_.front());
   pending_.pop_front();
   const bool written = events_->now() >= full_until_;
   // A write that reported failure may have been persisted all the same.
-  if (written || Draw(1) == 0) records_[write.key] = write.value;
-  if (!pending_.empty()) PlanWrite();
+  if (written || RandomTime(1) == 0) records_[write.key] = write.value;
+  if (!pending_.empty()) ScheduleWrite();
   write.done(written);
 }
 
-void Disk::ProcessEnds() {
-  ++life_;
-  const Time kept = Draw(static_cast<Time>(pending_.size()));
-  for (Time i = 0; i < kept; ++i) {
+void Disk::OnProcessEnd() {
+  ++generation_;
+  const Time persisted = RandomTime(static_cast<Time>(pending_.size()));
+  for (Time i = 0; i < persisted; ++i) {
     const Pending& write = pending_[static_cast<std::size_t>(i)];
     records_[write.key] = write.value;
   }
--- a/lab/control/disk.h
+++ b/lab/control/disk.h
@@ -23,13 +23,13 @@
   void Write(std::string key, std::string value, std::function<void(bool written)> done);
 
   // Called when the process ends: drops all callbacks. A random prefix of the pending writes is persisted.
-  void ProcessEnds();
+  void OnProcessEnd();
   void Wipe();  // only while no process runs
   void StallUntil(Time until) { stalled_until_ = until; }
   void FillUntil(Time until) { full_until_ = until; }
   void SlowBy(Time each_write) { slow_by_ = each_write; }
 
-  bool HoldsStore() const { return !replica_id_.empty(); }
+  bool HasStore() const { return !replica_id_.empty(); }
 
  private:
   struct Pending {
@@ -37,16 +37,16 @@
     std::function<void(bool written)> done;
   };
 
-  void PlanWrite();
-  void FinishWrite(std::uint64_t life);
-  Time Draw(Time most);
+  void ScheduleWrite();
+  void FinishWrite(std::uint64_t generation);
+  Time RandomTime(Time max);
 
   EventQueue* events_;
   std::mt19937_64* random_;
   std::map<std::string, std::string> records_;
   std::string replica_id_;
   std::deque<Pending> pending_;
-  std::uint64_t life_ = 0;  // counts process lifetimes; a callback of an earlier one is dropped
+  std::uint64_t generation_ = 0;  // counts process lifetimes; a callback of an earlier one is dropped
   Time stalled_until_ = 0, full_until_ = 0, slow_by_ = 0;
 };
 
--- a/lab/control/judges.h
+++ b/lab/control/judges.h
@@ -14,19 +14,19 @@
 
 namespace lichenlug::lab::control {
 
-struct Finding {
+struct Violation {
   Time at = 0;
-  std::string judge;
-  std::string line;
+  std::string checker;
+  std::string message;
 };
 
-class Findings {
+class Violations {
  public:
-  void Note(Time at, const char* judge, std::string line);
-  const std::vector<Finding>& all() const { return all_; }
+  void Record(Time at, const char* checker, std::string message);
+  const std::vector<Violation>& all() const { return all_; }
 
  private:
-  std::vector<Finding> all_;  // limited to a maximum number
+  std::vector<Violation> all_;  // limited to a maximum number
 };
 
 // A configuration carries the tag of its own change and the tags of all changes that it builds on.
@@ -37,9 +37,9 @@
 
 // Checks that the history of configurations is linearizable: each later read contains every acknowledged
 // change, and of two changes on the same base only one is accepted.
-class ConfigurationHistory {
+class HistoryChecker {
  public:
-  explicit ConfigurationHistory(Findings* findings) : findings_(findings) {}
+  explicit HistoryChecker(Violations* violations) : violations_(violations) {}
 
   void Acknowledged(Time now, const std::string& tag, std::int64_t base, std::int64_t edition);
   void ReadAnswered(Time sent, Time now, const Version& version);
@@ -53,47 +53,48 @@
     std::int64_t edition = 0;
   };
 
-  Findings* findings_;
-  std::map<std::string, Change> changes_;              // by tag
-  std::map<std::int64_t, std::string> taken_on_base_;  // tag by the edition that the change was built on
+  Violations* violations_;
+  std::map<std::string, Change> changes_;                 // by tag
+  std::map<std::int64_t, std::string> accepted_on_base_;  // tag by the edition that the change was built on
   std::int64_t newest_ = 0;
 };
 
 // Checks that each connected machine uses an acknowledged configuration within the bound.
-class InForce {
+class InForceChecker {
  public:
-  InForce(Findings* findings, Time bound) : findings_(findings), bound_(bound) {}
+  InForceChecker(Violations* violations, Time bound) : violations_(violations), bound_(bound) {}
 
   void Acknowledged(Time now, std::int64_t edition);
-  // Called several times a second for each connected machine, which is undisturbed since `in_touch_since`.
-  void Look(Time now, MachineIndex machine, Time in_touch_since, std::int64_t edition);
+  // Called several times a second for each connected machine, which is undisturbed since `connected_since`.
+  void Check(Time now, MachineIndex machine, Time connected_since, std::int64_t edition);
 
  private:
-  Findings* findings_;
+  Violations* violations_;
   Time bound_;
   std::vector<std::pair<Time, std::int64_t>> acknowledged_;  // by rising edition
 };
 
 // Checks that no connected machine lists a runner as ready after its drain or end was acknowledged, from the
 // bound on.
-class Drains {
+class DrainChecker {
  public:
-  Drains(Findings* findings, Time bound) : findings_(findings), bound_(bound) {}
+  DrainChecker(Violations* violations, Time bound) : violations_(violations), bound_(bound) {}
 
   void Acknowledged(Time now, const std::string& runner);
-  void Look(Time now, MachineIndex machine, Time in_touch_since, const std::set<std::string>& ready_runners);
+  void Check(Time now, MachineIndex machine, Time connected_since,
+             const std::set<std::string>& ready_runners);
   std::size_t acknowledged() const { return acknowledged_.size(); }
 
  private:
-  Findings* findings_;
+  Violations* violations_;
   Time bound_;
   std::map<std::string, Time> acknowledged_;  // by runner
 };
 
 // Checks a duty as the platform observes it: one holder at a time, with rising fencing tokens.
-class Holders {
+class HolderChecker {
  public:
-  Holders(Findings* findings, Time lease) : findings_(findings), lease_(lease) {}
+  HolderChecker(Violations* violations, Time lease) : violations_(violations), lease_(lease) {}
 
   // Returns the HTTP status of the platform's answer. With `fence_checked` the platform refuses lower fences.
   int Called(Time now, MachineIndex machine, std::uint64_t fence, bool fence_checked);
@@ -105,7 +106,7 @@
     Time at = 0;
   };
 
-  Findings* findings_;
+  Violations* violations_;
   Time lease_;
   std::map<std::uint64_t, MachineIndex> holders_;  // by fence
   std::map<MachineIndex, Refused> refused_;
--- a/lab/control/machine.h
+++ b/lab/control/machine.h
@@ -13,9 +13,9 @@
 namespace lichenlug::lab::control {
 
 // The environment of a machine.
-class Surroundings {
+class MachineEnvironment {
  public:
-  virtual ~Surroundings() = default;
+  virtual ~MachineEnvironment() = default;
   virtual EventQueue& events() = 0;
   virtual std::mt19937_64& random() = 0;
   // Sends a message to the node with this address of the internal transport.
@@ -29,7 +29,7 @@
 
 class Machine : public node::NodeHost {
  public:
-  Machine(Surroundings* testbed, MachineIndex index, node::NodeSettings settings);
+  Machine(MachineEnvironment* environment, MachineIndex index, node::NodeSettings settings);
 
   void Start();  // starts a process unless one runs
   void Kill();
@@ -38,8 +38,8 @@
   void FreezeUntil(Time until) { frozen_until_ = std::max(frozen_until_, until); }
   void StepClock(Time step) { wall_offset_ += step; }  // takes effect at the next start
 
-  bool Runs() const { return node_ != nullptr; }
-  bool IsFrozen() const { return frozen_until_ > testbed_->events().now(); }
+  bool IsRunning() const { return node_ != nullptr; }
+  bool IsFrozen() const { return frozen_until_ > environment_->events().now(); }
   bool IsReady() const { return node_ != nullptr && node_->is_ready(); }
   const node::NodeSettings& settings() const { return settings_; }
   const routing::Snapshot* snapshot() const { return snapshot_.get(); }
@@ -50,8 +50,8 @@
   void HandleCall(node::ControlRequest request, node::Respond answer);
 
   // node::NodeHost
-  Time Now() const override { return testbed_->events().now() + steady_offset_; }
-  Time WallNow() const override { return testbed_->events().now() + kWallAtStart + wall_offset_; }
+  Time Now() const override { return environment_->events().now() + steady_offset_; }
+  Time WallNow() const override { return environment_->events().now() + kWallAtStart + wall_offset_; }
   void Post(std::function<void()> task) override;
   void Send(const std::string& address, messages::Envelope envelope) override;
   void Forget(const std::string&) override {}
@@ -62,28 +62,28 @@
   dataplane::Report TakeReport() override { return {}; }
   void DrainRequests() override {}
   bool RequestsAreDrained() override { return true; }
-  void Exit() override { exits_ = true; }
+  void Exit() override { exit_requested_ = true; }
 
  private:
   static constexpr Time kWallAtStart = 1'700'000'000 * kSecond;
 
   // Runs `step`, delayed until the process is no longer frozen, and then lets the node settle. Does nothing
-  // if the process of this `life` has ended.
-  void Enter(std::uint64_t life, std::function<void()> step);
-  void EndBatch();
-  void End();  // ends the process
+  // if the process of this `generation` has ended.
+  void RunInProcess(std::uint64_t generation, std::function<void()> step);
+  void FinishStep();
+  void EndProcess();  // ends the process
 
-  Surroundings* testbed_;
+  MachineEnvironment* environment_;
   MachineIndex index_;
   node::NodeSettings settings_;
   Disk disk_;
   std::unique_ptr<node::ControlNode> node_;
   std::shared_ptr<const routing::Snapshot> snapshot_;
-  std::uint64_t life_ = 0;
+  std::uint64_t generation_ = 0;
   Time steady_offset_, wall_offset_ = 0;
   Time frozen_until_ = 0;
   Time timer_at_ = 0;  // the earliest scheduled wake-up; 0: none
-  bool exits_ = false;
+  bool exit_requested_ = false;
 };
 
 }  // namespace lichenlug::lab::control
--- a/lab/control/network.cpp
+++ b/lab/control/network.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::size_t kFrameBytes = 60;  // header overhead per message
-constexpr Time kShortestDelay = 200, kLongestDelay = 1500;
+constexpr Time kMinDelay = 200, kMaxDelay = 1500;
 constexpr Time kMaxQueued = 8 * kSecond;  // of transmission time; the capacity of a connection's buffer
 
-Time TimeFor(std::size_t bytes, LinkSpeed speed) {
+Time TransmissionTime(std::size_t bytes, LinkSpeed speed) {
   return static_cast<Time>(static_cast<double>(bytes) / speed.bytes_per_microsecond);
 }
 
@@ -32,7 +32,7 @@
 
 void Network::AddMachine(LinkSpeed speed) { machines_.push_back({speed, 0, 0, 0}); }
 
-void Network::Send(MachineIndex from, MachineIndex to, std::size_t bytes, std::function<void()> arrives) {
+void Network::Send(MachineIndex from, MachineIndex to, std::size_t bytes, std::function<void()> on_arrival) {
   const Time now = events_->now();
   Machine& sender = machines_[from];
   Machine& receiver = machines_[to];
@@ -43,14 +43,15 @@
   }
   bytes_ += size;
   sender.bytes += size;
-  sender.sends_until = std::max(sender.sends_until, now) + TimeFor(size, sender.speed);
-  const Time delay = std::uniform_int_distribution<Time>(kShortestDelay, kLongestDelay)(*random_);
+  sender.sends_until = std::max(sender.sends_until, now) + TransmissionTime(size, sender.speed);
+  const Time delay = std::uniform_int_distribution<Time>(kMinDelay, kMaxDelay)(*random_);
   const Time reached = sender.sends_until + delay;
-  receiver.receives_until = std::max(receiver.receives_until, reached) + TimeFor(size, receiver.speed);
+  receiver.receives_until =
+      std::max(receiver.receives_until, reached) + TransmissionTime(size, receiver.speed);
   Time& last = last_arrival_[{from, to}];
   last = std::max(last + 1, receiver.receives_until);
-  events_->At(last, [this, from, to, arrives = std::move(arrives)] {
-    if (!IsCut(from, to)) arrives();
+  events_->At(last, [this, from, to, on_arrival = std::move(on_arrival)] {
+    if (!IsCut(from, to)) on_arrival();
   });
 }
 
--- a/lab/control/network.h
+++ b/lab/control/network.h
@@ -60,7 +60,7 @@
 
   // Runs `arrives` when the message has been received. The message is lost by a cut, or if the send queue
   // already holds more than kMaxQueued.
-  void Send(MachineIndex from, MachineIndex to, std::size_t bytes, std::function<void()> arrives);
+  void Send(MachineIndex from, MachineIndex to, std::size_t bytes, std::function<void()> on_arrival);
 
   std::uint64_t bytes() const { return bytes_; }  // of all messages sent
   std::uint64_t bytes_sent(MachineIndex from) const { return machines_[from].bytes; }
--- a/lab/control/shrink.h
+++ b/lab/control/shrink.h
@@ -6,13 +6,13 @@
 
 namespace lichenlug::lab::control {
 
-struct Shrunk {
+struct ShrinkResult {
   Day day;
   Outcome outcome;
   int plays = 0;
 };
 
 // `day` must be a failing day. Plays at most `max_plays` days.
-Shrunk Shrink(const Day& day, int max_plays);
+ShrinkResult Shrink(const Day& day, int max_plays);
 
 }  // namespace lichenlug::lab::control
--- a/lab/control/troubles.cpp
+++ b/lab/control/troubles.cpp
@@ -13,126 +13,126 @@
 
 }  // namespace
 
-void Testbed::Strike(const Event& event) {
+void Testbed::Inject(const Event& event) {
   const MachineIndex machine = event.machine % machines_.size();
-  switch (event.trouble) {
-    case Trouble::kKill:
-    case Trouble::kTerminate:
-    case Trouble::kReload:
-    case Trouble::kFreeze:
-    case Trouble::kQuota:
-    case Trouble::kClockStep:
-      return StrikeProcess(event, machine);
-    case Trouble::kPowerOff:
+  switch (event.kind) {
+    case EventKind::kKill:
+    case EventKind::kTerminate:
+    case EventKind::kReload:
+    case EventKind::kFreeze:
+    case EventKind::kQuota:
+    case EventKind::kClockStep:
+      return InjectProcessFault(event, machine);
+    case EventKind::kPowerOff:
       return PowerOff(event);
-    case Trouble::kCutOff:
-    case Trouble::kCutIncoming:
-    case Trouble::kSlowLink:
-      return StrikeNetwork(event, machine);
-    case Trouble::kSplit:
+    case EventKind::kCutOff:
+    case EventKind::kCutIncoming:
+    case EventKind::kSlowLink:
+      return InjectNetworkFault(event, machine);
+    case EventKind::kSplit:
       return Split(event);
-    case Trouble::kDiskStall:
-    case Trouble::kDiskFull:
-    case Trouble::kWipe:
-      return StrikeDisk(event, event.machine % day_.stores);
-    case Trouble::kLoseAnswers:
-      loses_answers_until_[machine] = std::max(loses_answers_until_[machine], events_.now() + event.lasts);
+    case EventKind::kDiskStall:
+    case EventKind::kDiskFull:
+    case EventKind::kWipe:
+      return InjectDiskFault(event, event.machine % day_.stores);
+    case EventKind::kLoseAnswers:
+      loses_answers_until_[machine] = std::max(loses_answers_until_[machine], events_.now() + event.duration);
       return;
-    case Trouble::kChange:
-    case Trouble::kRace: {
+    case EventKind::kChange:
+    case EventKind::kRace: {
       Operator::Task task;
       task.tag = std::to_string(operators_.size());
-      task.first_asked = machine;
+      task.first_machine = machine;
       task.configuration_bytes = day_.configuration_bytes;
       task.deadline = events_.now() + kOperatorTimeout;
       operators_.push_back(std::make_unique<Operator>(this, &events_, &history_, &in_force_, task));
       Operator& first = *operators_.back();
-      if (event.trouble == Trouble::kRace) {
+      if (event.kind == EventKind::kRace) {
         first.OnRead([this, task](const Version& version) {
           Operator::Task second = task;
           second.tag = std::to_string(operators_.size()) + "-on-same-base";
           second.base = version;
-          second.first_asked = task.first_asked + 1;
+          second.first_machine = task.first_machine + 1;
           operators_.push_back(std::make_unique<Operator>(this, &events_, &history_, &in_force_, second));
           operators_.back()->Begin();
         });
       }
       return first.Begin();
     }
-    case Trouble::kRunnerDrains:
+    case EventKind::kRunnerDrains:
       return runners_[event.machine % runners_.size()]->Drain();
-    case Trouble::kRunnerLeaves:
+    case EventKind::kRunnerLeaves:
       return runners_[event.machine % runners_.size()]->Leave();
-    case Trouble::kRunnerCrashes:
+    case EventKind::kRunnerCrashes:
       return runners_[event.machine % runners_.size()]->Crash();
   }
 }
 
 void Testbed::StartAfter(MachineIndex machine, Time span) {
-  ++planned_starts_;
+  ++pending_starts_;
   events_.After(span, [this, machine] {
-    --planned_starts_;
+    --pending_starts_;
     ++starts_;
     last_start_ = events_.now();
     machines_[machine]->Start();
-    Disturb(machine, events_.now() + kCatchUp);
+    MarkDisturbed(machine, events_.now() + kCatchUpTime);
   });
 }
 
-void Testbed::StrikeProcess(const Event& event, MachineIndex machine) {
-  Machine& struck = *machines_[machine];
-  if (!struck.Runs()) return;
-  const Time until = events_.now() + event.lasts;
-  switch (event.trouble) {
-    case Trouble::kTerminate:
-      start_after_exit_[machine] = event.lasts;
-      Disturb(machine, events_.now() + kContact);
-      return struck.Terminate();
-    case Trouble::kReload:
-      return struck.Reload();
-    case Trouble::kFreeze:
-      struck.FreezeUntil(until);
-      return Disturb(machine, until + kContact);
-    case Trouble::kQuota:
-      return Quota(machine, until);
-    case Trouble::kClockStep:
-      struck.StepClock(event.step);
+void Testbed::InjectProcessFault(const Event& event, MachineIndex machine) {
+  Machine& target = *machines_[machine];
+  if (!target.IsRunning()) return;
+  const Time until = events_.now() + event.duration;
+  switch (event.kind) {
+    case EventKind::kTerminate:
+      start_after_exit_[machine] = event.duration;
+      MarkDisturbed(machine, events_.now() + kConnectedAfter);
+      return target.Terminate();
+    case EventKind::kReload:
+      return target.Reload();
+    case EventKind::kFreeze:
+      target.FreezeUntil(until);
+      return MarkDisturbed(machine, until + kConnectedAfter);
+    case EventKind::kQuota:
+      return ApplyQuota(machine, until);
+    case EventKind::kClockStep:
+      target.StepClock(event.step);
       [[fallthrough]];
     default:
-      struck.Kill();
-      return StartAfter(machine, event.lasts);
+      target.Kill();
+      return StartAfter(machine, event.duration);
   }
 }
 
-// Emulates a CPU quota: in each period the process is suspended for kSpent and runs for the rest.
-void Testbed::Quota(MachineIndex machine, Time until) {
-  constexpr Time kPeriod = 100 * kMillisecond, kSpent = 70 * kMillisecond;
+// Emulates a CPU quota: in each period the process is suspended for kSuspended and runs for the rest.
+void Testbed::ApplyQuota(MachineIndex machine, Time until) {
+  constexpr Time kPeriod = 100 * kMillisecond, kSuspended = 70 * kMillisecond;
   if (events_.now() >= until) return;
-  Disturb(machine, events_.now() + kPeriod);
-  if (machines_[machine]->Runs()) machines_[machine]->FreezeUntil(events_.now() + kSpent);
-  events_.After(kPeriod, [this, machine, until] { Quota(machine, until); });
+  MarkDisturbed(machine, events_.now() + kPeriod);
+  if (machines_[machine]->IsRunning()) machines_[machine]->FreezeUntil(events_.now() + kSuspended);
+  events_.After(kPeriod, [this, machine, until] { ApplyQuota(machine, until); });
 }
 
 void Testbed::PowerOff(const Event& event) {
   for (std::size_t i = 0; i < std::min(event.count, machines_.size()); ++i) {
     const MachineIndex machine = (event.machine + i) % machines_.size();
-    if (!machines_[machine]->Runs()) continue;
+    if (!machines_[machine]->IsRunning()) continue;
     machines_[machine]->Kill();
-    StartAfter(machine, event.lasts + std::uniform_int_distribution<Time>(0, 2 * kStartSpread)(random_));
+    StartAfter(machine, event.duration + std::uniform_int_distribution<Time>(0, 2 * kStartSpread)(random_));
   }
 }
 
-void Testbed::StrikeNetwork(const Event& event, MachineIndex machine) {
-  const Time until = events_.now() + event.lasts;
-  Disturb(machine, until + kContact);
-  if (event.trouble == Trouble::kSlowLink) {
+void Testbed::InjectNetworkFault(const Event& event, MachineIndex machine) {
+  const Time until = events_.now() + event.duration;
+  MarkDisturbed(machine, until + kConnectedAfter);
+  if (event.kind == EventKind::kSlowLink) {
     network_.SetSpeed(machine, kSlowedLink);
     return events_.At(until, [this, machine] {
       network_.SetSpeed(machine,
-                        machine < day_.stores ? kFastLink : LinkSpeed{day_.others_bytes_per_microsecond});
+                        machine < day_.stores ? kFastLink : LinkSpeed{day_.diskless_bytes_per_microsecond});
     });
   }
-  const bool both_ways = event.trouble == Trouble::kCutOff;
+  const bool both_ways = event.kind == EventKind::kCutOff;
   for (MachineIndex other = 0; other < machines_.size(); ++other) {
     if (other == machine) continue;
     network_.Cut(other, machine);
@@ -145,9 +145,9 @@
 }
 
 void Testbed::Split(const Event& event) {
-  const Time until = events_.now() + event.lasts;
+  const Time until = events_.now() + event.duration;
   for (MachineIndex a = 0; a < day_.stores; ++a) {
-    Disturb(a, until + kContact);
+    MarkDisturbed(a, until + kConnectedAfter);
     for (MachineIndex b = 0; b < day_.stores; ++b) {
       if (a % 2 == b % 2) continue;
       network_.Cut(a, b);
@@ -156,11 +156,11 @@
   }
 }
 
-void Testbed::StrikeDisk(const Event& event, MachineIndex machine) {
-  const Time until = events_.now() + event.lasts;
-  if (event.trouble == Trouble::kWipe) return Wipe(event, machine);
-  Disturb(machine, until + kContact);
-  if (event.trouble == Trouble::kDiskStall)
+void Testbed::InjectDiskFault(const Event& event, MachineIndex machine) {
+  const Time until = events_.now() + event.duration;
+  if (event.kind == EventKind::kWipe) return Wipe(event, machine);
+  MarkDisturbed(machine, until + kConnectedAfter);
+  if (event.kind == EventKind::kDiskStall)
     machines_[machine]->disk().StallUntil(until);
   else
     machines_[machine]->disk().FillUntil(until);
@@ -168,14 +168,14 @@
 
 // Wipes no more disks than the deployment tolerates.
 void Testbed::Wipe(const Event& event, MachineIndex machine) {
-  if (wiped_ >= static_cast<std::size_t>(day_.tolerated) || !machines_[machine]->Runs()) return;
-  ++wiped_;
+  if (wiped_disks_ >= static_cast<std::size_t>(day_.tolerated) || !machines_[machine]->IsRunning()) return;
+  ++wiped_disks_;
   machines_[machine]->Kill();
   machines_[machine]->disk().Wipe();
-  StartAfter(machine, event.lasts);
+  StartAfter(machine, event.duration);
 }
 
-void Testbed::Disturb(MachineIndex machine, Time until) {
+void Testbed::MarkDisturbed(MachineIndex machine, Time until) {
   disturbed_until_[machine] = std::max(disturbed_until_[machine], until);
 }
 
--- a/lab/control/world.cpp
+++ b/lab/control/world.cpp
@@ -12,10 +12,10 @@
 
 constexpr Time kDrainBound = 2 * kSecond;  // from the acknowledgement of a drain to its effect
 constexpr Time kLease = 3 * kSecond;
-constexpr Time kRecovery = 10 * kSecond;  // the maximum, from the end of all faults
+constexpr Time kMaxRecoveryTime = 10 * kSecond;  // the maximum, from the end of all faults
 constexpr Time kCheckInterval = 100 * kMillisecond;
 constexpr Time kHeartbeatInterval = 1200 * kMillisecond;
-constexpr Time kLongestDay = 200 * kSecond;
+constexpr Time kMaxDayLength = 200 * kSecond;
 
 std::string InternalAddress(MachineIndex index) { return "10.0.0." + std::to_string(index + 1) + ":7660"; }
 std::string ControlAddress(MachineIndex index) { return "10.0.0." + std::to_string(index + 1) + ":7661"; }
@@ -50,10 +50,10 @@
     : day_(day),
       random_(day.seed * 2 + 1),
       network_(&events_, &random_),
-      history_(&findings_),
-      in_force_(&findings_, day.in_force_within),
-      drains_(&findings_, kDrainBound),
-      holders_(&findings_, kLease),
+      history_(&violations_),
+      in_force_(&violations_, day.in_force_within),
+      drains_(&violations_, kDrainBound),
+      holders_(&violations_, kLease),
       disturbed_until_(day.machines(), 0),
       last_disturbed_(day.machines(), 0),
       loses_answers_until_(day.machines(), 0),
@@ -62,7 +62,7 @@
   for (MachineIndex i = 0; i < day_.machines(); ++i) {
     machines_.push_back(std::make_unique<Machine>(this, i, SettingsOf(i)));
     by_internal_address_.emplace(InternalAddress(i), i);
-    network_.AddMachine(i < day_.stores ? kFastLink : LinkSpeed{day_.others_bytes_per_microsecond});
+    network_.AddMachine(i < day_.stores ? kFastLink : LinkSpeed{day_.diskless_bytes_per_microsecond});
   }
   for (std::size_t i = 0; i < day_.runners; ++i)
     runners_.push_back(std::make_unique<Runner>(this, &events_, &drains_, i, kHeartbeatInterval));
@@ -91,7 +91,7 @@
   settings.bounds.lease = kLease;
   settings.bounds.configuration_in_force = day_.in_force_within;
   settings.bounds.drain = kDrainBound;
-  settings.bounds.contact = kContact;
+  settings.bounds.contact = kConnectedAfter;
   return settings;
 }
 
@@ -103,20 +103,22 @@
   first.tag = "first";
   first.base = Version{};
   first.configuration_bytes = day_.configuration_bytes;
-  first.deadline = kLongestDay;
+  first.deadline = kMaxDayLength;
   operators_.push_back(std::make_unique<Operator>(this, &events_, &history_, &in_force_, std::move(first)));
   events_.At(day_.first_change_at, [this] { operators_.front()->Begin(); });
 }
 
 Outcome Testbed::Run() {
   StartAll();
-  for (const Event& event : day_.events) events_.At(event.at, [this, event] { Strike(event); });
-  Time next_look = 0;
-  const auto ended = [this] { return events_.now() >= std::max(day_.troubles_end, last_start_) + kRecovery; };
-  while (!(ended() && planned_starts_ == 0) && events_.now() < kLongestDay) {
-    next_look += kCheckInterval;
-    events_.RunUntil(next_look);
-    Look();
+  for (const Event& event : day_.events) events_.At(event.at, [this, event] { Inject(event); });
+  Time next_check = 0;
+  const auto ended = [this] {
+    return events_.now() >= std::max(day_.faults_end, last_start_) + kMaxRecoveryTime;
+  };
+  while (!(ended() && pending_starts_ == 0) && events_.now() < kMaxDayLength) {
+    next_check += kCheckInterval;
+    events_.RunUntil(next_check);
+    Check();
   }
   Finish();
   return outcome_;
@@ -131,7 +133,7 @@
   const std::size_t bytes = envelope.ByteSizeLong();
   ++messages_;
   outcome_.bytes_by_kind[KindOf(envelope)] += bytes;
-  Mix(static_cast<std::uint64_t>(events_.now()) * 31 + from * 1009 + to * 17 + bytes * 65'537);
+  AddToDigest(static_cast<std::uint64_t>(events_.now()) * 31 + from * 1009 + to * 17 + bytes * 65'537);
   auto shared = std::make_shared<messages::Envelope>(std::move(envelope));
   network_.Send(from, to, bytes, [this, to, shared] { machines_[to]->Deliver(std::move(*shared)); });
 }
@@ -143,11 +145,11 @@
 }
 
 void Testbed::Installed(MachineIndex machine, const routing::Snapshot& snapshot) {
-  Mix(static_cast<std::uint64_t>(events_.now()) * 7 + machine + snapshot.revision * 101);
+  AddToDigest(static_cast<std::uint64_t>(events_.now()) * 7 + machine + snapshot.revision * 101);
 }
 
 void Testbed::Exited(MachineIndex machine) {
-  Disturb(machine, events_.now() + kCatchUp);
+  MarkDisturbed(machine, events_.now() + kCatchUpTime);
   StartAfter(machine, start_after_exit_[machine]);
 }
 
@@ -158,17 +160,17 @@
   return machines_.size();
 }
 
-void Testbed::Call(MachineIndex machine, node::ControlRequest request, Time timeout, Answered answered) {
-  auto once = std::make_shared<Answered>(std::move(answered));
-  const auto end = [once](const std::optional<node::ControlResponse>& response) {
-    if (const Answered last = std::exchange(*once, nullptr)) last(response);
+void Testbed::Call(MachineIndex machine, node::ControlRequest request, Time timeout, OnResponse on_response) {
+  auto pending = std::make_shared<OnResponse>(std::move(on_response));
+  const auto respond = [pending](const std::optional<node::ControlResponse>& response) {
+    if (const OnResponse callback = std::exchange(*pending, nullptr)) callback(response);
   };
-  events_.After(timeout, [end] { end(std::nullopt); });
-  events_.After(CallDelay(&random_), [this, machine, request = std::move(request), end] {
-    if (!machines_[machine]->Runs()) return end(std::nullopt);  // connection refused
-    machines_[machine]->HandleCall(request, [this, machine, end](const node::ControlResponse& response) {
+  events_.After(timeout, [respond] { respond(std::nullopt); });
+  events_.After(CallDelay(&random_), [this, machine, request = std::move(request), respond] {
+    if (!machines_[machine]->IsRunning()) return respond(std::nullopt);  // connection refused
+    machines_[machine]->HandleCall(request, [this, machine, respond](const node::ControlResponse& response) {
       if (loses_answers_until_[machine] > events_.now()) return;
-      events_.After(CallDelay(&random_), [end, response] { end(response); });
+      events_.After(CallDelay(&random_), [respond, response] { respond(response); });
     });
   });
 }
@@ -176,11 +178,11 @@
 // ---- Invariant checks ----------------------------------------------------------------------------------
 
 bool Testbed::IsDisturbed(MachineIndex machine) const {
-  return !machines_[machine]->Runs() || events_.now() < disturbed_until_[machine];
+  return !machines_[machine]->IsRunning() || events_.now() < disturbed_until_[machine];
 }
 
 // If more stores are disturbed than the deployment tolerates, no machine counts as connected.
-void Testbed::NoteDisturbances() {
+void Testbed::UpdateDisturbances() {
   const Time now = events_.now();
   int stores = 0;
   for (MachineIndex i = 0; i < machines_.size(); ++i) {
@@ -197,25 +199,25 @@
   return has_one ? snapshot->configuration->edition() : 0;
 }
 
-void Testbed::Look() {
-  NoteDisturbances();
+void Testbed::Check() {
+  UpdateDisturbances();
   for (MachineIndex i = 0; i < machines_.size(); ++i) {
     if (IsDisturbed(i) || events_.now() - last_disturbed_[i] < kCheckInterval) continue;
-    in_force_.Look(events_.now(), i, last_disturbed_[i], EditionAt(i));
+    in_force_.Check(events_.now(), i, last_disturbed_[i], EditionAt(i));
     std::set<std::string> ready;
     const routing::Snapshot* snapshot = machines_[i]->snapshot();
     if (snapshot == nullptr || snapshot->runners == nullptr) continue;
     for (const auto& runner : *snapshot->runners) {
       if (runner.state() == messages::RUNNER_READY) ready.insert(runner.runner_id());
     }
-    drains_.Look(events_.now(), i, last_disturbed_[i], ready);
+    drains_.Check(events_.now(), i, last_disturbed_[i], ready);
   }
-  const Time settled = std::max(day_.troubles_end, last_start_);
-  if (events_.now() >= settled && planned_starts_ == 0 && !outcome_.recovered_after && AllAgree())
+  const Time settled = std::max(day_.faults_end, last_start_);
+  if (events_.now() >= settled && pending_starts_ == 0 && !outcome_.recovered_after && AllUpToDate())
     outcome_.recovered_after = events_.now() - settled;
 }
 
-bool Testbed::AllAgree() const {
+bool Testbed::AllUpToDate() const {
   for (MachineIndex i = 0; i < machines_.size(); ++i) {
     if (!machines_[i]->IsReady() || EditionAt(i) < history_.newest()) return false;
   }
@@ -224,29 +226,29 @@
 
 void Testbed::Finish() {
   const Time now = events_.now();
-  outcome_.lasted = now;
+  outcome_.elapsed = now;
   if (!outcome_.recovered_after)
-    findings_.Note(now, "recovery",
-                   "not all machines are ready with the newest configuration 10 s after the last fault");
+    violations_.Record(now, "recovery",
+                       "not all machines are ready with the newest configuration 10 s after the last fault");
   for (MachineIndex i = 0; i < machines_.size(); ++i) {
-    Operator::Task look;
-    look.first_asked = i;
-    look.deadline = now + 2 * kSecond;
-    operators_.push_back(std::make_unique<Operator>(this, &events_, &history_, &in_force_, look));
+    Operator::Task read;
+    read.first_machine = i;
+    read.deadline = now + 2 * kSecond;
+    operators_.push_back(std::make_unique<Operator>(this, &events_, &history_, &in_force_, read));
     operators_.back()->Begin();
   }
   events_.RunUntil(now + 4 * kSecond);
   for (std::size_t i = operators_.size() - machines_.size(); i < operators_.size(); ++i) {
     if (operators_[i]->reads() == 0)
-      findings_.Note(now, "readable", "the configuration could not be read 10 s after the last fault");
+      violations_.Record(now, "readable", "the configuration could not be read 10 s after the last fault");
   }
   const std::uint64_t budget = ByteBudget(day_, history_.acknowledged(), starts_, now);
   if (network_.bytes() > budget) {
-    findings_.Note(now, "bytes",
-                   std::to_string(network_.bytes()) + " bytes were sent, but only " + std::to_string(budget) +
-                       " are accounted for");
+    violations_.Record(now, "bytes",
+                       std::to_string(network_.bytes()) + " bytes were sent, but only " +
+                           std::to_string(budget) + " are accounted for");
   }
-  outcome_.findings = findings_.all();
+  outcome_.violations = violations_.all();
   outcome_.changes = history_.acknowledged();
   for (const auto& each : operators_) outcome_.reads += each->reads();
   outcome_.drains = drains_.acknowledged();
@@ -256,7 +258,7 @@
   outcome_.dropped = network_.dropped();
 }
 
-void Testbed::Mix(std::uint64_t number) {
+void Testbed::AddToDigest(std::uint64_t number) {
   outcome_.digest = (outcome_.digest ^ number) * 0x100000001b3ull;
   outcome_.digest ^= outcome_.digest >> 29;
 }
@@ -264,15 +266,17 @@
 // Days without faults with 3 to 28 machines take 5.1 to 6.7 kB per machine and second with three stores, 6.8
 // to 8.3 with five, 7.9 to 10.2 with seven: the traffic of each machine to the stores grows with their
 // number.
-std::uint64_t ByteBudget(const Day& day, std::size_t changes, std::size_t starts, Time lasted) {
-  constexpr std::uint64_t kPerMachineSecond = 3'500, kPerStore = 1'250;
-  constexpr std::uint64_t kPerChangeAndMachine = 8'000;
-  const auto seconds = static_cast<std::uint64_t>(lasted / kSecond);
-  const std::uint64_t steady = seconds * day.machines() * (kPerMachineSecond + kPerStore * day.stores);
+std::uint64_t ByteBudget(const Day& day, std::size_t changes, std::size_t starts, Time elapsed) {
+  constexpr std::uint64_t kBytesPerMachineSecond = 3'500, kBytesPerMachineSecondAndStore = 1'250;
+  constexpr std::uint64_t kBytesPerChangeAndMachine = 8'000;
+  const auto seconds = static_cast<std::uint64_t>(elapsed / kSecond);
+  const std::uint64_t steady =
+      seconds * day.machines() * (kBytesPerMachineSecond + kBytesPerMachineSecondAndStore * day.stores);
   // The complete first configuration is sent to all machines, to some twice, and to each store that joins its
   // group; each start reads it once or twice.
-  const std::uint64_t wholes = 3 * day.machines() + 6 * day.stores + 3 * starts;
-  return steady + wholes * (day.configuration_bytes + 1000) + changes * day.machines() * kPerChangeAndMachine;
+  const std::uint64_t full_transfers = 3 * day.machines() + 6 * day.stores + 3 * starts;
+  return steady + full_transfers * (day.configuration_bytes + 1000) +
+         changes * day.machines() * kBytesPerChangeAndMachine;
 }
 
 Outcome Play(const Day& day) { return Testbed(day).Run(); }
--- a/lab/control/world.h
+++ b/lab/control/world.h
@@ -21,12 +21,12 @@
 namespace lichenlug::lab::control {
 
 struct Outcome {
-  std::vector<Finding> findings;
+  std::vector<Violation> violations;
   std::uint64_t digest = 0;  // of all messages and snapshots; identical on every host
   std::size_t changes = 0, reads = 0, drains = 0, platform_calls = 0;  // acknowledged or answered
   std::uint64_t messages = 0, bytes = 0, dropped = 0;
   std::map<std::string, std::uint64_t> bytes_by_kind;  // message bodies, without headers
-  Time lasted = 0;
+  Time elapsed = 0;
   std::optional<Time> recovered_after;  // from the end of the last fault until all agree
 };
 
@@ -34,9 +34,9 @@
 Outcome Play(const Day& day);
 
 // The maximum number of bytes that the machines, changes and restarts of a day account for.
-std::uint64_t ByteBudget(const Day& day, std::size_t changes, std::size_t starts, Time lasted);
+std::uint64_t ByteBudget(const Day& day, std::size_t changes, std::size_t starts, Time elapsed);
 
-class Testbed : public Surroundings, public CallPort {
+class Testbed : public MachineEnvironment, public CallPort {
  public:
   explicit Testbed(const Day& day);
   ~Testbed() override;
@@ -55,38 +55,39 @@
   // CallPort
   std::size_t machines() const override { return machines_.size(); }
   MachineIndex FindByControlAddress(const std::string& address) const override;
-  void Call(MachineIndex machine, node::ControlRequest request, Time timeout, Answered answered) override;
+  void Call(MachineIndex machine, node::ControlRequest request, Time timeout,
+            OnResponse on_response) override;
 
   node::NodeSettings SettingsOf(MachineIndex index) const;
   void StartAll();
-  void Strike(const Event& event);
-  void StrikeProcess(const Event& event, MachineIndex machine);
-  void StrikeNetwork(const Event& event, MachineIndex machine);
-  void StrikeDisk(const Event& event, MachineIndex machine);
+  void Inject(const Event& event);
+  void InjectProcessFault(const Event& event, MachineIndex machine);
+  void InjectNetworkFault(const Event& event, MachineIndex machine);
+  void InjectDiskFault(const Event& event, MachineIndex machine);
   void PowerOff(const Event& event);
   void Split(const Event& event);
   void Wipe(const Event& event, MachineIndex machine);
   void StartAfter(MachineIndex machine, Time span);
-  void Quota(MachineIndex machine, Time until);
-  void Disturb(MachineIndex machine, Time until);
+  void ApplyQuota(MachineIndex machine, Time until);
+  void MarkDisturbed(MachineIndex machine, Time until);
 
-  void Look();
-  void NoteDisturbances();
+  void Check();
+  void UpdateDisturbances();
   bool IsDisturbed(MachineIndex machine) const;
   std::int64_t EditionAt(MachineIndex machine) const;
-  bool AllAgree() const;
+  bool AllUpToDate() const;
   void Finish();
-  void Mix(std::uint64_t number);
+  void AddToDigest(std::uint64_t number);
 
   Day day_;
   std::mt19937_64 random_;
   EventQueue events_;
   Network network_;
-  Findings findings_;
-  ConfigurationHistory history_;
-  InForce in_force_;
-  Drains drains_;
-  Holders holders_;
+  Violations violations_;
+  HistoryChecker history_;
+  InForceChecker in_force_;
+  DrainChecker drains_;
+  HolderChecker holders_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::unordered_map<std::string, MachineIndex> by_internal_address_;
   std::vector<std::unique_ptr<Operator>> operators_;
@@ -94,7 +95,7 @@
   std::vector<Time> disturbed_until_, last_disturbed_;  // by machine
   std::vector<Time> loses_answers_until_;
   std::vector<Time> start_after_exit_;  // after SIGTERM
-  std::size_t wiped_ = 0, starts_ = 0, planned_starts_ = 0;
+  std::size_t wiped_disks_ = 0, starts_ = 0, pending_starts_ = 0;
   std::uint64_t messages_ = 0;
   Time last_start_ = 0;
   bool fence_checked_;
--- a/lab/tests/control_test.cpp
+++ b/lab/tests/control_test.cpp
@@ -13,15 +13,15 @@
 namespace lichenlug::lab::control {
 namespace {
 
-constexpr std::uint64_t kSeedsOfScenario = 3;
+constexpr std::uint64_t kSeedsPerScenario = 3;
 constexpr std::uint64_t kDrawnDays = 120;
-constexpr std::uint64_t kSeedsOfFounding = 30;
-constexpr std::size_t kMachinesOfLargeDay = 100;
+constexpr std::uint64_t kFoundingSeeds = 30;
+constexpr std::size_t kMinMachinesOfLargeDay = 100;
 
-std::string Told(const Outcome& outcome) {
+std::string ViolationLines(const Outcome& outcome) {
   std::string lines;
-  for (const Finding& finding : outcome.findings)
-    lines.append(finding.judge).append(": ").append(finding.line).append("\n");
+  for (const Violation& violation : outcome.violations)
+    lines.append(violation.checker).append(": ").append(violation.message).append("\n");
   return lines;
 }
 
@@ -33,10 +33,11 @@
 class ControlScenario : public Control, public ::testing::WithParamInterface<std::string> {};
 
 TEST_P(ControlScenario, IsKept) {
-  const bool is_large = Scenario(GetParam(), 1).machines() >= kMachinesOfLargeDay;
-  for (std::uint64_t seed = is_large ? kSeedsOfScenario : 1; seed <= kSeedsOfScenario; ++seed) {
+  const bool is_large = Scenario(GetParam(), 1).machines() >= kMinMachinesOfLargeDay;
+  for (std::uint64_t seed = is_large ? kSeedsPerScenario : 1; seed <= kSeedsPerScenario; ++seed) {
     const Outcome outcome = Play(Scenario(GetParam(), seed));
-    EXPECT_TRUE(outcome.findings.empty()) << GetParam() << ", seed " << seed << "\n" << Told(outcome);
+    EXPECT_TRUE(outcome.violations.empty()) << GetParam() << ", seed " << seed << "\n"
+                                            << ViolationLines(outcome);
     EXPECT_GT(outcome.changes, 0u);
     EXPECT_GT(outcome.platform_calls, 0u);
   }
@@ -54,11 +55,11 @@
 // that such a group acknowledges could be lost with two disks.
 TEST_F(Control, AChangeAcknowledgedBeforeAllHaveStartedOutlastsTwoDisks) {
   std::size_t acknowledged = 0;
-  for (std::uint64_t seed = 1; seed <= kSeedsOfFounding; ++seed) {
+  for (std::uint64_t seed = 1; seed <= kFoundingSeeds; ++seed) {
     const Outcome outcome = Play(Scenario("two-disks-lost-before-others-have-started", seed));
     acknowledged += outcome.changes;
     if (outcome.changes == 0) continue;
-    EXPECT_TRUE(outcome.findings.empty()) << "seed " << seed << "\n" << Told(outcome);
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << "\n" << ViolationLines(outcome);
   }
   EXPECT_GT(acknowledged, 0u);
 }
@@ -67,7 +68,7 @@
   std::size_t drains = 0;
   for (std::uint64_t seed = 1; seed <= kDrawnDays; ++seed) {
     const Outcome outcome = Play(DrawDay(seed));
-    EXPECT_TRUE(outcome.findings.empty()) << "seed " << seed << "\n" << Told(outcome);
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << "\n" << ViolationLines(outcome);
     drains += outcome.drains;
   }
   EXPECT_GT(drains, kDrawnDays / 4);
@@ -87,94 +88,94 @@
 TEST_F(Control, AFailingDayShrinksToWhatMakesItFail) {
   Day day;
   day.seed = 3;
-  const auto add = [&day](Trouble trouble, Time at, MachineIndex machine, Time lasts) {
+  const auto add = [&day](EventKind kind, Time at, MachineIndex machine, Time duration) {
     Event event;
-    event.trouble = trouble;
+    event.kind = kind;
     event.at = at;
     event.machine = machine;
-    event.lasts = lasts;
+    event.duration = duration;
     day.events.push_back(event);
   };
-  add(Trouble::kReload, 7 * kSecond, 0, 0);
-  add(Trouble::kKill, 8 * kSecond, 1, kSecond);
-  add(Trouble::kCutOff, 15 * kSecond, 3, 60 * kSecond);
-  add(Trouble::kRunnerDrains, 16 * kSecond, 0, 0);
-  add(Trouble::kChange, 20 * kSecond, 0, 0);
-  add(Trouble::kRunnerCrashes, 21 * kSecond, 1, 0);
-  const Shrunk shrunk = Shrink(day, 40);
-  ASSERT_FALSE(shrunk.outcome.findings.empty());
-  EXPECT_EQ(shrunk.outcome.findings.front().judge, "recovery");
+  add(EventKind::kReload, 7 * kSecond, 0, 0);
+  add(EventKind::kKill, 8 * kSecond, 1, kSecond);
+  add(EventKind::kCutOff, 15 * kSecond, 3, 60 * kSecond);
+  add(EventKind::kRunnerDrains, 16 * kSecond, 0, 0);
+  add(EventKind::kChange, 20 * kSecond, 0, 0);
+  add(EventKind::kRunnerCrashes, 21 * kSecond, 1, 0);
+  const ShrinkResult shrunk = Shrink(day, 40);
+  ASSERT_FALSE(shrunk.outcome.violations.empty());
+  EXPECT_EQ(shrunk.outcome.violations.front().checker, "recovery");
   ASSERT_EQ(shrunk.day.events.size(), 2u);
-  EXPECT_EQ(shrunk.day.events[0].trouble, Trouble::kCutOff);
-  EXPECT_EQ(shrunk.day.events[1].trouble, Trouble::kChange);
+  EXPECT_EQ(shrunk.day.events[0].kind, EventKind::kCutOff);
+  EXPECT_EQ(shrunk.day.events[1].kind, EventKind::kChange);
 }
 
 TEST(ControlJudges, AnAnswerThatLacksAnAcknowledgedChangeIsFound) {
-  Findings findings;
-  ConfigurationHistory history(&findings);
+  Violations violations;
+  HistoryChecker history(&violations);
   history.Acknowledged(kSecond, "a", 0, 1);
   history.ReadAnswered(kSecond, 2 * kSecond, {0, {}});  // sent before the acknowledgement
   history.ReadAnswered(2 * kSecond, 3 * kSecond, {2, {"a", "b"}});
-  EXPECT_TRUE(findings.all().empty());
+  EXPECT_TRUE(violations.all().empty());
   history.ReadAnswered(2 * kSecond, 3 * kSecond, {2, {"b"}});
-  EXPECT_EQ(findings.all().size(), 1u);
+  EXPECT_EQ(violations.all().size(), 1u);
 }
 
 TEST(ControlJudges, TwoChangesOnOneBaseAreFoundARepeatIsNot) {
-  Findings findings;
-  ConfigurationHistory history(&findings);
+  Violations violations;
+  HistoryChecker history(&violations);
   history.Acknowledged(kSecond, "a", 0, 1);
   history.Acknowledged(2 * kSecond, "a", 0, 1);
-  EXPECT_TRUE(findings.all().empty());
+  EXPECT_TRUE(violations.all().empty());
   history.Acknowledged(3 * kSecond, "b", 0, 1);
-  EXPECT_EQ(findings.all().size(), 1u);
+  EXPECT_EQ(violations.all().size(), 1u);
 }
 
 TEST(ControlJudges, AnOldConfigurationIsFoundFromItsBoundOn) {
-  Findings findings;
-  InForce in_force(&findings, 2 * kSecond);
+  Violations violations;
+  InForceChecker in_force(&violations, 2 * kSecond);
   in_force.Acknowledged(10 * kSecond, 4);
-  in_force.Look(11900 * kMillisecond, 1, 0, 3);
-  in_force.Look(20 * kSecond, 1, 19 * kSecond, 3);  // connected again for one second
-  in_force.Look(20 * kSecond, 2, 0, 4);
-  EXPECT_TRUE(findings.all().empty());
-  in_force.Look(12200 * kMillisecond, 1, 0, 3);
-  EXPECT_EQ(findings.all().size(), 1u);
+  in_force.Check(11900 * kMillisecond, 1, 0, 3);
+  in_force.Check(20 * kSecond, 1, 19 * kSecond, 3);  // connected again for one second
+  in_force.Check(20 * kSecond, 2, 0, 4);
+  EXPECT_TRUE(violations.all().empty());
+  in_force.Check(12200 * kMillisecond, 1, 0, 3);
+  EXPECT_EQ(violations.all().size(), 1u);
 }
 
 TEST(ControlJudges, ADrainThatDoesNotHoldIsFound) {
-  Findings findings;
-  Drains drains(&findings, 2 * kSecond);
+  Violations violations;
+  DrainChecker drains(&violations, 2 * kSecond);
   drains.Acknowledged(10 * kSecond, "r");
-  drains.Look(11 * kSecond, 1, 0, {"r"});
-  drains.Look(13 * kSecond, 1, 0, {"other"});
-  EXPECT_TRUE(findings.all().empty());
-  drains.Look(13 * kSecond, 1, 0, {"r"});
-  EXPECT_EQ(findings.all().size(), 1u);
+  drains.Check(11 * kSecond, 1, 0, {"r"});
+  drains.Check(13 * kSecond, 1, 0, {"other"});
+  EXPECT_TRUE(violations.all().empty());
+  drains.Check(13 * kSecond, 1, 0, {"r"});
+  EXPECT_EQ(violations.all().size(), 1u);
 }
 
 TEST(ControlJudges, TwoHoldersUnderOneFenceAndADeposedOneAreFound) {
-  Findings findings;
-  Holders holders(&findings, 3 * kSecond);
+  Violations violations;
+  HolderChecker holders(&violations, 3 * kSecond);
   EXPECT_EQ(holders.Called(kSecond, 0, 1, false), 200);
   EXPECT_EQ(holders.Called(2 * kSecond, 1, 2, false), 200);
-  EXPECT_TRUE(findings.all().empty());
+  EXPECT_TRUE(violations.all().empty());
   holders.Called(3 * kSecond, 0, 1, false);
-  EXPECT_EQ(findings.all().size(), 1u);
+  EXPECT_EQ(violations.all().size(), 1u);
   holders.Called(3 * kSecond, 2, 2, false);
-  EXPECT_EQ(findings.all().size(), 2u);
+  EXPECT_EQ(violations.all().size(), 2u);
 }
 
 TEST(ControlJudges, WhereFencesAreCheckedARefusedHolderHasToStopWithinItsLease) {
-  Findings findings;
-  Holders holders(&findings, 3 * kSecond);
+  Violations violations;
+  HolderChecker holders(&violations, 3 * kSecond);
   holders.Called(kSecond, 0, 1, true);
   holders.Called(2 * kSecond, 1, 2, true);
   EXPECT_EQ(holders.Called(3 * kSecond, 0, 1, true), 412);
   EXPECT_EQ(holders.Called(5 * kSecond, 0, 1, true), 412);
-  EXPECT_TRUE(findings.all().empty());
+  EXPECT_TRUE(violations.all().empty());
   holders.Called(7 * kSecond, 0, 1, true);
-  EXPECT_EQ(findings.all().size(), 1u);
+  EXPECT_EQ(violations.all().size(), 1u);
 }
 
 }  // namespace
