--- a/lab/tests/control_test.cpp
+++ b/lab/tests/control_test.cpp
@@ -53,7 +53,7 @@
 
 // A dispatcher that has just started knows too few machines to detect that a group is too small. A change
 // that such a group acknowledges could be lost with two disks.
-TEST_F(Control, AChangeAcknowledgedBeforeAllHaveStartedOutlastsTwoDisks) {
+TEST_F(Control, ChangeAcknowledgedBeforeAllStartedSurvivesLossOfTwoDisks) {
   std::size_t acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= kFoundingSeeds; ++seed) {
     const Outcome outcome = Play(Scenario("two-disks-lost-before-others-have-started", seed));
@@ -64,7 +64,7 @@
   EXPECT_GT(acknowledged, 0u);
 }
 
-TEST_F(Control, DrawnDaysAreKept) {
+TEST_F(Control, DrawnDaysHoldAllInvariants) {
   std::size_t drains = 0;
   for (std::uint64_t seed = 1; seed <= kDrawnDays; ++seed) {
     const Outcome outcome = Play(DrawDay(seed));
@@ -74,18 +74,18 @@
   EXPECT_GT(drains, kDrawnDays / 4);
 }
 
-TEST_F(Control, ADayIsTheSameEachTime) {
+TEST_F(Control, SameSeedGivesSameDay) {
   const Outcome first = Play(DrawDay(7)), second = Play(DrawDay(7)), other = Play(DrawDay(8));
   EXPECT_EQ(first.digest, second.digest);
   EXPECT_EQ(first.bytes, second.bytes);
   EXPECT_NE(first.digest, other.digest);
 }
 
-TEST_F(Control, AnUnknownScenarioIsRefused) { EXPECT_THROW(Scenario("nothing", 1), std::invalid_argument); }
+TEST_F(Control, UnknownScenarioThrows) { EXPECT_THROW(Scenario("nothing", 1), std::invalid_argument); }
 
 // One machine stays partitioned and cannot receive the change; the other events are not needed for the
 // failure.
-TEST_F(Control, AFailingDayShrinksToWhatMakesItFail) {
+TEST_F(Control, ShrinkKeepsOnlyTheEventsThatCauseTheFailure) {
   Day day;
   day.seed = 3;
   const auto add = [&day](EventKind kind, Time at, MachineIndex machine, Time duration) {
@@ -110,7 +110,7 @@
   EXPECT_EQ(shrunk.day.events[1].kind, EventKind::kChange);
 }
 
-TEST(ControlJudges, AnAnswerThatLacksAnAcknowledgedChangeIsFound) {
+TEST(ControlCheckers, DetectsReadThatLacksAcknowledgedChange) {
   Violations violations;
   HistoryChecker history(&violations);
   history.Acknowledged(kSecond, "a", 0, 1);
@@ -121,7 +121,7 @@
   EXPECT_EQ(violations.all().size(), 1u);
 }
 
-TEST(ControlJudges, TwoChangesOnOneBaseAreFoundARepeatIsNot) {
+TEST(ControlCheckers, DetectsTwoChangesOnOneBaseButAllowsRepeat) {
   Violations violations;
   HistoryChecker history(&violations);
   history.Acknowledged(kSecond, "a", 0, 1);
@@ -131,7 +131,7 @@
   EXPECT_EQ(violations.all().size(), 1u);
 }
 
-TEST(ControlJudges, AnOldConfigurationIsFoundFromItsBoundOn) {
+TEST(ControlCheckers, DetectsStaleConfigurationAfterBound) {
   Violations violations;
   InForceChecker in_force(&violations, 2 * kSecond);
   in_force.Acknowledged(10 * kSecond, 4);
@@ -143,7 +143,7 @@
   EXPECT_EQ(violations.all().size(), 1u);
 }
 
-TEST(ControlJudges, ADrainThatDoesNotHoldIsFound) {
+TEST(ControlCheckers, DetectsDrainedRunnerListedAsReady) {
   Violations violations;
   DrainChecker drains(&violations, 2 * kSecond);
   drains.Acknowledged(10 * kSecond, "r");
@@ -154,7 +154,7 @@
   EXPECT_EQ(violations.all().size(), 1u);
 }
 
-TEST(ControlJudges, TwoHoldersUnderOneFenceAndADeposedOneAreFound) {
+TEST(ControlCheckers, DetectsTwoHoldersOfOneFenceAndDeposedHolder) {
   Violations violations;
   HolderChecker holders(&violations, 3 * kSecond);
   EXPECT_EQ(holders.Called(kSecond, 0, 1, false), 200);
@@ -166,7 +166,7 @@
   EXPECT_EQ(violations.all().size(), 2u);
 }
 
-TEST(ControlJudges, WhereFencesAreCheckedARefusedHolderHasToStopWithinItsLease) {
+TEST(ControlCheckers, DetectsRefusedHolderThatCallsAfterItsLease) {
   Violations violations;
   HolderChecker holders(&violations, 3 * kSecond);
   holders.Called(kSecond, 0, 1, true);
