--- a/lab/control/callers.h
+++ b/lab/control/callers.h
@@ -95,7 +95,7 @@
   std::string id_, address_;
   Time heartbeat_interval_;
   State state_ = State::kReady;
-  bool call_in_flight_ = false;  // a call is in flight; there is one at a time
+  bool call_in_flight_ = false;  // there is one call at a time
   bool end_scheduled_ = false;
   MachineIndex home_;
   std::uint64_t call_count_ = 0;
--- a/lab/control/judges.cpp
+++ b/lab/control/judges.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMaxFindings = 64;
-constexpr Time kCheckTolerance = 150 * kMillisecond;  // tolerance: the checks run ten times a second
+constexpr Time kCheckTolerance = 150 * kMillisecond;  // the checks run ten times a second
 
 std::string Seconds(Time span) {
   char text[32];
--- a/lab/control/machine.cpp
+++ b/lab/control/machine.cpp
@@ -7,8 +7,7 @@
 
 namespace {
 
-constexpr Time kMinStepDuration =
-    50;  // minimum duration of a step; a timer that is due at once fires after it
+constexpr Time kMinStepDuration = 50;  // a timer that is due at once fires this much later
 
 }  // namespace
 
--- a/lab/control/machine.h
+++ b/lab/control/machine.h
@@ -71,7 +71,7 @@
   // if the process of this `generation` has ended.
   void RunInProcess(std::uint64_t generation, std::function<void()> step);
   void FinishStep();
-  void EndProcess();  // ends the process
+  void EndProcess();
 
   MachineEnvironment* environment_;
   MachineIndex index_;
--- a/lab/control/world.cpp
+++ b/lab/control/world.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kDrainBound = 2 * kSecond;  // from the acknowledgement of a drain to its effect
 constexpr Time kLease = 3 * kSecond;
-constexpr Time kMaxRecoveryTime = 10 * kSecond;  // the maximum, from the end of all faults
+constexpr Time kMaxRecoveryTime = 10 * kSecond;  // from the end of all faults
 constexpr Time kCheckInterval = 100 * kMillisecond;
 constexpr Time kHeartbeatInterval = 1200 * kMillisecond;
 constexpr Time kMaxDayLength = 200 * kSecond;
