--- a/lab/tests/world_test.cpp
+++ b/lab/tests/world_test.cpp
@@ -1,5 +1,5 @@
-// Days in virtual time: one seed is one day; rules that are broken on purpose are seen, and shown again by a
-// replay.
+// Tests days in virtual time: a seed determines the day, and rules that a policy breaks deliberately are
+// detected and reproduced by a replay.
 #include "lab/virtual/world.h"
 
 #include <gtest/gtest.h>
@@ -82,14 +82,15 @@
   Day day = DayNamed("calm");
   day.length = 8 * kSecond, day.load = 0.5;
   day.site.boxes = 600, day.site.zones = {"z"}, day.site.keys.count = 1, day.site.keys.setup = 0;
-  EXPECT_GT(Testbed(day, "module", 1).Run().score.g, 0.75);  // 0.47 where its set ends with one walk
+  // The score is 0.47 if the worker set is limited to one walk of the ring.
+  EXPECT_GT(Testbed(day, "module", 1).Run().score.g, 0.75);
 }
 
-// What stands behind the wire is the same module and must do the same. Digests differ, as its first actions
-// come with its first list.
+// The wire process hosts the same module and must make the same decisions. Digests differ because its first
+// actions come with its first list.
 TEST(Testbed, TheModuleBehindTheWirePlaysTheSameDay) {
   Day day = DayNamed("everything");
-  day.site.reports_accepts = false;  // not on the wire
+  day.site.reports_accepts = false;  // not supported by the wire protocol
   const RequestTotals own = Totals(Testbed(day, "module", 3).Run());
   EXPECT_EQ(own, Totals(Testbed(day, "wire:" LAB_WIREHOST, 3).Run()));
   EXPECT_GT(own.events, 50'000u);
@@ -169,7 +170,7 @@
 TEST_F(CheckerTest, GivesTheGraceAfterADrainAndNoMore) {
   using State = rookgw::ListedWorker::State;
   checker->Told(0, 0, 4, State::kDraining);
-  checker->Told(400 * kMillisecond, 0, 4, State::kGone);  // the first word counts
+  checker->Told(400 * kMillisecond, 0, 4, State::kGone);  // the first notice counts
   checker->Took(0, 0, 1, 0, 5 * kSecond);
   checker->Sent(site.drain_grace, 1, 0, 4, 0, 0);
   EXPECT_FALSE(Broken(3));
--- a/lab/virtual/judge.cpp
+++ b/lab/virtual/judge.cpp
@@ -9,7 +9,7 @@
 constexpr int kBins = 120;
 constexpr double kMinMs = 0.1, kMaxMs = 100'000;
 constexpr std::size_t kWindow = 10;  // seconds
-// How the parts of G weigh: the weights of the registry's own goal.
+// Weights of the parts of G, the same as in the goal of the registry.
 constexpr double kWhole = 0.45, kWorstClass = 0.4, kWorstTenant = 0.1, kWorstWindow = 0.05;
 
 template <typename H>
@@ -76,7 +76,7 @@
   Result r;
   Sum whole;
   r.worst_window = r.worst_class = r.worst_tenant = 1;
-  for (std::size_t i = 1; i < seconds_.size(); ++i)  // from the first second on
+  for (std::size_t i = 1; i < seconds_.size(); ++i)  // the second 0 is left out
     whole.offered += seconds_[i].offered, whole.gained += seconds_[i].gained;
   for (std::size_t i = 1; i + kWindow <= static_cast<std::size_t>(day_.length / kSecond); ++i) {
     Sum window;
--- a/lab/virtual/judge.h
+++ b/lab/virtual/judge.h
@@ -1,4 +1,4 @@
-// What a day was worth: counts answers, latencies and loads by class, tenant and second.
+// Scores a day: counts answers, latencies and loads by class, tenant and second.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -17,17 +17,18 @@
   explicit Judge(const Day& day);
 
   void Offered(const JobSpec& job, bool over_share);
-  // A job's client has its last word `latency` after it first asked.
+  // The job's client received its final answer `latency` after its first request.
   void Ended(const JobSpec& job, bool over_share, JobEnd end, Time latency);
   void Sent(Time now, bool cross_zone) { ++attempts_, cross_zone_ += cross_zone, ++At(now).attempts; }
-  void LoadOf(Time now, const std::vector<double>& used_by_group);  // shares of cores in use
+  void LoadOf(Time now, const std::vector<double>& used_by_group);  // share of cores in use, by group
 
-  // Shares of the worth offered: the whole day, the worst 10 s, class and tenant; and their mix in G.
+  // Shares of the offered worth: of the whole day, the worst 10 s, the worst class and the worst tenant; and
+  // their weighted sum G.
   struct Result {
     double whole = 0, worst_window = 0, worst_class = 0, worst_tenant = 0, g = 0;
   };
   Result result() const;
-  // Everything that a report draws, as JSON.
+  // All data of a report, as JSON.
   nlohmann::json ToJson() const;
 
  private:
@@ -51,7 +52,7 @@
   };
   std::vector<Sum> by_class_, by_tenant_;
   std::vector<std::uint64_t> ends_ = std::vector<std::uint64_t>(4);
-  std::vector<Histogram> latency_;  // by class, milliseconds, of what was served
+  std::vector<Histogram> latency_;  // of served jobs, by class, in milliseconds
   std::uint64_t attempts_ = 0, cross_zone_ = 0, jobs_ = 0;
 };
 
--- a/lab/virtual/world.cpp
+++ b/lab/virtual/world.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Time kStillOpen = 60 * kSecond;  // a day that has not drained so long after its end is cut off
+constexpr Time kStillOpen = 60 * kSecond;  // a day whose jobs are unfinished this long after its end is ended
 
 std::vector<double> Amounts(const std::vector<KindModel>& kinds) {
   std::vector<double> shares;
@@ -72,8 +72,8 @@
       faulted_(day_.faults.size()),
       checker_(site_),
       judge_(day_) {
-  // Machine kinds by their shares, in an order drawn for the day; zones in turn; cells of neighbours in a
-  // zone.
+  // Assigns machine kinds by their shares in a random order, zones round robin, and cells of neighbouring
+  // boxes of a zone.
   Random make(seed, 30);
   std::vector<int> kinds;
   const std::vector<double> shares = Amounts(site_.kinds);
@@ -155,7 +155,7 @@
 }
 
 void Testbed::Step(const Event& e) {
-  const auto report_of = [&] {  // the load report that came with this event, if one did
+  const auto report_of = [&] {  // the load report carried by this event, if any
     const auto it = carried_.find(e.order);
     if (it == carried_.end()) return rookgw::LoadReport{};
     const rookgw::LoadReport report = it->second;
@@ -238,7 +238,7 @@
       const Time back = net_.Delay(now_, box.zone, nodes_[node].zone);
       const bool taken = up && box.Probe(now_);
       result_.probes_refused += up && !taken;
-      if (taken) {  // what it is slowed by shows, unless it masks that
+      if (taken) {  // a slowed box answers probes slowly, unless it masks its load
         const double pace = box.masks_load ? 1 : std::max(0.01, box.Pace(now_) / box.Capacity());
         const Time took = std::llround(static_cast<double>(site_.probe_work) / pace);
         ArmBox(static_cast<int>(e.a));
@@ -248,7 +248,8 @@
           return Push(now_ + took + back, What::kProbed, e.a, 1, e.c);
         }
       }
-      // Refused at once by what is full or down; nothing is heard of what is silent, cut off or too slow.
+      // A full or stopped box refuses at once; one that is silent, partitioned or too slow runs into the
+      // timeout.
       const bool refused = !taken && box.life != Box::Life::kSilent && back != kNever;
       return Push(now_ + (refused ? back : site_.probe_timeout), What::kProbed, e.a, 0, e.c);
     }
@@ -337,7 +338,7 @@
   }
 }
 
-// ---- Clients and front ----
+// ---- Clients and front end ----
 
 void Testbed::ScheduleArrival() {
   arrivals_over_ = !workload_->Next(&next_job_);
@@ -411,7 +412,7 @@
 
 void Testbed::ClientHears(Handle handle, Word word, Time come_back) {
   JobState* job = jobs_.Find(handle);
-  if (job == nullptr) return;  // it has given up
+  if (job == nullptr) return;  // the client has given up
   if (word == Word::kServed) return EndJob(handle, JobEnd::kServed);
   const ClassModel& cls = site_.classes[job->spec.cls];
   double storm = 1;
--- a/lab/virtual/world.h
+++ b/lab/virtual/world.h
@@ -1,9 +1,10 @@
-// Plays a day in virtual time: clients, front, dispatchers, network, boxes, store and discovery, all events
-// in one ordered heap. Each dispatcher is a Policy hosted as the real core hosts the module: one event at a
-// time in the order in which they come, actions carried out before the next event, one outcome a branch, one
-// final answer a request, and an answer at the last moment should the policy give none.
+// Plays a day in virtual time: clients, front, dispatchers, network, boxes, store and discovery, with all
+// events in one priority queue. Each dispatcher is a Policy hosted as the real core hosts the module: events
+// are handled one at a time in order of arrival, actions are carried out before the next event, each attempt
+// has one outcome and each request one final answer, and the host answers at the deadline if the policy has
+// not.
 //
-// One day, policy and seed give one digest, on every run and build type.
+// Deterministic: a day, policy and seed give the same digest on every run and build type.
 #pragma once
 
 #include <array>
@@ -29,10 +30,10 @@
 
 struct RunResult {
   std::uint64_t digest = 0, events = 0;
-  bool drained = true;  // false: the day was cut off with work still open
+  bool drained = true;  // false: the day was ended with jobs unfinished
   double policy_seconds = 0, wall_seconds = 0;
   std::uint64_t policy_events = 0, arrivals = 0;
-  // Time of the policy and number by kind of event, in the order of rookgw::Event.
+  // Wall time spent in the policy and number of events, by kind in the order of rookgw::Event.
   std::array<double, std::variant_size_v<rookgw::Event>> seconds_by_event{};
   std::array<std::uint64_t, std::variant_size_v<rookgw::Event>> count_by_event{};
   std::map<int, Breach> breaches;
@@ -41,18 +42,19 @@
   Judge::Result score;
 };
 
-// The settings that a dispatcher of the site is told. `job_rate`: jobs a second that fill the site.
+// The settings of a dispatcher of the site. `job_rate`: jobs per second that use the full capacity of the
+// site.
 rookgw::Settings ToldSettings(const Site& site, int ordinal, double job_rate);
 
 class Testbed : public Truth {
  public:
-  // `policy` as in MakePolicy. `policy_seed` moves the random numbers of the dispatchers and nothing of the
-  // day.
+  // `policy` is as in MakePolicy. `policy_seed` changes the random numbers of the dispatchers only, not those
+  // of the day.
   Testbed(const Day& day, const std::string& policy, std::uint64_t seed, std::uint64_t policy_seed = 0);
   ~Testbed() override;
 
   RunResult Run();
-  nlohmann::json ReportJson() const;  // after Run: what a report draws
+  nlohmann::json ReportJson() const;  // data of a report; valid after Run
 
   double EndAt(const std::string& box, rookgw::RequestId job) const override;
   double WorkOf(rookgw::RequestId id) const override;
@@ -103,9 +105,9 @@
     bool over_share = false;
     int tries = 0;
     Time deadline = 0;
-    double work = 0;  // left to do, a slot; a checkpoint makes it less
+    double work = 0;  // remaining work per slot; checkpoints reduce it
   };
-  struct Try {  // a transaction at a dispatcher
+  struct Try {  // a request at a dispatcher
     Handle job;
     int node = 0, cls = 0;
     std::uint32_t life = 0;
@@ -113,9 +115,9 @@
     bool answered = false;
     double work = 0, slots = 1;
     std::uint64_t job_number = 0, key = 0;
-    std::vector<std::uint64_t> attempts;  // 0: it is over and forgotten
+    std::vector<std::uint64_t> attempts;  // 0: ended and erased
   };
-  struct Attempt {  // a branch
+  struct Attempt {  // an attempt to run a request on a box
     std::uint64_t request = 0;
     int node = 0, number = 0, box = 0, priority = 0;
     std::uint32_t life = 0, epoch = 0;
@@ -123,15 +125,15 @@
     std::uint64_t key = 0, job_number = 0;
     int cls = 0;
     Time sent = 0;
-    bool told = false;      // its outcome is known at the dispatcher
-    bool box_done = false;  // nothing of it is, or will come, at the box
-    bool linked = false;    // holds a connection
+    bool told = false;      // the dispatcher knows its outcome
+    bool box_done = false;  // the box neither runs nor will receive it
+    bool linked = false;    // occupies a connection
     bool called_off = false;
   };
   struct Link {
     std::uint32_t epoch = 0;
     int open = 0;
-    std::vector<Time> idle;  // since when, the latest last
+    std::vector<Time> idle;  // start of idleness of each connection, latest last
   };
   struct Node {
     std::unique_ptr<Policy> policy;
@@ -143,7 +145,7 @@
     std::deque<rookgw::Event> events;
     bool feeding = false;
     std::unordered_map<int, Link> links;
-    std::unordered_map<int, Time> known_start;  // of boxes that it was told have started
+    std::unordered_map<int, Time> known_start;  // start times of the boxes known from discovery
   };
   struct Change {
     int box;
@@ -158,7 +160,7 @@
   void Push(Time at, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint64_t c = 0);
   void Step(const Event& event);
 
-  // Clients and front
+  // Clients and front end
   void ScheduleArrival();
   void Arrive();
   void ClientSend(Handle job);
@@ -204,7 +206,7 @@
   void Register(int box, rookgw::ListedWorker::State state, Time after);
   void Registered(std::uint64_t change);
   void TellList(int node, rookgw::ListChanged::Form form);
-  bool Spared(FaultKind kind) const;  // no fault of the kind is on
+  bool Spared(FaultKind kind) const;  // no fault of the kind is active
   std::vector<rookgw::ListedWorker> ListAt(std::int64_t version) const;
 
   void FaultStarts(std::size_t i);
@@ -227,7 +229,7 @@
   std::vector<std::deque<ColdWork>> cold_work_;
   std::unique_ptr<Workload> workload_;
   std::vector<Node> nodes_;
-  std::vector<int> front_;  // the dispatchers that the front takes for alive
+  std::vector<int> front_;  // the dispatchers that the front considers alive
   SlotTable<JobState> jobs_{50'000'000};
   SlotTable<Try> tries_{50'000'000};
   SlotTable<Attempt> attempts_{50'000'000};
@@ -238,16 +240,16 @@
   JobSpec next_job_;
   FairShare store_;
   Time store_armed_ = kNever;
-  std::vector<Change> changes_;  // pending and done, by number; the log holds those done
+  std::vector<Change> changes_;  // pending and registered, by number; log_ lists the registered ones
   std::vector<std::uint64_t> log_;
   std::vector<rookgw::ListedWorker> first_list_;
   Time discovery_busy_until_ = 0;
   std::vector<std::pair<Time, double>> quota_;
-  double job_rate_ = 0;                    // jobs a second that fill the site
-  std::vector<std::vector<int>> faulted_;  // boxes or dispatchers, by fault
+  double job_rate_ = 0;                    // jobs per second that use the full capacity of the site
+  std::vector<std::vector<int>> faulted_;  // affected boxes or dispatchers, by fault
   std::vector<std::string> tokens_;
   std::unordered_map<std::string, std::uint32_t> token_index_;
-  std::unordered_map<std::uint64_t, rookgw::LoadReport> carried_;  // reports under way, by event order
+  std::unordered_map<std::uint64_t, rookgw::LoadReport> carried_;  // load reports in flight, by event order
   std::vector<BoxNews> news_;
   std::vector<rookgw::Action> actions_;
   Checker checker_;
--- a/lab/virtual/world_boxes.cpp
+++ b/lab/virtual/world_boxes.cpp
@@ -1,4 +1,4 @@
-// The boxes of a day: attempts that reach them, what comes of them, the store, falling over.
+// The boxes of a day: execution of attempts, their results, the store, and overload failures.
 #include <algorithm>
 #include <cmath>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kOverloadSlack = 1.1;  // for chance, as the rule allows
+constexpr double kOverloadSlack = 1.1;  // tolerance for random variation, as in the rule
 
 }  // namespace
 
@@ -19,13 +19,13 @@
   Attempt* a = attempts_.Find(Handle::Unpack(id));
   if (a == nullptr) return;
   Box& box = boxes_[a->box];
-  if (box.life == Box::Life::kSilent) {  // nobody will ever say
+  if (box.life == Box::Life::kSilent) {  // the dispatcher receives no reply
     a->box_done = true, a->linked = false;
     return DropAttempt(id);
   }
   if (box.life == Box::Life::kDown || box.epoch != a->epoch) return Result(id, Outcome::kReset);
   NoteColdWork(a->box, *a);
-  if (box.life == Box::Life::kDown) return Result(id, Outcome::kReset);  // that was too much for it
+  if (box.life == Box::Life::kDown) return Result(id, Outcome::kReset);  // the work overloaded it
   if (box.fail_share > 0 && box_random_.Chance(box.fail_share)) return Result(id, Outcome::kError);
   const int b = a->box;
   const BoxJob job{id, a->slots, a->work, a->key, a->priority, site_.keys.setup > 0};
@@ -40,7 +40,7 @@
   BoxNewsCame(b);
 }
 
-// An attempt has come to its end at the box; word of it goes back.
+// Ends an attempt at the box and sends the result to the dispatcher.
 void Testbed::Result(std::uint64_t id, Outcome outcome) {
   Attempt* a = attempts_.Find(Handle::Unpack(id));
   if (a == nullptr) return;
@@ -131,8 +131,8 @@
   Push(next, What::kStoreStep);
 }
 
-// A cold box that gets more than its multiple of what it can do now, over the rule's span, falls and stays
-// down.
+// A cold box that receives more than the permitted multiple of its current capacity, over the time span of
+// the rule, fails and stays down.
 void Testbed::NoteColdWork(int b, const Attempt& a) {
   Box& box = boxes_[b];
   std::deque<ColdWork>& work = cold_work_[b];
@@ -162,7 +162,7 @@
 
 void Testbed::StartBox(int b, bool told) {
   if (toppled_[b]) return;
-  StopBox(b, Box::Life::kDown);  // what an earlier process still held
+  StopBox(b, Box::Life::kDown);  // ends jobs of an earlier process
   boxes_[b].Start(now_, false);
   cold_work_[b].clear();
   if (told) Register(b, ListedWorker::State::kServing, site_.discovery.notice_start);
--- a/lab/virtual/world_dispatchers.cpp
+++ b/lab/virtual/world_dispatchers.cpp
@@ -1,4 +1,4 @@
-// The dispatchers of a day: hosted as src/core hosts the module; what they send, answer and are told.
+// The dispatchers of a day, hosted as src/core hosts the module: their events, actions and answers.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Time kCallOffTimeout = kSecond;  // a call-off that a silent machine leaves unanswered
+constexpr Time kCallOffTimeout = kSecond;  // a cancellation that a silent box does not acknowledge
 
 }  // namespace
 
@@ -99,7 +99,7 @@
   return net_.CanConnect(now_, nodes_[node].zone, boxes_[box].zone);
 }
 
-// An idle connection or a new one; false: the box takes no more.
+// Takes an idle connection or opens one. Returns false if the box accepts no more connections.
 bool Testbed::TakeLink(int n, int b, bool* fresh) {
   Box& box = boxes_[b];
   Link& link = nodes_[n].links[b];
@@ -237,7 +237,7 @@
 
 void Testbed::BranchEnded(std::uint64_t id, Outcome outcome, const rookgw::LoadReport& report) {
   Attempt* a = attempts_.Find(Handle::Unpack(id));
-  if (a == nullptr || std::exchange(a->told, true)) return;  // one outcome only: the first
+  if (a == nullptr || std::exchange(a->told, true)) return;  // only the first outcome counts
   const std::uint64_t request = a->request;
   Try* t = tries_.Find(Handle::Unpack(request));
   if (t == nullptr) return DropAttempt(id);
@@ -253,7 +253,7 @@
   DropIfDone(request);
 }
 
-// A transaction is kept until its last branch is over.
+// A request is kept until it is answered and its last attempt has ended.
 void Testbed::DropIfDone(std::uint64_t request) {
   Try* t = tries_.Find(Handle::Unpack(request));
   if (t == nullptr || !t->answered) return;
@@ -262,7 +262,7 @@
   tries_.Erase(Handle::Unpack(request));
 }
 
-// An attempt is kept until neither the dispatcher nor the box has it.
+// An attempt is kept until neither the dispatcher nor the box refers to it.
 void Testbed::DropAttempt(std::uint64_t id) {
   Attempt* a = attempts_.Find(Handle::Unpack(id));
   if (a == nullptr) return;
--- a/lab/virtual/world_surroundings.cpp
+++ b/lab/virtual/world_surroundings.cpp
@@ -1,4 +1,4 @@
-// What is round the dispatchers and boxes of a day: discovery, faults, what is measured.
+// The environment of the dispatchers and boxes of a day: discovery, faults and measurements.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -72,7 +72,7 @@
         if (i % 2 == 1) entries[i].state = ListedWorker::State::kGone;
     if (half)
       std::erase_if(entries, [](const ListedWorker& e) { return e.state == ListedWorker::State::kGone; });
-    // Who is not in a whole list is gone.
+    // A box that is missing from a full list is gone.
     std::vector<char> named(boxes_.size());
     for (const ListedWorker& e : entries) named[box_by_id_.at(e.id)] = 1;
     for (std::size_t b = 0; b < boxes_.size(); ++b)
@@ -80,7 +80,7 @@
   }
   for (const ListedWorker& entry : entries) {
     const int box = box_by_id_.at(entry.id);
-    if (entry.id == box_ids_[box]) {  // the machine that is there now
+    if (entry.id == box_ids_[box]) {  // not an earlier machine that was replaced
       checker_.Told(now_, n, box, entry.state);
       node.known_start[box] = entry.since;
     }
@@ -92,7 +92,7 @@
 
 // ---- Faults ----
 
-// A share of n, drawn for this fault alone, in order.
+// A random subset of 0..n-1 for this fault, sorted, from a generator of its own.
 std::vector<int> Testbed::PartOf(std::size_t i, int n) {
   Random draw(seed_, 1000 + i);
   std::vector<int> all(n);
@@ -128,7 +128,7 @@
         if (toppled_[b]) return;
         StopBox(b, Box::Life::kDown);
         Register(b, ListedWorker::State::kGone, site_.discovery.notice);
-        box_ids_[b] += "r";  // another machine at the same place
+        box_ids_[b] += "r";  // a new machine in the same position
         box_by_id_[box_ids_[b]] = b;
         StartBox(b, true);
       });
@@ -167,13 +167,13 @@
       store_.SetRate(now_, StoreRate());
       return ArmStore();
     default:
-      return;  // looked up where it counts
+      return;  // these kinds are checked where they take effect
   }
 }
 
 void Testbed::FaultEnds(std::size_t i) {
   const Fault& f = day_.faults[i];
-  // A fault that another one of the same kind still holds on a box ends only for the others.
+  // A box stays faulty if another active fault of the same kind affects it too.
   auto still = [&](int b) {
     for (std::size_t j = 0; j < day_.faults.size(); ++j)
       if (j != i && day_.faults[j].kind == f.kind && day_.faults[j].Active(now_) &&
@@ -207,13 +207,13 @@
     }
   }
   if (f.kind == FaultKind::kStore) store_.SetRate(now_, StoreRate()), ArmStore();
-  // What changed meanwhile was not told to those who could not be reached.
+  // Sends the full list again, because the lists sent during the fault were incomplete.
   if (f.kind == FaultKind::kDiscoveryHalf)
     for (std::size_t n = 0; n < nodes_.size(); ++n)
       if (nodes_[n].up && nodes_[n].watching) TellList(static_cast<int>(n), ListChanged::Form::kWhole);
 }
 
-// ---- What is measured ----
+// ---- Measurements ----
 
 void Testbed::Sample() {
   const std::size_t groups = std::min(kLoadGroups, boxes_.size());
