--- a/lab/tests/world_test.cpp
+++ b/lab/tests/world_test.cpp
@@ -23,14 +23,14 @@
 };
 RequestTotals Totals(const RunResult& r) { return {r.events, r.arrivals, r.rule_checks, r.score.g}; }
 
-TEST(Testbed, OneSeedIsOneDay) {
+TEST(Testbed, SameSeedGivesSameDay) {
   const RunResult first = Play("everything", "module", 5), second = Play("everything", "module", 5);
   EXPECT_EQ(first.digest, second.digest);
   EXPECT_EQ(first.events, second.events);
   EXPECT_NE(first.digest, Play("everything", "module", 6).digest);
 }
 
-TEST(Testbed, TheModuleKeepsTheRulesThroughAllFaults) {
+TEST(Testbed, ModuleKeepsRulesUnderAllFaults) {
   for (const char* day : {"everything", "partition", "storm", "roll", "shrink", "vanish"})
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       const RunResult r = Play(day, "module", seed);
@@ -42,7 +42,7 @@
     }
 }
 
-TEST(Testbed, ARuleBrokenOnPurposeIsSeenAndTheReplayShowsItAgain) {
+TEST(Testbed, DetectsDeliberateBreachAndReplayReproducesIt) {
   for (int rule = 1; rule <= 4; ++rule) {
     const std::string policy = "broken-" + std::to_string(rule);
     const std::string day = rule == 2 ? "everything" : "shrink";
@@ -55,12 +55,12 @@
   }
 }
 
-TEST(Testbed, TheOracleBeatsRandomChoice) {
+TEST(Testbed, OracleScoresHigherThanRandomChoice) {
   for (const char* day : {"calm", "busy", "slow"})
     EXPECT_GT(Play(day, "oracle", 1).score.g, Play(day, "random", 1).score.g + 0.1) << day;
 }
 
-TEST(Testbed, ADayThatNeverDrainsEndsAndSaysSo) {
+TEST(Testbed, DayThatNeverDrainsIsEndedAndReported) {
   Day day = DayNamed("calm");
   day.length = 5 * kSecond;
   for (ClassModel& c : day.site.classes) c.deadline = 1000 * kSecond, c.work = 500 * kSecond;
@@ -69,7 +69,7 @@
   EXPECT_FALSE(r.drained);
 }
 
-TEST(Testbed, ABoxTakesOnlySoManyProbesAtOnce) {
+TEST(Testbed, BoxLimitsConcurrentProbes) {
   Day day = DayNamed("calm");
   day.length = 6 * kSecond, day.site.dispatchers = 20, day.site.probe_work = 100 * kMillisecond;
   for (KindModel& k : day.site.kinds) k.max_probes = 1000;
@@ -78,7 +78,7 @@
   EXPECT_GT(Testbed(day, "module", 1).Run().probes_refused, 50u);
 }
 
-TEST(Testbed, AKeyThatWantsMoreThanOneWalkHoldsIsServedByTheWholeRing) {
+TEST(Testbed, KeyThatNeedsMoreThanOneWalkUsesWholeRing) {
   Day day = DayNamed("calm");
   day.length = 8 * kSecond, day.load = 0.5;
   day.site.boxes = 600, day.site.zones = {"z"}, day.site.keys.count = 1, day.site.keys.setup = 0;
@@ -88,7 +88,7 @@
 
 // The wire process hosts the same module and must make the same decisions. Digests differ because its first
 // actions come with its first list.
-TEST(Testbed, TheModuleBehindTheWirePlaysTheSameDay) {
+TEST(Testbed, WireModulePlaysSameDay) {
   Day day = DayNamed("everything");
   day.site.reports_accepts = false;  // not supported by the wire protocol
   const RequestTotals own = Totals(Testbed(day, "module", 3).Run());
@@ -96,7 +96,7 @@
   EXPECT_GT(own.events, 50'000u);
 }
 
-TEST(Testbed, AWireProcessThatEndsIsToldInPlainWords) {
+TEST(Testbed, WireProcessThatEndsThrowsRuntimeError) {
   for (const char* command : {"wire:true", "wire:echo nonsense"})
     EXPECT_THROW(Testbed(DayNamed("calm"), command, 1).Run(), std::runtime_error) << command;
 }
@@ -123,7 +123,7 @@
   std::unique_ptr<Checker> checker;
 };
 
-TEST_F(CheckerTest, SeesALateASecondAndAMissingAnswer) {
+TEST_F(CheckerTest, DetectsLateSecondAndMissingAnswer) {
   checker->Took(0, 0, 1, 0, kSecond);
   checker->Answered(kSecond + site.answer_slack, 1, Checker::Answer::kFailed);
   EXPECT_FALSE(Broken(1));
@@ -136,7 +136,7 @@
   EXPECT_TRUE(Broken(1));
 }
 
-TEST_F(CheckerTest, SeesRepeatsThatAClassForbids) {
+TEST_F(CheckerTest, DetectsRepeatsThatClassForbids) {
   using rookgw::Outcome;
   struct Case {
     int cls;
@@ -160,14 +160,14 @@
   }
 }
 
-TEST_F(CheckerTest, SeesAnUnsafeJobRunTwiceThoughTheDispatcherWasNew) {
+TEST_F(CheckerTest, DetectsUnsafeJobRunTwiceAfterDispatcherRestart) {
   checker->Ran(0, 77, 1, 2, 0, 0, 0);
   checker->Restarted(0);
   checker->Ran(5, 77, 2, 2, 1, 0, 0);
   EXPECT_TRUE(Broken(2));
 }
 
-TEST_F(CheckerTest, GivesTheGraceAfterADrainAndNoMore) {
+TEST_F(CheckerTest, AllowsOnlyTheGracePeriodAfterDrain) {
   using State = rookgw::ListedWorker::State;
   checker->Told(0, 0, 4, State::kDraining);
   checker->Told(400 * kMillisecond, 0, 4, State::kGone);  // the first notice counts
--- a/lab/virtual/judge.cpp
+++ b/lab/virtual/judge.cpp
@@ -8,9 +8,10 @@
 
 constexpr int kBins = 120;
 constexpr double kMinMs = 0.1, kMaxMs = 100'000;
-constexpr std::size_t kWindow = 10;  // seconds
+constexpr std::size_t kWindowSeconds = 10;  // seconds
 // Weights of the parts of G, the same as in the goal of the registry.
-constexpr double kWhole = 0.45, kWorstClass = 0.4, kWorstTenant = 0.1, kWorstWindow = 0.05;
+constexpr double kWholeWeight = 0.45, kWorstClassWeight = 0.4, kWorstTenantWeight = 0.1,
+                 kWorstWindowWeight = 0.05;
 
 template <typename H>
 double Quantile(const H& h, double q) {
@@ -23,29 +24,29 @@
 
 }  // namespace
 
-Judge::Judge(const Day& day)
+ScoreKeeper::ScoreKeeper(const Day& day)
     : day_(day), by_class_(day.site.classes.size()), by_tenant_(day.site.tenants.size()) {
   for (std::size_t i = 0; i < day.site.classes.size(); ++i)
     latency_.push_back(boost::histogram::make_histogram(Axis(kBins, kMinMs, kMaxMs)));
 }
 
-Judge::Second& Judge::At(Time now) {
+ScoreKeeper::Second& ScoreKeeper::At(Time now) {
   const std::size_t second = static_cast<std::size_t>(std::max<Time>(now, 0) / kSecond);
   if (second >= seconds_.size()) seconds_.resize(second + 1);
   return seconds_[second];
 }
 
-double Judge::WorthOf(const JobSpec& job, bool over_share) const {
+double ScoreKeeper::WorthOf(const JobSpec& job, bool over_share) const {
   return day_.site.classes[job.cls].worth * (over_share ? day_.site.over_share_worth : 1) * job.slots *
          job.work / kSecond;
 }
 
-Time Judge::AimOf(const JobSpec& job) const {
+Time ScoreKeeper::AimOf(const JobSpec& job) const {
   const ClassModel& cls = day_.site.classes[job.cls];
   return std::min(cls.aim + static_cast<Time>(cls.stretch * job.work), cls.deadline);
 }
 
-void Judge::Offered(const JobSpec& job, bool over_share) {
+void ScoreKeeper::Offered(const JobSpec& job, bool over_share) {
   ++jobs_;
   const double worth = WorthOf(job, over_share);
   At(job.at).offered += worth;
@@ -53,7 +54,7 @@
   if (job.tenant >= 0 && !over_share) by_tenant_[job.tenant].offered += worth;
 }
 
-void Judge::Ended(const JobSpec& job, bool over_share, JobEnd end, Time latency) {
+void ScoreKeeper::Ended(const JobSpec& job, bool over_share, JobEnd end, Time latency) {
   ++ends_[static_cast<std::size_t>(end)];
   Second& second = At(job.at);
   double gained = 0;
@@ -70,31 +71,31 @@
   if (job.tenant >= 0 && !over_share) by_tenant_[job.tenant].gained += gained;
 }
 
-void Judge::LoadOf(Time now, const std::vector<double>& used) { At(now).load = used; }
+void ScoreKeeper::LoadOf(Time now, const std::vector<double>& used) { At(now).load = used; }
 
-Judge::Result Judge::result() const {
+ScoreKeeper::Result ScoreKeeper::result() const {
   Result r;
   Sum whole;
   r.worst_window = r.worst_class = r.worst_tenant = 1;
   for (std::size_t i = 1; i < seconds_.size(); ++i)  // the second 0 is left out
     whole.offered += seconds_[i].offered, whole.gained += seconds_[i].gained;
-  for (std::size_t i = 1; i + kWindow <= static_cast<std::size_t>(day_.length / kSecond); ++i) {
+  for (std::size_t i = 1; i + kWindowSeconds <= static_cast<std::size_t>(day_.length / kSecond); ++i) {
     Sum window;
-    for (std::size_t j = i; j < std::min(i + kWindow, seconds_.size()); ++j)
+    for (std::size_t j = i; j < std::min(i + kWindowSeconds, seconds_.size()); ++j)
       window.offered += seconds_[j].offered, window.gained += seconds_[j].gained;
     r.worst_window = std::min(r.worst_window, window.share());
   }
   for (const Sum& s : by_class_) r.worst_class = std::min(r.worst_class, s.share());
   for (const Sum& s : by_tenant_) r.worst_tenant = std::min(r.worst_tenant, s.share());
   r.whole = whole.share();
-  r.g = kWhole * r.whole + kWorstClass * r.worst_class + kWorstTenant * r.worst_tenant +
-        kWorstWindow * r.worst_window;
+  r.g = kWholeWeight * r.whole + kWorstClassWeight * r.worst_class + kWorstTenantWeight * r.worst_tenant +
+        kWorstWindowWeight * r.worst_window;
   if (jobs_ > 0 && day_.site.zones.size() > 1)
     r.g -= day_.site.fee_cross_zone * static_cast<double>(cross_zone_) / static_cast<double>(jobs_);
   return r;
 }
 
-nlohmann::json Judge::ToJson() const {
+nlohmann::json ScoreKeeper::ToJson() const {
   nlohmann::json out;
   const Result r = result();
   out["g"] = r.g, out["whole"] = r.whole, out["worst_window"] = r.worst_window;
--- a/lab/virtual/judge.h
+++ b/lab/virtual/judge.h
@@ -12,9 +12,9 @@
 
 enum class JobEnd { kServed, kRefused, kFailed, kTooLate };
 
-class Judge {
+class ScoreKeeper {
  public:
-  explicit Judge(const Day& day);
+  explicit ScoreKeeper(const Day& day);
 
   void Offered(const JobSpec& job, bool over_share);
   // The job's client received its final answer `latency` after its first request.
--- a/lab/virtual/world.cpp
+++ b/lab/virtual/world.cpp
@@ -14,9 +14,10 @@
 
 namespace {
 
-constexpr Time kStillOpen = 60 * kSecond;  // a day whose jobs are unfinished this long after its end is ended
+constexpr Time kMaxDrainTime =
+    60 * kSecond;  // a day whose jobs are unfinished this long after its end is ended
 
-std::vector<double> Amounts(const std::vector<KindModel>& kinds) {
+std::vector<double> KindShares(const std::vector<KindModel>& kinds) {
   std::vector<double> shares;
   for (const KindModel& k : kinds) shares.push_back(k.share);
   return shares;
@@ -41,8 +42,8 @@
     out.priority = c.priority;
     s.classes.push_back(out);
   }
-  for (const TenantModel& t : site.tenants)
-    s.tenants.push_back({t.name, t.share, QuotaPerS(site, t, job_rate)});
+  for (const TenantModel& tenant : site.tenants)
+    s.tenants.push_back({tenant.name, tenant.share, QuotaPerS(site, tenant, job_rate)});
   s.over_share_worth = site.over_share_worth, s.tick = site.tick;
   s.max_attempts = site.max_attempts, s.probes = site.probes, s.cancelling = site.cancelling;
   s.retry_after = site.retry_after, s.max_retry_after = site.max_retry_after;
@@ -69,27 +70,27 @@
       discovery_random_(seed, 34),
       net_(day_, seed),
       quota_(site_.tenants.size()),
-      faulted_(day_.faults.size()),
+      affected_(day_.faults.size()),
       checker_(site_),
-      judge_(day_) {
+      score_keeper_(day_) {
   // Assigns machine kinds by their shares in a random order, zones round robin, and cells of neighbouring
   // boxes of a zone.
-  Random make(seed, 30);
+  Random random(seed, 30);
   std::vector<int> kinds;
-  const std::vector<double> shares = Amounts(site_.kinds);
-  double sum = 0, upto = 0;
+  const std::vector<double> shares = KindShares(site_.kinds);
+  double sum = 0, cumulative = 0;
   for (double s : shares) sum += s;
   for (std::size_t k = 0; k < shares.size(); ++k) {
-    upto += shares[k];
-    while (kinds.size() < std::round(upto / sum * site_.boxes)) kinds.push_back(static_cast<int>(k));
+    cumulative += shares[k];
+    while (kinds.size() < std::round(cumulative / sum * site_.boxes)) kinds.push_back(static_cast<int>(k));
   }
-  for (std::size_t i = kinds.size(); i > 1; --i) std::swap(kinds[i - 1], kinds[make.Below(i)]);
+  for (std::size_t i = kinds.size(); i > 1; --i) std::swap(kinds[i - 1], kinds[random.Below(i)]);
   const int zones = static_cast<int>(site_.zones.size());
   boxes_.reserve(site_.boxes);
   for (int i = 0; i < site_.boxes; ++i) {
     const KindModel& kind = site_.kinds[kinds[i]];
     const int cell = i / zones / site_.cell_size * zones + i % zones;
-    boxes_.emplace_back(site_, kind, kinds[i], i % zones, cell, make.Lognormal(kind.speed, kind.speed_cv));
+    boxes_.emplace_back(site_, kind, kinds[i], i % zones, cell, random.Lognormal(kind.speed, kind.speed_cv));
     boxes_.back().Start(0, site_.warm_start);
     box_ids_.push_back("box-" + std::to_string(i));
     box_by_id_[box_ids_[i]] = i;
@@ -101,7 +102,7 @@
   store_.SetRate(0, 1);
   workload_ = std::make_unique<Workload>(day_, Capacity(), seed);
   job_rate_ = workload_->rate() / day_.load;
-  for (std::size_t t = 0; t < quota_.size(); ++t) quota_[t] = {0, 1e9};
+  for (std::size_t tenant = 0; tenant < quota_.size(); ++tenant) quota_[tenant] = {0, 1e9};
   nodes_.resize(site_.dispatchers);
 }
 
@@ -113,8 +114,8 @@
   return cores;
 }
 
-void Testbed::Push(Time at, What what, std::uint32_t a, std::uint32_t b, std::uint64_t c) {
-  events_.push({std::max(at, now_), order_++, what, a, b, c});
+void Testbed::Push(Time at, EventType type, std::uint32_t a, std::uint32_t b, std::uint64_t c) {
+  events_.push({std::max(at, now_), order_++, type, a, b, c});
 }
 
 RunResult Testbed::Run() {
@@ -123,18 +124,18 @@
   for (int n = 0; n < site_.dispatchers; ++n) nodes_[n].zone = n % static_cast<int>(site_.zones.size());
   for (int n = 0; n < site_.dispatchers; ++n) StartNode(n, true);
   for (std::size_t i = 0; i < day_.faults.size(); ++i) {
-    Push(day_.faults[i].start, What::kFaultStart, static_cast<std::uint32_t>(i));
-    Push(day_.faults[i].start + day_.faults[i].length, What::kFaultEnd, static_cast<std::uint32_t>(i));
+    Push(day_.faults[i].start, EventType::kFaultStart, static_cast<std::uint32_t>(i));
+    Push(day_.faults[i].start + day_.faults[i].length, EventType::kFaultEnd, static_cast<std::uint32_t>(i));
   }
   for (int b = 0; b < site_.boxes; ++b) ArmBox(b);
-  Push(kSecond, What::kSample);
+  Push(kSecond, EventType::kSample);
   ScheduleArrival();
   Time end = kNever;
   while (!events_.empty()) {
     const Event event = events_.top();
     if (arrivals_over_) {
-      end = std::min(end, std::max(now_, day_.length) + kStillOpen);
-      if (jobs_.size() == 0 && tries_.size() == 0) break;
+      end = std::min(end, std::max(now_, day_.length) + kMaxDrainTime);
+      if (jobs_.size() == 0 && open_requests_.size() == 0) break;
       if (event.at > end) {
         result_.drained = false;
         break;
@@ -149,91 +150,94 @@
   result_.digest = digest_.Value();
   result_.breaches = checker_.first(), result_.breach_count = checker_.count();
   result_.rule_checks = checker_.checks();
-  result_.score = judge_.result();
+  result_.score = score_keeper_.result();
   result_.wall_seconds = std::chrono::duration<double>(Steady::now() - began).count();
   return result_;
 }
 
-void Testbed::Step(const Event& e) {
+void Testbed::Step(const Event& event) {
   const auto report_of = [&] {  // the load report carried by this event, if any
-    const auto it = carried_.find(e.order);
+    const auto it = carried_.find(event.order);
     if (it == carried_.end()) return rookgw::LoadReport{};
     const rookgw::LoadReport report = it->second;
     carried_.erase(it);
     return report;
   };
-  const Handle handle = Handle::Unpack(e.c);
-  switch (e.what) {
-    case What::kArrive:
+  const Handle handle = Handle::Unpack(event.c);
+  switch (event.type) {
+    case EventType::kArrive:
       return Arrive();
-    case What::kClientSend:
+    case EventType::kClientSend:
       return ClientSend(handle);
-    case What::kReachNode:
-      return ReachNode(static_cast<int>(e.a), handle);
-    case What::kReachBox:
-      return ReachBox(e.c);
-    case What::kConnectFailed: {
-      Attempt* a = attempts_.Find(handle);
-      if (a == nullptr) return;
-      a->box_done = true;
-      return BranchEnded(e.c, Outcome::kConnectFailed, {});
+    case EventType::kReachNode:
+      return ReachNode(static_cast<int>(event.a), handle);
+    case EventType::kReachBox:
+      return ReachBox(event.c);
+    case EventType::kConnectFailed: {
+      Attempt* attempt = attempts_.Find(handle);
+      if (attempt == nullptr) return;
+      attempt->box_done = true;
+      return HandleAttemptEnd(event.c, Outcome::kConnectFailed, {});
     }
-    case What::kBoxStep: {
-      if (box_armed_[e.a] != now_) return;
-      box_armed_[e.a] = kNever;
-      boxes_[e.a].Advance(now_, &news_);
-      return BoxNewsCame(static_cast<int>(e.a));
+    case EventType::kBoxStep: {
+      if (box_armed_[event.a] != now_) return;
+      box_armed_[event.a] = kNever;
+      boxes_[event.a].Advance(now_, &news_);
+      return HandleBoxNews(static_cast<int>(event.a));
     }
-    case What::kStoreStep: {
+    case EventType::kStoreStep: {
       if (store_armed_ != now_) return;
       store_armed_ = kNever;
       std::uint64_t id = 0;
       while (store_.TakeEnded(now_, &id)) {
         store_.SetRate(now_, StoreRate());
-        Attempt* a = attempts_.Find(Handle::Unpack(id));
-        if (a == nullptr) continue;
-        const int box = a->box;
+        Attempt* attempt = attempts_.Find(Handle::Unpack(id));
+        if (attempt == nullptr) continue;
+        const int box = attempt->box;
         boxes_[box].Fetched(now_, id, &news_);
-        BoxNewsCame(box);
+        HandleBoxNews(box);
       }
       return ArmStore();
     }
-    case What::kNote: {
-      Attempt* a = attempts_.Find(handle);
-      if (a == nullptr || a->told || !Current(*a)) return;
-      const auto kind = e.a == 0 ? AttemptUpdate::Kind::kAccepted : AttemptUpdate::Kind::kStarted;
-      return Feed(a->node, AttemptUpdate{a->request, a->number, kind, 0});
+    case EventType::kAttemptUpdate: {
+      Attempt* attempt = attempts_.Find(handle);
+      if (attempt == nullptr || attempt->outcome_known || !Current(*attempt)) return;
+      const auto kind = event.a == 0 ? AttemptUpdate::Kind::kAccepted : AttemptUpdate::Kind::kStarted;
+      return Feed(attempt->node, AttemptUpdate{attempt->request, attempt->number, kind, 0});
     }
-    case What::kResult: {
-      Attempt* a = attempts_.Find(handle);
+    case EventType::kResult: {
+      Attempt* attempt = attempts_.Find(handle);
       const rookgw::LoadReport report = report_of();
-      if (a == nullptr) return;
-      if (a->linked) GiveLinkBack(a->node, a->box, e.a != static_cast<std::uint32_t>(Outcome::kReset));
-      a = attempts_.Find(handle);
-      a->linked = false;
-      if (!Current(*a)) return DropAttempt(e.c);
-      return BranchEnded(e.c, static_cast<Outcome>(e.a), report);
+      if (attempt == nullptr) return;
+      if (attempt->has_connection)
+        ReleaseConnection(attempt->node, attempt->box,
+                          event.a != static_cast<std::uint32_t>(Outcome::kReset));
+      attempt = attempts_.Find(handle);
+      attempt->has_connection = false;
+      if (!Current(*attempt)) return DropAttempt(event.c);
+      return HandleAttemptEnd(event.c, static_cast<Outcome>(event.a), report);
     }
-    case What::kCallOff: {
-      Attempt* a = attempts_.Find(handle);
-      if (a == nullptr) return;
-      Box& box = boxes_[a->box];
-      const bool was_here = box.Holds(e.c);
-      const bool gone = box.CallOff(now_, e.c, &news_);
-      if (gone && was_here) a->box_done = true;
-      const Time back = net_.Delay(now_, box.zone, nodes_[a->node].zone);
-      if (back != kNever) Push(now_ + back, What::kCalledOff, 0, 0, e.c);
-      return BoxNewsCame(a->box);
+    case EventType::kCancel: {
+      Attempt* attempt = attempts_.Find(handle);
+      if (attempt == nullptr) return;
+      Box& box = boxes_[attempt->box];
+      const bool was_here = box.Holds(event.c);
+      const bool removed = box.CallOff(now_, event.c, &news_);
+      if (removed && was_here) attempt->box_done = true;
+      const Time back = net_.Delay(now_, box.zone, nodes_[attempt->node].zone);
+      if (back != kNever) Push(now_ + back, EventType::kCancelled, 0, 0, event.c);
+      return HandleBoxNews(attempt->box);
     }
-    case What::kCalledOff: {
-      Attempt* a = attempts_.Find(handle);
-      if (a == nullptr || a->told || !Current(*a)) return;
-      if (a->linked && a->box_done) GiveLinkBack(a->node, a->box, true), a->linked = false;
-      return BranchEnded(e.c, Outcome::kCancelled, {});
+    case EventType::kCancelled: {
+      Attempt* attempt = attempts_.Find(handle);
+      if (attempt == nullptr || attempt->outcome_known || !Current(*attempt)) return;
+      if (attempt->has_connection && attempt->box_done)
+        ReleaseConnection(attempt->node, attempt->box, true), attempt->has_connection = false;
+      return HandleAttemptEnd(event.c, Outcome::kCancelled, {});
     }
-    case What::kProbe: {
-      const int node = static_cast<int>(e.c >> 32);
-      Box& box = boxes_[e.a];
+    case EventType::kProbe: {
+      const int node = static_cast<int>(event.c >> 32);
+      Box& box = boxes_[event.a];
       const bool up = box.life == Box::Life::kUp || box.life == Box::Life::kDraining;
       const Time back = net_.Delay(now_, box.zone, nodes_[node].zone);
       const bool taken = up && box.Probe(now_);
@@ -241,100 +245,103 @@
       if (taken) {  // a slowed box answers probes slowly, unless it masks its load
         const double pace = box.masks_load ? 1 : std::max(0.01, box.Pace(now_) / box.Capacity());
         const Time took = std::llround(static_cast<double>(site_.probe_work) / pace);
-        ArmBox(static_cast<int>(e.a));
-        Push(now_ + took, What::kProbeServed, e.a, box.epoch);
+        ArmBox(static_cast<int>(event.a));
+        Push(now_ + took, EventType::kProbeServed, event.a, box.epoch);
         if (back != kNever && took < site_.probe_timeout) {
           carried_[order_] = box.Report(now_, &box_random_);
-          return Push(now_ + took + back, What::kProbed, e.a, 1, e.c);
+          return Push(now_ + took + back, EventType::kProbed, event.a, 1, event.c);
         }
       }
       // A full or stopped box refuses at once; one that is silent, partitioned or too slow runs into the
       // timeout.
       const bool refused = !taken && box.life != Box::Life::kSilent && back != kNever;
-      return Push(now_ + (refused ? back : site_.probe_timeout), What::kProbed, e.a, 0, e.c);
+      return Push(now_ + (refused ? back : site_.probe_timeout), EventType::kProbed, event.a, 0, event.c);
     }
-    case What::kProbeServed:
-      if (boxes_[e.a].epoch == e.b) boxes_[e.a].ProbeDone();
+    case EventType::kProbeServed:
+      if (boxes_[event.a].epoch == event.b) boxes_[event.a].ProbeDone();
       return;
-    case What::kProbed: {
-      const int node = static_cast<int>(e.c >> 32);
+    case EventType::kProbed: {
+      const int node = static_cast<int>(event.c >> 32);
       const rookgw::LoadReport report = report_of();
-      if (!nodes_[node].up || nodes_[node].life != static_cast<std::uint32_t>(e.c)) return;
-      return Feed(node, rookgw::ProbeEnded{box_ids_[e.a], e.b == 1, 0, report});
+      if (!nodes_[node].up || nodes_[node].life != static_cast<std::uint32_t>(event.c)) return;
+      return Feed(node, rookgw::ProbeEnded{box_ids_[event.a], event.b == 1, 0, report});
     }
-    case What::kTimer:
-      if (!nodes_[e.a].up || nodes_[e.a].life != e.b) return;
-      return Feed(static_cast<int>(e.a), rookgw::TimerFired{tokens_[e.c]});
-    case What::kRegistry:
-      return Registered(e.c);
-    case What::kListPush: {
-      Node& node = nodes_[e.a];
+    case EventType::kTimer:
+      if (!nodes_[event.a].up || nodes_[event.a].life != event.b) return;
+      return Feed(static_cast<int>(event.a), rookgw::TimerFired{tokens_[event.c]});
+    case EventType::kRegistry:
+      return Registered(event.c);
+    case EventType::kListPush: {
+      Node& node = nodes_[event.a];
       node.push_due = false;
-      if (!node.up || node.life != e.b || !node.watching) return;
-      if (Spared(FaultKind::kDiscoveryDown))
-        return TellList(static_cast<int>(e.a), ListChanged::Form::kPatch);
+      if (!node.up || node.life != event.b || !node.watching) return;
+      if (IsFaultFree(FaultKind::kDiscoveryDown))
+        return SendList(static_cast<int>(event.a), ListChanged::Form::kPatch);
       node.watching = !site_.discovery.asked;
-      return Feed(static_cast<int>(e.a), ListChanged{ListChanged::Form::kFailed, node.version, {}});
+      return Feed(static_cast<int>(event.a), ListChanged{ListChanged::Form::kFailed, node.version, {}});
     }
-    case What::kListReply: {
-      Node& node = nodes_[e.a];
-      if (!node.up || node.life != e.b) return;
-      if (e.c == 0)
-        return Feed(static_cast<int>(e.a), ListChanged{ListChanged::Form::kFailed, node.version, {}});
+    case EventType::kListReply: {
+      Node& node = nodes_[event.a];
+      if (!node.up || node.life != event.b) return;
+      if (event.c == 0)
+        return Feed(static_cast<int>(event.a), ListChanged{ListChanged::Form::kFailed, node.version, {}});
       node.watching = true;
-      return TellList(static_cast<int>(e.a), ListChanged::Form::kWhole);
+      return SendList(static_cast<int>(event.a), ListChanged::Form::kWhole);
     }
-    case What::kAnswer:
-      return ClientHears(handle, static_cast<Word>(e.a), static_cast<Time>(e.b) * kMillisecond);
-    case What::kGiveUp:
+    case EventType::kAnswer:
+      return HandleReply(handle, static_cast<Reply>(event.a), static_cast<Time>(event.b) * kMillisecond);
+    case EventType::kGiveUp:
       return EndJob(handle, JobEnd::kTooLate);
-    case What::kClientLeaves: {
-      Try* t = tries_.Find(handle);
-      if (t == nullptr || t->answered) return;
-      const int node = t->node;
-      EndJob(t->job, JobEnd::kTooLate);
-      Answer(e.c, Word::kFailed, Checker::Answer::kClientGone, 0);
-      Feed(node, rookgw::RequestAbandoned{e.c});
-      return DropIfDone(e.c);
+    case EventType::kClientLeaves: {
+      OpenRequest* open_request = open_requests_.Find(handle);
+      if (open_request == nullptr || open_request->answered) return;
+      const int node = open_request->node;
+      EndJob(open_request->job, JobEnd::kTooLate);
+      Answer(event.c, Reply::kFailed, Checker::Answer::kClientGone, 0);
+      Feed(node, rookgw::RequestAbandoned{event.c});
+      return DropIfDone(event.c);
     }
-    case What::kLastMoment: {
-      Try* t = tries_.Find(handle);
-      if (t == nullptr || !nodes_[t->node].up || nodes_[t->node].life != t->life) return;
-      const int node = t->node;
-      if (!t->answered) {
-        Answer(e.c, Word::kFailed, Checker::Answer::kFailed, 0);
-        Feed(node, rookgw::RequestAbandoned{e.c});
+    case EventType::kHostDeadline: {
+      OpenRequest* open_request = open_requests_.Find(handle);
+      if (open_request == nullptr || !nodes_[open_request->node].up ||
+          nodes_[open_request->node].life != open_request->life)
+        return;
+      const int node = open_request->node;
+      if (!open_request->answered) {
+        Answer(event.c, Reply::kFailed, Checker::Answer::kFailed, 0);
+        Feed(node, rookgw::RequestAbandoned{event.c});
       }
-      if (t = tries_.Find(handle); t == nullptr) return;
-      const std::vector<std::uint64_t> attempts = t->attempts;
+      if (open_request = open_requests_.Find(handle); open_request == nullptr) return;
+      const std::vector<std::uint64_t> attempts = open_request->attempts;
       for (std::uint64_t id : attempts)
-        if (Attempt* a = attempts_.Find(Handle::Unpack(id)); a != nullptr && !a->told && !a->called_off)
-          BranchEnded(id, Outcome::kTimeout, {});
-      return DropIfDone(e.c);
+        if (Attempt* attempt = attempts_.Find(Handle::Unpack(id));
+            attempt != nullptr && !attempt->outcome_known && !attempt->cancelled)
+          HandleAttemptEnd(id, Outcome::kTimeout, {});
+      return DropIfDone(event.c);
     }
-    case What::kAttemptDeadline: {
-      Attempt* a = attempts_.Find(handle);
-      if (a == nullptr || a->told || !Current(*a)) return;
-      return BranchEnded(e.c, e.a == 1 ? Outcome::kCancelled : Outcome::kTimeout, {});
+    case EventType::kAttemptDeadline: {
+      Attempt* attempt = attempts_.Find(handle);
+      if (attempt == nullptr || attempt->outcome_known || !Current(*attempt)) return;
+      return HandleAttemptEnd(event.c, event.a == 1 ? Outcome::kCancelled : Outcome::kTimeout, {});
     }
-    case What::kFaultStart:
-      return FaultStarts(e.a);
-    case What::kFaultEnd:
-      return FaultEnds(e.a);
-    case What::kNodeDown:
-      StopNode(static_cast<int>(e.a));
-      return Push(now_ + static_cast<Time>(e.c), What::kNodeUp, e.a);
-    case What::kNodeUp:
-      return StartNode(static_cast<int>(e.a), false);
-    case What::kFrontSees:
+    case EventType::kFaultStart:
+      return StartFault(event.a);
+    case EventType::kFaultEnd:
+      return EndFault(event.a);
+    case EventType::kNodeDown:
+      StopNode(static_cast<int>(event.a));
+      return Push(now_ + static_cast<Time>(event.c), EventType::kNodeUp, event.a);
+    case EventType::kNodeUp:
+      return StartNode(static_cast<int>(event.a), false);
+    case EventType::kFrontUpdate:
       front_.clear();
       for (std::size_t n = 0; n < nodes_.size(); ++n)
         if (nodes_[n].up || now_ < nodes_[n].down_since + site_.clients.front_notice)
           front_.push_back(static_cast<int>(n));
       return;
-    case What::kSample:
+    case EventType::kSample:
       Sample();
-      return Push(now_ + kSecond, What::kSample);
+      return Push(now_ + kSecond, EventType::kSample);
   }
 }
 
@@ -342,10 +349,10 @@
 
 void Testbed::ScheduleArrival() {
   arrivals_over_ = !workload_->Next(&next_job_);
-  if (!arrivals_over_) Push(next_job_.at, What::kArrive);
+  if (!arrivals_over_) Push(next_job_.at, EventType::kArrive);
 }
 
-bool Testbed::TakeQuota(int tenant) {
+bool Testbed::ExceedsQuota(int tenant) {
   if (tenant < 0) return false;
   const double rate = QuotaPerS(site_, site_.tenants[tenant], job_rate_);
   auto& [at, left] = quota_[tenant];
@@ -359,13 +366,13 @@
 void Testbed::Arrive() {
   JobState job;
   job.spec = next_job_;
-  job.over_share = TakeQuota(job.spec.tenant);
+  job.over_share = ExceedsQuota(job.spec.tenant);
   job.deadline = now_ + site_.classes[job.spec.cls].deadline;
   job.work = job.spec.work;
-  judge_.Offered(job.spec, job.over_share);
+  score_keeper_.Offered(job.spec, job.over_share);
   const Time deadline = job.deadline;
   const Handle handle = jobs_.Insert(std::move(job));
-  Push(deadline + site_.answer_slack + 4 * site_.net.client, What::kGiveUp, 0, 0, handle.Packed());
+  Push(deadline + site_.answer_slack + 4 * site_.net.client, EventType::kGiveUp, 0, 0, handle.Packed());
   ClientSend(handle);
   ScheduleArrival();
 }
@@ -375,12 +382,12 @@
   if (job == nullptr) return;
   const std::uint64_t draw = job->spec.seed * 0x9e3779b97f4a7c15ULL + job->tries * 0xbf58476d1ce4e5b9ULL;
   ++job->tries;
-  const Time way = net_.ClientDelay();
+  const Time delay = net_.ClientDelay();
   if (front_.empty())
-    return Push(now_ + 2 * way, What::kAnswer, static_cast<std::uint32_t>(Word::kUnreachable), 0,
+    return Push(now_ + 2 * delay, EventType::kAnswer, static_cast<std::uint32_t>(Reply::kUnreachable), 0,
                 handle.Packed());
   const int node = front_[(draw ^ draw >> 31) % front_.size()];
-  Push(now_ + way, What::kReachNode, static_cast<std::uint32_t>(node), 0, handle.Packed());
+  Push(now_ + delay, EventType::kReachNode, static_cast<std::uint32_t>(node), 0, handle.Packed());
 }
 
 void Testbed::ReachNode(int n, Handle handle) {
@@ -388,18 +395,18 @@
   if (job == nullptr) return;
   Node& node = nodes_[n];
   if (!node.up)
-    return Push(now_ + net_.ClientDelay(), What::kAnswer, static_cast<std::uint32_t>(Word::kUnreachable), 0,
-                handle.Packed());
-  Try fresh;
+    return Push(now_ + net_.ClientDelay(), EventType::kAnswer,
+                static_cast<std::uint32_t>(Reply::kUnreachable), 0, handle.Packed());
+  OpenRequest fresh;
   fresh.job = handle, fresh.node = n, fresh.life = node.life, fresh.cls = job->spec.cls;
   fresh.answer_by = job->deadline, fresh.work = job->work, fresh.slots = job->spec.slots;
   fresh.job_number = job->spec.number, fresh.key = job->spec.key;
-  const std::uint64_t id = tries_.Insert(std::move(fresh)).Packed();
+  const std::uint64_t id = open_requests_.Insert(std::move(fresh)).Packed();
   checker_.Took(now_, n, id, job->spec.cls, job->deadline);
-  Push(job->deadline, What::kLastMoment, 0, 0, id);
+  Push(job->deadline, EventType::kHostDeadline, 0, 0, id);
   if (site_.clients.impatient > 0 && client_random_.Chance(site_.clients.impatient))
     Push(now_ + static_cast<Time>(client_random_.Between(0.1, 1) * (job->deadline - now_)),
-         What::kClientLeaves, 0, 0, id);
+         EventType::kClientLeaves, 0, 0, id);
   ++result_.arrivals;
   rookgw::RequestArrived e;
   e.id = id;
@@ -410,33 +417,33 @@
   Feed(n, std::move(e));
 }
 
-void Testbed::ClientHears(Handle handle, Word word, Time come_back) {
+void Testbed::HandleReply(Handle handle, Reply reply, Time retry_after) {
   JobState* job = jobs_.Find(handle);
   if (job == nullptr) return;  // the client has given up
-  if (word == Word::kServed) return EndJob(handle, JobEnd::kServed);
+  if (reply == Reply::kServed) return EndJob(handle, JobEnd::kServed);
   const ClassModel& cls = site_.classes[job->spec.cls];
-  double storm = 1;
+  double retry_factor = 1;
   bool no_backoff = false;
   for (const Fault& f : day_.faults)
-    if (f.kind == FaultKind::kRetryStorm && f.Active(now_)) storm *= f.size, no_backoff = true;
-  const bool harmless = word == Word::kRefused || word == Word::kUnreachable ||
-                        cls.effect == rookgw::Effect::kRepeatable ||
-                        (cls.effect == rookgw::Effect::kKeyed && cls.scope == rookgw::KeyScope::kAll &&
-                         now_ < job->spec.at + cls.window);
-  const JobEnd end = word == Word::kRefused ? JobEnd::kRefused : JobEnd::kFailed;
-  if (!harmless || job->tries > site_.clients.retries * storm) return EndJob(handle, end);
+    if (f.kind == FaultKind::kRetryStorm && f.Active(now_)) retry_factor *= f.size, no_backoff = true;
+  const bool is_retry_safe = reply == Reply::kRefused || reply == Reply::kUnreachable ||
+                             cls.effect == rookgw::Effect::kRepeatable ||
+                             (cls.effect == rookgw::Effect::kKeyed && cls.scope == rookgw::KeyScope::kAll &&
+                              now_ < job->spec.at + cls.window);
+  const JobEnd end = reply == Reply::kRefused ? JobEnd::kRefused : JobEnd::kFailed;
+  if (!is_retry_safe || job->tries > site_.clients.retries * retry_factor) return EndJob(handle, end);
   Time wait = site_.clients.backoff << (site_.clients.backoff_doubles ? std::min(job->tries - 1, 10) : 0);
   wait = static_cast<Time>(static_cast<double>(wait) * client_random_.Between(0.5, 1.5));
   if (no_backoff) wait = 10 * kMillisecond;
-  if (come_back > 0 && client_random_.Chance(site_.clients.honour)) wait = std::max(wait, come_back);
+  if (retry_after > 0 && client_random_.Chance(site_.clients.honour)) wait = std::max(wait, retry_after);
   if (now_ + wait >= job->deadline) return EndJob(handle, end);
-  Push(now_ + wait, What::kClientSend, 0, 0, handle.Packed());
+  Push(now_ + wait, EventType::kClientSend, 0, 0, handle.Packed());
 }
 
 void Testbed::EndJob(Handle handle, JobEnd end) {
   const JobState* job = jobs_.Find(handle);
   if (job == nullptr) return;
-  judge_.Ended(job->spec, job->over_share, end, now_ - job->spec.at);
+  score_keeper_.Ended(job->spec, job->over_share, end, now_ - job->spec.at);
   digest_.Add(job->spec.number << 2 | static_cast<std::uint64_t>(end));
   digest_.Add(static_cast<std::uint64_t>(now_));
   jobs_.Erase(handle);
--- a/lab/virtual/world.h
+++ b/lab/virtual/world.h
@@ -39,7 +39,7 @@
   std::map<int, Breach> breaches;
   std::map<int, std::uint64_t> breach_count;
   std::uint64_t rule_checks = 0, toppled = 0, probes_refused = 0;
-  Judge::Result score;
+  ScoreKeeper::Result score;
 };
 
 // The settings of a dispatcher of the site. `job_rate`: jobs per second that use the full capacity of the
@@ -60,7 +60,7 @@
   double WorkOf(rookgw::RequestId id) const override;
 
  private:
-  enum class What : std::uint8_t {
+  enum class EventType : std::uint8_t {
     kArrive,
     kClientSend,
     kReachNode,
@@ -68,10 +68,10 @@
     kConnectFailed,
     kBoxStep,
     kStoreStep,
-    kNote,
+    kAttemptUpdate,
     kResult,
-    kCallOff,
-    kCalledOff,
+    kCancel,
+    kCancelled,
     kProbe,
     kProbeServed,
     kProbed,
@@ -82,19 +82,19 @@
     kAnswer,
     kGiveUp,
     kClientLeaves,
-    kLastMoment,
+    kHostDeadline,
     kFaultStart,
     kFaultEnd,
     kNodeDown,
     kNodeUp,
-    kFrontSees,
+    kFrontUpdate,
     kSample,
     kAttemptDeadline
   };
   struct Event {
     Time at;
     std::uint64_t order;
-    What what;
+    EventType type;
     std::uint32_t a, b;
     std::uint64_t c;
     bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
@@ -107,7 +107,7 @@
     Time deadline = 0;
     double work = 0;  // remaining work per slot; checkpoints reduce it
   };
-  struct Try {  // a request at a dispatcher
+  struct OpenRequest {  // a request at a dispatcher
     Handle job;
     int node = 0, cls = 0;
     std::uint32_t life = 0;
@@ -125,12 +125,12 @@
     std::uint64_t key = 0, job_number = 0;
     int cls = 0;
     Time sent = 0;
-    bool told = false;      // the dispatcher knows its outcome
-    bool box_done = false;  // the box neither runs nor will receive it
-    bool linked = false;    // occupies a connection
-    bool called_off = false;
+    bool outcome_known = false;   // the dispatcher knows its outcome
+    bool box_done = false;        // the box neither runs nor will receive it
+    bool has_connection = false;  // occupies a connection
+    bool cancelled = false;
   };
-  struct Link {
+  struct ConnectionPool {
     std::uint32_t epoch = 0;
     int open = 0;
     std::vector<Time> idle;  // start of idleness of each connection, latest last
@@ -144,7 +144,7 @@
     std::int64_t version = 0;
     std::deque<rookgw::Event> events;
     bool feeding = false;
-    std::unordered_map<int, Link> links;
+    std::unordered_map<int, ConnectionPool> connection_pools;
     std::unordered_map<int, Time> known_start;  // start times of the boxes known from discovery
   };
   struct Change {
@@ -157,7 +157,7 @@
     int node;
   };
 
-  void Push(Time at, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint64_t c = 0);
+  void Push(Time at, EventType type, std::uint32_t a = 0, std::uint32_t b = 0, std::uint64_t c = 0);
   void Step(const Event& event);
 
   // Clients and front end
@@ -165,53 +165,55 @@
   void Arrive();
   void ClientSend(Handle job);
   void ReachNode(int node, Handle job);
-  enum class Word : std::uint32_t { kServed, kRefused, kFailed, kUnreachable, kLost };
-  void ClientHears(Handle job, Word word, Time come_back);
+  enum class Reply : std::uint32_t { kServed, kRefused, kFailed, kUnreachable, kLost };
+  void HandleReply(Handle job, Reply reply, Time retry_after);
   void EndJob(Handle job, JobEnd end);
-  bool TakeQuota(int tenant);
+  bool ExceedsQuota(int tenant);
 
   // Dispatchers
   void StartNode(int node, bool first);
   void StopNode(int node);
   void Feed(int node, rookgw::Event event);
-  void Do(int node, const rookgw::Dispatch& a);
-  void Do(int node, const rookgw::Decline& a);
-  void Do(int node, const rookgw::Fail& a);
-  void Do(int node, const rookgw::CancelAttempt& a);
-  void Do(int node, const rookgw::Probe& a);
-  void Do(int node, const rookgw::SetTimer& a);
-  void Do(int node, const rookgw::Subscribe& a);
-  void Do(int, const rookgw::Log&) {}
-  void Answer(std::uint64_t request, Word word, Checker::Answer kind, Time come_back);
+  void Execute(int node, const rookgw::Dispatch& action);
+  void Execute(int node, const rookgw::Decline& action);
+  void Execute(int node, const rookgw::Fail& action);
+  void Execute(int node, const rookgw::CancelAttempt& action);
+  void Execute(int node, const rookgw::Probe& action);
+  void Execute(int node, const rookgw::SetTimer& action);
+  void Execute(int node, const rookgw::Subscribe& action);
+  void Execute(int, const rookgw::Log&) {}
+  void Answer(std::uint64_t request, Reply reply, Checker::Answer kind, Time retry_after);
   void DropIfDone(std::uint64_t request);
-  void BranchEnded(std::uint64_t attempt, rookgw::Outcome outcome, const rookgw::LoadReport& report);
+  void HandleAttemptEnd(std::uint64_t attempt, rookgw::Outcome outcome, const rookgw::LoadReport& report);
   void DropAttempt(std::uint64_t attempt);
-  bool Current(const Attempt& a) const { return nodes_[a.node].life == a.life && nodes_[a.node].up; }
+  bool Current(const Attempt& attempt) const {
+    return nodes_[attempt.node].life == attempt.life && nodes_[attempt.node].up;
+  }
 
   // Boxes
   bool Reachable(int node, int box) const;
-  bool TakeLink(int node, int box, bool* fresh);
-  void GiveLinkBack(int node, int box, bool keep);
+  bool AcquireConnection(int node, int box, bool* fresh);
+  void ReleaseConnection(int node, int box, bool keep);
   void ReachBox(std::uint64_t attempt);
-  void BoxNewsCame(int box);
+  void HandleBoxNews(int box);
   void Result(std::uint64_t attempt, rookgw::Outcome outcome);
   void ArmBox(int box);
   void ArmStore();
-  void NoteColdWork(int box, const Attempt& a);
+  void RecordColdWork(int box, const Attempt& a);
   void StopBox(int box, Box::Life life);
-  void StartBox(int box, bool told);
+  void StartBox(int box, bool announce);
   double StoreRate() const;
 
   // Discovery
   void Register(int box, rookgw::ListedWorker::State state, Time after);
   void Registered(std::uint64_t change);
-  void TellList(int node, rookgw::ListChanged::Form form);
-  bool Spared(FaultKind kind) const;  // no fault of the kind is active
+  void SendList(int node, rookgw::ListChanged::Form form);
+  bool IsFaultFree(FaultKind kind) const;  // no fault of the kind is active
   std::vector<rookgw::ListedWorker> ListAt(std::int64_t version) const;
 
-  void FaultStarts(std::size_t i);
-  void FaultEnds(std::size_t i);
-  std::vector<int> PartOf(std::size_t i, int n);
+  void StartFault(std::size_t i);
+  void EndFault(std::size_t i);
+  std::vector<int> AffectedSubset(std::size_t i, int n);
   void Sample();
   double Capacity() const;
 
@@ -231,7 +233,7 @@
   std::vector<Node> nodes_;
   std::vector<int> front_;  // the dispatchers that the front considers alive
   SlotTable<JobState> jobs_{50'000'000};
-  SlotTable<Try> tries_{50'000'000};
+  SlotTable<OpenRequest> open_requests_{50'000'000};
   SlotTable<Attempt> attempts_{50'000'000};
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::uint64_t order_ = 0;
@@ -245,15 +247,15 @@
   std::vector<rookgw::ListedWorker> first_list_;
   Time discovery_busy_until_ = 0;
   std::vector<std::pair<Time, double>> quota_;
-  double job_rate_ = 0;                    // jobs per second that use the full capacity of the site
-  std::vector<std::vector<int>> faulted_;  // affected boxes or dispatchers, by fault
+  double job_rate_ = 0;                     // jobs per second that use the full capacity of the site
+  std::vector<std::vector<int>> affected_;  // affected boxes or dispatchers, by fault
   std::vector<std::string> tokens_;
   std::unordered_map<std::string, std::uint32_t> token_index_;
   std::unordered_map<std::uint64_t, rookgw::LoadReport> carried_;  // load reports in flight, by event order
   std::vector<BoxNews> news_;
   std::vector<rookgw::Action> actions_;
   Checker checker_;
-  Judge judge_;
+  ScoreKeeper score_keeper_;
   Digest digest_;
   RunResult result_;
 };
--- a/lab/virtual/world_dispatchers.cpp
+++ b/lab/virtual/world_dispatchers.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Time kCallOffTimeout = kSecond;  // a cancellation that a silent box does not acknowledge
+constexpr Time kCancelTimeout = kSecond;  // a cancellation that a silent box does not acknowledge
 
 }  // namespace
 
@@ -32,7 +32,8 @@
   actions_.clear();
   node.policy->Start(now_, &actions_);
   const std::vector<rookgw::Action> actions = actions_;
-  for (const rookgw::Action& action : actions) std::visit([&](const auto& a) { Do(n, a); }, action);
+  for (const rookgw::Action& action : actions)
+    std::visit([&](const auto& each) { Execute(n, each); }, action);
   const std::vector<ListedWorker> list = ListAt(node.version);
   for (const ListedWorker& entry : list) {
     const int box = box_by_id_.at(entry.id);
@@ -40,7 +41,7 @@
     checker_.Told(now_, n, box, entry.state);
   }
   Feed(n, ListChanged{ListChanged::Form::kStaleCopy, node.version, list});
-  if (!first) Push(now_, What::kFrontSees);
+  if (!first) Push(now_, EventType::kFrontUpdate);
   if (first && n + 1 == site_.dispatchers) {
     for (int i = 0; i < site_.dispatchers; ++i) front_.push_back(i);
   }
@@ -52,22 +53,23 @@
   node.up = false, node.down_since = now_;
   node.policy.reset();
   node.events.clear();
-  for (auto& [box, link] : node.links)
-    if (link.epoch == boxes_[box].epoch) boxes_[box].connections -= link.open;
-  node.links.clear(), node.known_start.clear();
+  for (auto& [box, pool] : node.connection_pools)
+    if (pool.epoch == boxes_[box].epoch) boxes_[box].connections -= pool.open;
+  node.connection_pools.clear(), node.known_start.clear();
   checker_.Restarted(n);
   std::vector<std::uint64_t> attempts;
-  tries_.ForEach([&](Handle handle, Try& t) {
-    if (t.node != n) return;
-    if (!t.answered)
-      Push(now_ + net_.ClientDelay(), What::kAnswer, static_cast<std::uint32_t>(Word::kLost), 0,
-           t.job.Packed());
-    attempts.insert(attempts.end(), t.attempts.begin(), t.attempts.end());
-    tries_.Erase(handle);
+  open_requests_.ForEach([&](Handle handle, OpenRequest& open_request) {
+    if (open_request.node != n) return;
+    if (!open_request.answered)
+      Push(now_ + net_.ClientDelay(), EventType::kAnswer, static_cast<std::uint32_t>(Reply::kLost), 0,
+           open_request.job.Packed());
+    attempts.insert(attempts.end(), open_request.attempts.begin(), open_request.attempts.end());
+    open_requests_.Erase(handle);
   });
   for (std::uint64_t id : attempts)
-    if (Attempt* a = attempts_.Find(Handle::Unpack(id))) a->linked = false, DropAttempt(id);
-  Push(now_ + site_.clients.front_notice, What::kFrontSees);
+    if (Attempt* attempt = attempts_.Find(Handle::Unpack(id)))
+      attempt->has_connection = false, DropAttempt(id);
+  Push(now_ + site_.clients.front_notice, EventType::kFrontUpdate);
 }
 
 void Testbed::Feed(int n, rookgw::Event event) {
@@ -89,7 +91,7 @@
     digest_.Add(static_cast<std::uint64_t>(n) << 16 | next.index() << 8 | actions.size());
     for (const rookgw::Action& action : actions) {
       digest_.Add(action.index());
-      std::visit([&](const auto& a) { Do(n, a); }, action);
+      std::visit([&](const auto& each) { Execute(n, each); }, action);
     }
   }
   node.feeding = false;
@@ -100,154 +102,159 @@
 }
 
 // Takes an idle connection or opens one. Returns false if the box accepts no more connections.
-bool Testbed::TakeLink(int n, int b, bool* fresh) {
+bool Testbed::AcquireConnection(int n, int b, bool* fresh) {
   Box& box = boxes_[b];
-  Link& link = nodes_[n].links[b];
-  if (link.epoch != box.epoch) link = {box.epoch, 0, {}};
+  ConnectionPool& pool = nodes_[n].connection_pools[b];
+  if (pool.epoch != box.epoch) pool = {box.epoch, 0, {}};
   const auto kept =
-      std::ranges::find_if(link.idle, [&](Time since) { return now_ - since < site_.net.idle_close; });
-  const int closed = static_cast<int>(kept - link.idle.begin());
-  link.idle.erase(link.idle.begin(), kept);
-  link.open -= closed, box.connections -= closed;
-  *fresh = link.idle.empty();
+      std::ranges::find_if(pool.idle, [&](Time since) { return now_ - since < site_.net.idle_close; });
+  const int closed = static_cast<int>(kept - pool.idle.begin());
+  pool.idle.erase(pool.idle.begin(), kept);
+  pool.open -= closed, box.connections -= closed;
+  *fresh = pool.idle.empty();
   if (!*fresh) {
-    link.idle.pop_back();
+    pool.idle.pop_back();
     return true;
   }
   if (box.connections >= site_.kinds[box.kind_index].max_connections) return false;
-  ++link.open, ++box.connections;
+  ++pool.open, ++box.connections;
   return true;
 }
 
-void Testbed::GiveLinkBack(int n, int b, bool keep) {
+void Testbed::ReleaseConnection(int n, int b, bool keep) {
   if (!nodes_[n].up) return;
-  const auto it = nodes_[n].links.find(b);
-  if (it == nodes_[n].links.end() || it->second.epoch != boxes_[b].epoch) return;
+  const auto it = nodes_[n].connection_pools.find(b);
+  if (it == nodes_[n].connection_pools.end() || it->second.epoch != boxes_[b].epoch) return;
   if (keep)
     it->second.idle.push_back(now_);
   else
     --it->second.open, --boxes_[b].connections;
 }
 
-void Testbed::Do(int n, const rookgw::Dispatch& action) {
-  Try* t = tries_.Find(Handle::Unpack(action.id));
+void Testbed::Execute(int n, const rookgw::Dispatch& action) {
+  OpenRequest* open_request = open_requests_.Find(Handle::Unpack(action.id));
   const int b = box_by_id_.at(action.worker);
   const Box& box = boxes_[b];
   digest_.Add(static_cast<std::uint64_t>(b));
-  if (t == nullptr) return checker_.Sent(now_, action.id, 0, b, box.zone, box.cell);
-  const JobState* job = jobs_.Find(t->job);
+  if (open_request == nullptr) return checker_.Sent(now_, action.id, 0, b, box.zone, box.cell);
+  const JobState* job = jobs_.Find(open_request->job);
   Attempt fresh;
-  fresh.request = action.id, fresh.node = n, fresh.box = b, fresh.life = nodes_[n].life, fresh.cls = t->cls;
-  fresh.number = static_cast<int>(t->attempts.size());
+  fresh.request = action.id, fresh.node = n, fresh.box = b, fresh.life = nodes_[n].life,
+  fresh.cls = open_request->cls;
+  fresh.number = static_cast<int>(open_request->attempts.size());
   fresh.epoch = box.epoch, fresh.sent = now_;
-  fresh.slots = t->slots, fresh.work = job != nullptr ? job->work : t->work;
-  fresh.key = job != nullptr ? job->spec.key : 0, fresh.job_number = t->job_number;
-  fresh.priority = site_.classes[t->cls].priority;
+  fresh.slots = open_request->slots, fresh.work = job != nullptr ? job->work : open_request->work;
+  fresh.key = job != nullptr ? job->spec.key : 0, fresh.job_number = open_request->job_number;
+  fresh.priority = site_.classes[open_request->cls].priority;
   const int number = fresh.number;
   const std::uint64_t id = attempts_.Insert(std::move(fresh)).Packed();
-  t->attempts.push_back(id);
+  open_request->attempts.push_back(id);
   checker_.Sent(now_, action.id, number, b, box.zone, box.cell);
-  Attempt& a = *attempts_.Find(Handle::Unpack(id));
-  if (t->answered || number >= site_.max_attempts || now_ >= t->answer_by) {
-    a.box_done = true;
-    return BranchEnded(id, Outcome::kVoid, {});
+  Attempt& attempt = *attempts_.Find(Handle::Unpack(id));
+  if (open_request->answered || number >= site_.max_attempts || now_ >= open_request->answer_by) {
+    attempt.box_done = true;
+    return HandleAttemptEnd(id, Outcome::kVoid, {});
   }
-  judge_.Sent(now_, nodes_[n].zone != box.zone);
-  if (action.timeout > 0) Push(now_ + action.timeout, What::kAttemptDeadline, 0, 0, id);
+  score_keeper_.Sent(now_, nodes_[n].zone != box.zone);
+  if (action.timeout > 0) Push(now_ + action.timeout, EventType::kAttemptDeadline, 0, 0, id);
   const NetworkModel& net = site_.net;
-  bool new_link = false;
-  const bool linked = TakeLink(n, b, &new_link);
-  if (new_link && (!Reachable(n, b) || box.life == Box::Life::kSilent))
-    return Push(now_ + net.connect_timeout, What::kConnectFailed, 0, 0, id);
-  const Time way = net_.Delay(now_, nodes_[n].zone, box.zone);
-  if (!linked) return Push(now_ + net.connect_timeout, What::kConnectFailed, 0, 0, id);
+  bool is_new_connection = false;
+  const bool has_connection = AcquireConnection(n, b, &is_new_connection);
+  if (is_new_connection && (!Reachable(n, b) || box.life == Box::Life::kSilent))
+    return Push(now_ + net.connect_timeout, EventType::kConnectFailed, 0, 0, id);
+  const Time delay = net_.Delay(now_, nodes_[n].zone, box.zone);
+  if (!has_connection) return Push(now_ + net.connect_timeout, EventType::kConnectFailed, 0, 0, id);
   if (box.life == Box::Life::kDown) {
-    GiveLinkBack(n, b, false);
-    return Push(now_ + 2 * std::min(way, net.connect_timeout), What::kConnectFailed, 0, 0, id);
+    ReleaseConnection(n, b, false);
+    return Push(now_ + 2 * std::min(delay, net.connect_timeout), EventType::kConnectFailed, 0, 0, id);
   }
-  a.linked = true;
-  if (new_link) boxes_[b].Handshake(now_), ArmBox(b);
-  if (way == kNever) {
-    a.box_done = true;
+  attempt.has_connection = true;
+  if (is_new_connection) boxes_[b].Handshake(now_), ArmBox(b);
+  if (delay == kNever) {
+    attempt.box_done = true;
     return;
   }
-  const Time shake = new_link ? static_cast<Time>(net.handshake_rtts * 2 * static_cast<double>(way)) : 0;
-  Push(now_ + shake + way, What::kReachBox, 0, 0, id);
+  const Time handshake_delay =
+      is_new_connection ? static_cast<Time>(net.handshake_rtts * 2 * static_cast<double>(delay)) : 0;
+  Push(now_ + handshake_delay + delay, EventType::kReachBox, 0, 0, id);
 }
 
-void Testbed::Do(int, const rookgw::Decline& a) {
-  Answer(a.id, Word::kRefused, Checker::Answer::kRefused,
-         site_.retry_after ? std::min(a.retry_after, site_.max_retry_after) : 0);
-  DropIfDone(a.id);
+void Testbed::Execute(int, const rookgw::Decline& action) {
+  Answer(action.id, Reply::kRefused, Checker::Answer::kRefused,
+         site_.retry_after ? std::min(action.retry_after, site_.max_retry_after) : 0);
+  DropIfDone(action.id);
 }
 
-void Testbed::Do(int, const rookgw::Fail& a) {
-  Answer(a.id, Word::kFailed, Checker::Answer::kFailed, 0);
-  DropIfDone(a.id);
+void Testbed::Execute(int, const rookgw::Fail& action) {
+  Answer(action.id, Reply::kFailed, Checker::Answer::kFailed, 0);
+  DropIfDone(action.id);
 }
 
-void Testbed::Do(int n, const rookgw::CancelAttempt& action) {
-  Try* t = tries_.Find(Handle::Unpack(action.id));
-  if (t == nullptr || action.attempt >= static_cast<int>(t->attempts.size())) return;
-  const std::uint64_t id = t->attempts[action.attempt];
-  Attempt* a = attempts_.Find(Handle::Unpack(id));
-  if (a == nullptr || a->told || std::exchange(a->called_off, true)) return;
-  const Time way = net_.Delay(now_, nodes_[n].zone, boxes_[a->box].zone);
-  const bool heard =
-      way != kNever && boxes_[a->box].life != Box::Life::kSilent && boxes_[a->box].epoch == a->epoch;
-  if (heard) Push(now_ + way, What::kCallOff, 0, 0, id);
-  Push(now_ + kCallOffTimeout, What::kAttemptDeadline, 1, 0, id);
+void Testbed::Execute(int n, const rookgw::CancelAttempt& action) {
+  OpenRequest* open_request = open_requests_.Find(Handle::Unpack(action.id));
+  if (open_request == nullptr || action.attempt >= static_cast<int>(open_request->attempts.size())) return;
+  const std::uint64_t id = open_request->attempts[action.attempt];
+  Attempt* attempt = attempts_.Find(Handle::Unpack(id));
+  if (attempt == nullptr || attempt->outcome_known || std::exchange(attempt->cancelled, true)) return;
+  const Time delay = net_.Delay(now_, nodes_[n].zone, boxes_[attempt->box].zone);
+  const bool reachable = delay != kNever && boxes_[attempt->box].life != Box::Life::kSilent &&
+                         boxes_[attempt->box].epoch == attempt->epoch;
+  if (reachable) Push(now_ + delay, EventType::kCancel, 0, 0, id);
+  Push(now_ + kCancelTimeout, EventType::kAttemptDeadline, 1, 0, id);
 }
 
-void Testbed::Do(int n, const rookgw::Probe& action) {
+void Testbed::Execute(int n, const rookgw::Probe& action) {
   const int b = box_by_id_.at(action.worker);
-  const std::uint64_t asker = static_cast<std::uint64_t>(n) << 32 | nodes_[n].life;
-  const Time way = net_.Delay(now_, nodes_[n].zone, boxes_[b].zone);
-  if (way == kNever || !Reachable(n, b) || boxes_[b].life == Box::Life::kSilent)
-    return Push(now_ + site_.probe_timeout, What::kProbed, static_cast<std::uint32_t>(b), 0, asker);
-  Push(now_ + way, What::kProbe, static_cast<std::uint32_t>(b), 0, asker);
+  const std::uint64_t requester = static_cast<std::uint64_t>(n) << 32 | nodes_[n].life;
+  const Time delay = net_.Delay(now_, nodes_[n].zone, boxes_[b].zone);
+  if (delay == kNever || !Reachable(n, b) || boxes_[b].life == Box::Life::kSilent)
+    return Push(now_ + site_.probe_timeout, EventType::kProbed, static_cast<std::uint32_t>(b), 0, requester);
+  Push(now_ + delay, EventType::kProbe, static_cast<std::uint32_t>(b), 0, requester);
 }
 
-void Testbed::Do(int n, const rookgw::SetTimer& action) {
+void Testbed::Execute(int n, const rookgw::SetTimer& action) {
   auto [it, fresh] = token_index_.try_emplace(action.token, static_cast<std::uint32_t>(tokens_.size()));
   if (fresh) tokens_.push_back(action.token);
-  Push(now_ + action.span, What::kTimer, static_cast<std::uint32_t>(n), nodes_[n].life, it->second);
+  Push(now_ + action.span, EventType::kTimer, static_cast<std::uint32_t>(n), nodes_[n].life, it->second);
 }
 
-void Testbed::Do(int n, const rookgw::Subscribe&) {
+void Testbed::Execute(int n, const rookgw::Subscribe&) {
   const DiscoveryModel& d = site_.discovery;
   const std::uint32_t node = static_cast<std::uint32_t>(n), life = nodes_[n].life;
-  const Time way = 2 * net_.ClientDelay();
-  if (!Spared(FaultKind::kDiscoveryDown)) return Push(now_ + way, What::kListReply, node, life, 0);
+  const Time delay = 2 * net_.ClientDelay();
+  if (!IsFaultFree(FaultKind::kDiscoveryDown))
+    return Push(now_ + delay, EventType::kListReply, node, life, 0);
   const Time begins = std::max(now_, discovery_busy_until_);
   const Time takes = static_cast<Time>(static_cast<double>(boxes_.size()) / d.lines_per_s * kSecond);
-  if (begins + takes - now_ > d.timeout) return Push(now_ + d.timeout, What::kListReply, node, life, 0);
+  if (begins + takes - now_ > d.timeout) return Push(now_ + d.timeout, EventType::kListReply, node, life, 0);
   discovery_busy_until_ = begins + takes;
-  Push(begins + takes + way, What::kListReply, node, life, 1);
+  Push(begins + takes + delay, EventType::kListReply, node, life, 1);
 }
 
-void Testbed::Answer(std::uint64_t request, Word word, Checker::Answer kind, Time come_back) {
-  Try* t = tries_.Find(Handle::Unpack(request));
-  if (t == nullptr || std::exchange(t->answered, true)) return;
+void Testbed::Answer(std::uint64_t request, Reply reply, Checker::Answer kind, Time retry_after) {
+  OpenRequest* open_request = open_requests_.Find(Handle::Unpack(request));
+  if (open_request == nullptr || std::exchange(open_request->answered, true)) return;
   checker_.Answered(now_, request, kind);
   if (kind == Checker::Answer::kClientGone) return;
-  Push(now_ + net_.ClientDelay(), What::kAnswer, static_cast<std::uint32_t>(word),
-       static_cast<std::uint32_t>(come_back / kMillisecond), t->job.Packed());
+  Push(now_ + net_.ClientDelay(), EventType::kAnswer, static_cast<std::uint32_t>(reply),
+       static_cast<std::uint32_t>(retry_after / kMillisecond), open_request->job.Packed());
 }
 
-void Testbed::BranchEnded(std::uint64_t id, Outcome outcome, const rookgw::LoadReport& report) {
-  Attempt* a = attempts_.Find(Handle::Unpack(id));
-  if (a == nullptr || std::exchange(a->told, true)) return;  // only the first outcome counts
-  const std::uint64_t request = a->request;
-  Try* t = tries_.Find(Handle::Unpack(request));
-  if (t == nullptr) return DropAttempt(id);
-  checker_.Ended(now_, request, a->number, outcome);
-  if (outcome == Outcome::kServed) Answer(request, Word::kServed, Checker::Answer::kServed, 0);
+void Testbed::HandleAttemptEnd(std::uint64_t id, Outcome outcome, const rookgw::LoadReport& report) {
+  Attempt* attempt = attempts_.Find(Handle::Unpack(id));
+  if (attempt == nullptr || std::exchange(attempt->outcome_known, true))
+    return;  // only the first outcome counts
+  const std::uint64_t request = attempt->request;
+  OpenRequest* open_request = open_requests_.Find(Handle::Unpack(request));
+  if (open_request == nullptr) return DropAttempt(id);
+  checker_.Ended(now_, request, attempt->number, outcome);
+  if (outcome == Outcome::kServed) Answer(request, Reply::kServed, Checker::Answer::kServed, 0);
   AttemptEnded ended;
-  ended.id = request, ended.attempt = a->number, ended.worker = box_ids_[a->box], ended.outcome = outcome;
-  ended.complete = t->answered, ended.took = now_ - a->sent, ended.report = report;
-  const int node = a->node;
-  t->attempts[a->number] = 0;
+  ended.id = request, ended.attempt = attempt->number, ended.worker = box_ids_[attempt->box],
+  ended.outcome = outcome;
+  ended.complete = open_request->answered, ended.took = now_ - attempt->sent, ended.report = report;
+  const int node = attempt->node;
+  open_request->attempts[attempt->number] = 0;
   DropAttempt(id);
   Feed(node, std::move(ended));
   DropIfDone(request);
@@ -255,18 +262,18 @@
 
 // A request is kept until it is answered and its last attempt has ended.
 void Testbed::DropIfDone(std::uint64_t request) {
-  Try* t = tries_.Find(Handle::Unpack(request));
-  if (t == nullptr || !t->answered) return;
-  for (std::uint64_t id : t->attempts)
+  OpenRequest* open_request = open_requests_.Find(Handle::Unpack(request));
+  if (open_request == nullptr || !open_request->answered) return;
+  for (std::uint64_t id : open_request->attempts)
     if (id != 0) return;
-  tries_.Erase(Handle::Unpack(request));
+  open_requests_.Erase(Handle::Unpack(request));
 }
 
 // An attempt is kept until neither the dispatcher nor the box refers to it.
 void Testbed::DropAttempt(std::uint64_t id) {
-  Attempt* a = attempts_.Find(Handle::Unpack(id));
-  if (a == nullptr) return;
-  const bool told = a->told || !Current(*a);
-  if (told && a->box_done && !a->linked) attempts_.Erase(Handle::Unpack(id));
+  Attempt* attempt = attempts_.Find(Handle::Unpack(id));
+  if (attempt == nullptr) return;
+  const bool outcome_known = attempt->outcome_known || !Current(*attempt);
+  if (outcome_known && attempt->box_done && !attempt->has_connection) attempts_.Erase(Handle::Unpack(id));
 }
 }  // namespace lichenlug::lab
--- a/lab/virtual/world_surroundings.cpp
+++ b/lab/virtual/world_surroundings.cpp
@@ -19,7 +19,7 @@
 
 // ---- Discovery ----
 
-bool Testbed::Spared(FaultKind kind) const {
+bool Testbed::IsFaultFree(FaultKind kind) const {
   return std::ranges::none_of(day_.faults, [&](const Fault& f) { return f.kind == kind && f.Active(now_); });
 }
 
@@ -27,7 +27,7 @@
   const Box& box = boxes_[b];
   ListedWorker entry{box_ids_[b], state, box.since, box.cell, box.kind_index, box.zone, 1};
   changes_.push_back({b, std::move(entry)});
-  Push(now_ + after, What::kRegistry, 0, 0, changes_.size() - 1);
+  Push(now_ + after, EventType::kRegistry, 0, 0, changes_.size() - 1);
 }
 
 void Testbed::Registered(std::uint64_t change) {
@@ -37,7 +37,7 @@
     if (!node.up || !node.watching || std::exchange(node.push_due, true)) continue;
     const Time wait =
         static_cast<Time>(discovery_random_.Uniform() * static_cast<double>(site_.discovery.period));
-    Push(now_ + wait, What::kListPush, static_cast<std::uint32_t>(n), node.life);
+    Push(now_ + wait, EventType::kListPush, static_cast<std::uint32_t>(n), node.life);
   }
 }
 
@@ -57,11 +57,11 @@
   return list;
 }
 
-void Testbed::TellList(int n, ListChanged::Form form) {
+void Testbed::SendList(int n, ListChanged::Form form) {
   Node& node = nodes_[n];
   const std::int64_t version = static_cast<std::int64_t>(log_.size());
   std::vector<ListedWorker> entries;
-  const bool half = !Spared(FaultKind::kDiscoveryHalf);
+  const bool half = !IsFaultFree(FaultKind::kDiscoveryHalf);
   if (half) form = ListChanged::Form::kWhole;
   if (form == ListChanged::Form::kPatch) {
     for (std::int64_t v = node.version; v < version; ++v) entries.push_back(changes_[log_[v]].entry);
@@ -93,7 +93,7 @@
 // ---- Faults ----
 
 // A random subset of 0..n-1 for this fault, sorted, from a generator of its own.
-std::vector<int> Testbed::PartOf(std::size_t i, int n) {
+std::vector<int> Testbed::AffectedSubset(std::size_t i, int n) {
   Random draw(seed_, 1000 + i);
   std::vector<int> all(n);
   for (int k = 0; k < n; ++k) all[k] = k;
@@ -103,12 +103,12 @@
   return all;
 }
 
-void Testbed::FaultStarts(std::size_t i) {
+void Testbed::StartFault(std::size_t i) {
   const Fault& f = day_.faults[i];
   const int boxes = static_cast<int>(boxes_.size());
   auto each = [&](auto call) {
-    faulted_[i] = PartOf(i, boxes);
-    for (int b : faulted_[i]) call(b);
+    affected_[i] = AffectedSubset(i, boxes);
+    for (int b : affected_[i]) call(b);
   };
   switch (f.kind) {
     case FaultKind::kVanish:
@@ -136,7 +136,7 @@
       return each([&](int b) {
         if (toppled_[b]) return;
         boxes_[b].Drain(now_, &news_);
-        BoxNewsCame(b);
+        HandleBoxNews(b);
         Register(b, ListedWorker::State::kDraining, site_.discovery.notice);
       });
     case FaultKind::kSlow:
@@ -145,23 +145,23 @@
         boxes_[b].Advance(now_, &news_);
         boxes_[b].SetSlow(now_, std::max(f.size, 1e-3));
         boxes_[b].masks_load = f.kind == FaultKind::kGrey;
-        BoxNewsCame(b);
+        HandleBoxNews(b);
       });
     case FaultKind::kFail:
       return each([&](int b) { boxes_[b].fail_share = std::min(f.size, 1.0); });
     case FaultKind::kLie:
       return each([&](int b) { boxes_[b].lies = true; });
     case FaultKind::kRoll: {
-      faulted_[i] = PartOf(i, site_.dispatchers);
-      const Time step = f.length / static_cast<Time>(faulted_[i].size());
-      for (std::size_t k = 0; k < faulted_[i].size(); ++k)
-        Push(now_ + static_cast<Time>(k) * step, What::kNodeDown, static_cast<std::uint32_t>(faulted_[i][k]),
-             0, static_cast<std::uint64_t>(f.size * kSecond));
+      affected_[i] = AffectedSubset(i, site_.dispatchers);
+      const Time step = f.length / static_cast<Time>(affected_[i].size());
+      for (std::size_t k = 0; k < affected_[i].size(); ++k)
+        Push(now_ + static_cast<Time>(k) * step, EventType::kNodeDown,
+             static_cast<std::uint32_t>(affected_[i][k]), 0, static_cast<std::uint64_t>(f.size * kSecond));
       return;
     }
     case FaultKind::kClockJump:
-      faulted_[i] = PartOf(i, site_.dispatchers);
-      for (int n : faulted_[i]) nodes_[n].offset += static_cast<Time>(f.size * kSecond);
+      affected_[i] = AffectedSubset(i, site_.dispatchers);
+      for (int n : affected_[i]) nodes_[n].offset += static_cast<Time>(f.size * kSecond);
       return;
     case FaultKind::kStore:
       store_.SetRate(now_, StoreRate());
@@ -171,19 +171,19 @@
   }
 }
 
-void Testbed::FaultEnds(std::size_t i) {
+void Testbed::EndFault(std::size_t i) {
   const Fault& f = day_.faults[i];
   // A box stays faulty if another active fault of the same kind affects it too.
-  auto still = [&](int b) {
+  auto still_affected = [&](int b) {
     for (std::size_t j = 0; j < day_.faults.size(); ++j)
       if (j != i && day_.faults[j].kind == f.kind && day_.faults[j].Active(now_) &&
-          std::ranges::binary_search(faulted_[j], b))
+          std::ranges::binary_search(affected_[j], b))
         return true;
     return false;
   };
-  for (int b : faulted_[i]) {
+  for (int b : affected_[i]) {
     if (f.kind == FaultKind::kRoll || f.kind == FaultKind::kClockJump) continue;
-    if (still(b)) continue;
+    if (still_affected(b)) continue;
     switch (f.kind) {
       case FaultKind::kVanish:
       case FaultKind::kKill:
@@ -194,7 +194,7 @@
       case FaultKind::kGrey:
         boxes_[b].Advance(now_, &news_);
         boxes_[b].SetSlow(now_, 1), boxes_[b].masks_load = false;
-        BoxNewsCame(b);
+        HandleBoxNews(b);
         break;
       case FaultKind::kFail:
         boxes_[b].fail_share = 0;
@@ -210,7 +210,7 @@
   // Sends the full list again, because the lists sent during the fault were incomplete.
   if (f.kind == FaultKind::kDiscoveryHalf)
     for (std::size_t n = 0; n < nodes_.size(); ++n)
-      if (nodes_[n].up && nodes_[n].watching) TellList(static_cast<int>(n), ListChanged::Form::kWhole);
+      if (nodes_[n].up && nodes_[n].watching) SendList(static_cast<int>(n), ListChanged::Form::kWhole);
 }
 
 // ---- Measurements ----
@@ -224,31 +224,32 @@
     cores[group] += site_.kinds[boxes_[b].kind_index].cores;
   }
   for (std::size_t g = 0; g < groups; ++g) used[g] /= cores[g];
-  judge_.LoadOf(now_, used);
+  score_keeper_.LoadOf(now_, used);
 }
 
 double Testbed::EndAt(const std::string& id, rookgw::RequestId job) const {
   const auto it = box_by_id_.find(id);
-  const Try* t = const_cast<Testbed*>(this)->tries_.Find(Handle::Unpack(job));
-  if (it == box_by_id_.end() || t == nullptr) return 1e18;
+  const OpenRequest* open_request = const_cast<Testbed*>(this)->open_requests_.Find(Handle::Unpack(job));
+  if (it == box_by_id_.end() || open_request == nullptr) return 1e18;
   const Box& box = boxes_[it->second];
   if (box.life != Box::Life::kUp || box.fail_share > 0.5) return 1e18;
   const double pace = std::max(box.Pace(now_), 1e-9);
   const bool fetch =
-      site_.keys.setup > 0 && site_.kinds[box.kind_index].keys_kept > 0 && !box.KeepsKey(t->key);
+      site_.keys.setup > 0 && site_.kinds[box.kind_index].keys_kept > 0 && !box.KeepsKey(open_request->key);
   const double own =
-      t->work * box.Slots() / pace + (fetch ? site_.keys.setup / std::max(StoreRate(), 1e-3) : 0);
-  const double wait = box.FreeSlots() >= t->slots && box.Waiting() == 0 ? 0 : box.Backlog(now_) / pace;
+      open_request->work * box.Slots() / pace + (fetch ? site_.keys.setup / std::max(StoreRate(), 1e-3) : 0);
+  const double wait =
+      box.FreeSlots() >= open_request->slots && box.Waiting() == 0 ? 0 : box.Backlog(now_) / pace;
   return wait + own;
 }
 
 double Testbed::WorkOf(rookgw::RequestId id) const {
-  const Try* t = const_cast<Testbed*>(this)->tries_.Find(Handle::Unpack(id));
-  return t != nullptr ? t->work : 0;
+  const OpenRequest* open_request = const_cast<Testbed*>(this)->open_requests_.Find(Handle::Unpack(id));
+  return open_request != nullptr ? open_request->work : 0;
 }
 
 nlohmann::json Testbed::ReportJson() const {
-  nlohmann::json out = judge_.ToJson();
+  nlohmann::json out = score_keeper_.ToJson();
   out["policy"] = policy_, out["seed"] = seed_, out["day"] = day_.file, out["site"] = site_.name;
   out["boxes"] = site_.boxes, out["dispatchers"] = site_.dispatchers, out["load"] = day_.load;
   char digest[20];
