--- a/lab/virtual/judge.cpp
+++ b/lab/virtual/judge.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kBins = 120;
 constexpr double kMinMs = 0.1, kMaxMs = 100'000;
-constexpr std::size_t kWindowSeconds = 10;  // seconds
+constexpr std::size_t kWindowSeconds = 10;
 // Weights of the parts of G, the same as in the goal of the registry.
 constexpr double kWholeWeight = 0.45, kWorstClassWeight = 0.4, kWorstTenantWeight = 0.1,
                  kWorstWindowWeight = 0.05;
@@ -77,7 +77,7 @@
   Result r;
   Sum whole;
   r.worst_window = r.worst_class = r.worst_tenant = 1;
-  for (std::size_t i = 1; i < seconds_.size(); ++i)  // the second 0 is left out
+  for (std::size_t i = 1; i < seconds_.size(); ++i)  // skips second 0
     whole.offered += seconds_[i].offered, whole.gained += seconds_[i].gained;
   for (std::size_t i = 1; i + kWindowSeconds <= static_cast<std::size_t>(day_.length / kSecond); ++i) {
     Sum window;
