--- a/lab/control/day.cpp
+++ b/lab/control/day.cpp
@@ -101,8 +101,8 @@
 // Events of any kind, a large share of them on machines with a store, and many configuration changes.
 void DrawLarge(RandomSource* draw, Day* day) {
   MakeLarge(day);
-  const std::size_t troubles = 2 + draw->Below(8);
-  for (std::size_t i = 0; i < troubles; ++i) {
+  const std::size_t event_count = 2 + draw->Below(8);
+  for (std::size_t i = 0; i < event_count; ++i) {
     Event event = DrawEvent(draw, *day);
     if (draw->Chance(0.4)) event.machine = draw->Below(day->stores);
     day->events.push_back(event);
--- a/lab/virtual/judge.cpp
+++ b/lab/virtual/judge.cpp
@@ -74,32 +74,32 @@
 void ScoreKeeper::LoadOf(Time now, const std::vector<double>& used) { At(now).load = used; }
 
 ScoreKeeper::Result ScoreKeeper::result() const {
-  Result r;
+  Result score;
   Sum whole;
-  r.worst_window = r.worst_class = r.worst_tenant = 1;
+  score.worst_window = score.worst_class = score.worst_tenant = 1;
   for (std::size_t i = 1; i < seconds_.size(); ++i)  // skips second 0
     whole.offered += seconds_[i].offered, whole.gained += seconds_[i].gained;
   for (std::size_t i = 1; i + kWindowSeconds <= static_cast<std::size_t>(day_.length / kSecond); ++i) {
     Sum window;
     for (std::size_t j = i; j < std::min(i + kWindowSeconds, seconds_.size()); ++j)
       window.offered += seconds_[j].offered, window.gained += seconds_[j].gained;
-    r.worst_window = std::min(r.worst_window, window.share());
+    score.worst_window = std::min(score.worst_window, window.share());
   }
-  for (const Sum& s : by_class_) r.worst_class = std::min(r.worst_class, s.share());
-  for (const Sum& s : by_tenant_) r.worst_tenant = std::min(r.worst_tenant, s.share());
-  r.whole = whole.share();
-  r.g = kWholeWeight * r.whole + kWorstClassWeight * r.worst_class + kWorstTenantWeight * r.worst_tenant +
-        kWorstWindowWeight * r.worst_window;
+  for (const Sum& s : by_class_) score.worst_class = std::min(score.worst_class, s.share());
+  for (const Sum& s : by_tenant_) score.worst_tenant = std::min(score.worst_tenant, s.share());
+  score.whole = whole.share();
+  score.g = kWholeWeight * score.whole + kWorstClassWeight * score.worst_class +
+            kWorstTenantWeight * score.worst_tenant + kWorstWindowWeight * score.worst_window;
   if (jobs_ > 0 && day_.site.zones.size() > 1)
-    r.g -= day_.site.fee_cross_zone * static_cast<double>(cross_zone_) / static_cast<double>(jobs_);
-  return r;
+    score.g -= day_.site.fee_cross_zone * static_cast<double>(cross_zone_) / static_cast<double>(jobs_);
+  return score;
 }
 
 nlohmann::json ScoreKeeper::ToJson() const {
   nlohmann::json out;
-  const Result r = result();
-  out["g"] = r.g, out["whole"] = r.whole, out["worst_window"] = r.worst_window;
-  out["worst_class"] = r.worst_class, out["worst_tenant"] = r.worst_tenant;
+  const Result score = result();
+  out["g"] = score.g, out["whole"] = score.whole, out["worst_window"] = score.worst_window;
+  out["worst_class"] = score.worst_class, out["worst_tenant"] = score.worst_tenant;
   out["jobs"] = jobs_, out["served"] = ends_[0], out["refused"] = ends_[1];
   out["failed"] = ends_[2] + ends_[3];
   out["attempts_per_job"] = jobs_ > 0 ? static_cast<double>(attempts_) / jobs_ : 0;
@@ -115,11 +115,11 @@
     }
     out["classes"].push_back(std::move(cls));
   }
-  for (std::size_t t = 0; t < by_tenant_.size(); ++t)
-    out["tenants"].push_back({{"name", day_.site.tenants[t].name},
-                              {"share", by_tenant_[t].share()},
-                              {"offered", by_tenant_[t].offered},
-                              {"gained", by_tenant_[t].gained}});
+  for (std::size_t tenant = 0; tenant < by_tenant_.size(); ++tenant)
+    out["tenants"].push_back({{"name", day_.site.tenants[tenant].name},
+                              {"share", by_tenant_[tenant].share()},
+                              {"offered", by_tenant_[tenant].offered},
+                              {"gained", by_tenant_[tenant].gained}});
   nlohmann::json& seconds = out["seconds"] = nlohmann::json::array();
   for (const Second& s : seconds_)
     seconds.push_back({{"offered", s.offered},
--- a/lab/virtual/world.cpp
+++ b/lab/virtual/world.cpp
@@ -19,43 +19,45 @@
 
 std::vector<double> KindShares(const std::vector<KindModel>& kinds) {
   std::vector<double> shares;
-  for (const KindModel& k : kinds) shares.push_back(k.share);
+  for (const KindModel& kind : kinds) shares.push_back(kind.share);
   return shares;
 }
 
 }  // namespace
 
 rookgw::Settings ToldSettings(const Site& site, int ordinal, double job_rate) {
-  rookgw::Settings s;
-  s.instances = site.dispatchers, s.ordinal = ordinal;
-  s.zones = site.zones, s.my_zone = ordinal % static_cast<int>(site.zones.size());
-  for (const KindModel& k : site.kinds) {
-    s.kinds.push_back(k.name);
-    s.ramp_time = std::max(s.ramp_time, k.cold_for);
-    s.cold_share = std::min(s.cold_share, k.cold_from);
+  rookgw::Settings settings;
+  settings.instances = site.dispatchers, settings.ordinal = ordinal;
+  settings.zones = site.zones, settings.my_zone = ordinal % static_cast<int>(site.zones.size());
+  for (const KindModel& kind : site.kinds) {
+    settings.kinds.push_back(kind.name);
+    settings.ramp_time = std::max(settings.ramp_time, kind.cold_for);
+    settings.cold_share = std::min(settings.cold_share, kind.cold_from);
   }
-  for (const ClassModel& c : site.classes) {
+  for (const ClassModel& class_model : site.classes) {
     rookgw::ClassSettings out;
-    out.name = c.name, out.aim = c.aim, out.stretch = c.stretch, out.deadline = c.deadline,
-    out.worth = c.worth;
-    out.late_value = c.late_worth, out.effect = c.effect, out.scope = c.scope, out.window = c.window;
-    out.priority = c.priority;
-    s.classes.push_back(out);
+    out.name = class_model.name, out.aim = class_model.aim, out.stretch = class_model.stretch,
+    out.deadline = class_model.deadline, out.worth = class_model.worth;
+    out.late_value = class_model.late_worth, out.effect = class_model.effect, out.scope = class_model.scope,
+    out.window = class_model.window;
+    out.priority = class_model.priority;
+    settings.classes.push_back(out);
   }
   for (const TenantModel& tenant : site.tenants)
-    s.tenants.push_back({tenant.name, tenant.share, QuotaPerS(site, tenant, job_rate)});
-  s.over_share_worth = site.over_share_worth, s.tick = site.tick;
-  s.max_attempts = site.max_attempts, s.probes = site.probes, s.cancelling = site.cancelling;
-  s.retry_after = site.retry_after, s.max_retry_after = site.max_retry_after;
-  s.connect_timeout = site.net.connect_timeout;
-  s.list_on_request = site.discovery.asked;
-  s.reports_starts = site.reports_starts, s.reports_accepts = site.reports_accepts;
-  s.reports = site.reports.how;
-  s.reports_slots = s.reports_active = site.reports.how != rookgw::Settings::Reports::kNever;
-  s.fee_cross_zone = site.zones.size() > 1 ? site.fee_cross_zone : 0;
-  s.poll_interval = 10 * kSecond, s.drain_grace = site.drain_grace;
-  s.overload_factor = site.overload_factor, s.overload_for = site.overload_for;
-  return s;
+    settings.tenants.push_back({tenant.name, tenant.share, QuotaPerS(site, tenant, job_rate)});
+  settings.over_share_worth = site.over_share_worth, settings.tick = site.tick;
+  settings.max_attempts = site.max_attempts, settings.probes = site.probes,
+  settings.cancelling = site.cancelling;
+  settings.retry_after = site.retry_after, settings.max_retry_after = site.max_retry_after;
+  settings.connect_timeout = site.net.connect_timeout;
+  settings.list_on_request = site.discovery.asked;
+  settings.reports_starts = site.reports_starts, settings.reports_accepts = site.reports_accepts;
+  settings.reports = site.reports.how;
+  settings.reports_slots = settings.reports_active = site.reports.how != rookgw::Settings::Reports::kNever;
+  settings.fee_cross_zone = site.zones.size() > 1 ? site.fee_cross_zone : 0;
+  settings.poll_interval = 10 * kSecond, settings.drain_grace = site.drain_grace;
+  settings.overload_factor = site.overload_factor, settings.overload_for = site.overload_for;
+  return settings;
 }
 
 Testbed::Testbed(const Day& day, const std::string& policy, std::uint64_t seed, std::uint64_t policy_seed)
@@ -79,7 +81,7 @@
   std::vector<int> kinds;
   const std::vector<double> shares = KindShares(site_.kinds);
   double sum = 0, cumulative = 0;
-  for (double s : shares) sum += s;
+  for (double share : shares) sum += share;
   for (std::size_t k = 0; k < shares.size(); ++k) {
     cumulative += shares[k];
     while (kinds.size() < std::round(cumulative / sum * site_.boxes)) kinds.push_back(static_cast<int>(k));
@@ -121,13 +123,14 @@
 RunResult Testbed::Run() {
   using Steady = std::chrono::steady_clock;
   const auto began = Steady::now();
-  for (int n = 0; n < site_.dispatchers; ++n) nodes_[n].zone = n % static_cast<int>(site_.zones.size());
-  for (int n = 0; n < site_.dispatchers; ++n) StartNode(n, true);
+  for (int node_index = 0; node_index < site_.dispatchers; ++node_index)
+    nodes_[node_index].zone = node_index % static_cast<int>(site_.zones.size());
+  for (int node_index = 0; node_index < site_.dispatchers; ++node_index) StartNode(node_index, true);
   for (std::size_t i = 0; i < day_.faults.size(); ++i) {
     Push(day_.faults[i].start, EventType::kFaultStart, static_cast<std::uint32_t>(i));
     Push(day_.faults[i].start + day_.faults[i].length, EventType::kFaultEnd, static_cast<std::uint32_t>(i));
   }
-  for (int b = 0; b < site_.boxes; ++b) ArmBox(b);
+  for (int box_index = 0; box_index < site_.boxes; ++box_index) ArmBox(box_index);
   Push(kSecond, EventType::kSample);
   ScheduleArrival();
   Time end = kNever;
@@ -335,9 +338,9 @@
       return StartNode(static_cast<int>(event.a), false);
     case EventType::kFrontUpdate:
       front_.clear();
-      for (std::size_t n = 0; n < nodes_.size(); ++n)
-        if (nodes_[n].up || now_ < nodes_[n].down_since + site_.clients.front_notice)
-          front_.push_back(static_cast<int>(n));
+      for (std::size_t node_index = 0; node_index < nodes_.size(); ++node_index)
+        if (nodes_[node_index].up || now_ < nodes_[node_index].down_since + site_.clients.front_notice)
+          front_.push_back(static_cast<int>(node_index));
       return;
     case EventType::kSample:
       Sample();
@@ -390,19 +393,19 @@
   Push(now_ + delay, EventType::kReachNode, static_cast<std::uint32_t>(node), 0, handle.Packed());
 }
 
-void Testbed::ReachNode(int n, Handle handle) {
+void Testbed::ReachNode(int node_index, Handle handle) {
   JobState* job = jobs_.Find(handle);
   if (job == nullptr) return;
-  Node& node = nodes_[n];
+  Node& node = nodes_[node_index];
   if (!node.up)
     return Push(now_ + net_.ClientDelay(), EventType::kAnswer,
                 static_cast<std::uint32_t>(Reply::kUnreachable), 0, handle.Packed());
   OpenRequest fresh;
-  fresh.job = handle, fresh.node = n, fresh.life = node.life, fresh.cls = job->spec.cls;
+  fresh.job = handle, fresh.node = node_index, fresh.life = node.life, fresh.cls = job->spec.cls;
   fresh.answer_by = job->deadline, fresh.work = job->work, fresh.slots = job->spec.slots;
   fresh.job_number = job->spec.number, fresh.key = job->spec.key;
   const std::uint64_t id = open_requests_.Insert(std::move(fresh)).Packed();
-  checker_.Took(now_, n, id, job->spec.cls, job->deadline);
+  checker_.Took(now_, node_index, id, job->spec.cls, job->deadline);
   Push(job->deadline, EventType::kHostDeadline, 0, 0, id);
   if (site_.clients.impatient > 0 && client_random_.Chance(site_.clients.impatient))
     Push(now_ + static_cast<Time>(client_random_.Between(0.1, 1) * (job->deadline - now_)),
@@ -414,7 +417,7 @@
   e.slots = job->spec.slots, e.effort = job->spec.effort;
   e.valid_until = job->deadline + node.offset;
   e.tenant = job->spec.tenant, e.cls = job->spec.cls;
-  Feed(n, std::move(e));
+  Feed(node_index, std::move(e));
 }
 
 void Testbed::HandleReply(Handle handle, Reply reply, Time retry_after) {
@@ -424,8 +427,9 @@
   const ClassModel& cls = site_.classes[job->spec.cls];
   double retry_factor = 1;
   bool no_backoff = false;
-  for (const Fault& f : day_.faults)
-    if (f.kind == FaultKind::kRetryStorm && f.Active(now_)) retry_factor *= f.size, no_backoff = true;
+  for (const Fault& fault : day_.faults)
+    if (fault.kind == FaultKind::kRetryStorm && fault.Active(now_))
+      retry_factor *= fault.size, no_backoff = true;
   const bool is_retry_safe = reply == Reply::kRefused || reply == Reply::kUnreachable ||
                              cls.effect == rookgw::Effect::kRepeatable ||
                              (cls.effect == rookgw::Effect::kKeyed && cls.scope == rookgw::KeyScope::kAll &&
--- a/lab/virtual/world.h
+++ b/lab/virtual/world.h
@@ -199,7 +199,7 @@
   void Result(std::uint64_t attempt, rookgw::Outcome outcome);
   void ArmBox(int box);
   void ArmStore();
-  void RecordColdWork(int box, const Attempt& a);
+  void RecordColdWork(int box, const Attempt& attempt);
   void StopBox(int box, Box::Life life);
   void StartBox(int box, bool announce);
   double StoreRate() const;
@@ -213,7 +213,7 @@
 
   void StartFault(std::size_t i);
   void EndFault(std::size_t i);
-  std::vector<int> AffectedSubset(std::size_t i, int n);
+  std::vector<int> AffectedSubset(std::size_t i, int count);
   void Sample();
   double Capacity() const;
 
