--- a/lab/control/day.h
+++ b/lab/control/day.h
@@ -11,10 +11,10 @@
 namespace lichenlug::lab::control {
 
 enum class EventKind {
-  kKill,           // SIGKILL; started again after `lasts`
-  kTerminate,      // SIGTERM; started again `lasts` after its exit
+  kKill,           // SIGKILL; started again after `duration`
+  kTerminate,      // SIGTERM; started again `duration` after its exit
   kReload,         // SIGHUP
-  kPowerOff,       // of `count` machines from `machine` on; started again after `lasts`
+  kPowerOff,       // of `count` machines from `machine` on; started again after `duration`
   kFreeze,         // the process is suspended
   kCutOff,         // network partition from all others, both ways
   kCutIncoming,    // messages from all others are lost
@@ -22,7 +22,7 @@
   kSlowLink,       // 1 Mbit/s
   kDiskStall,      // no write completes
   kDiskFull,       // each write fails
-  kWipe,           // killed, its disk lost, started again after `lasts`
+  kWipe,           // killed, its disk lost, started again after `duration`
   kQuota,          // CPU quota: suspended for 70 ms of each 100 ms
   kLoseAnswers,    // responses to calls are lost
   kClockStep,      // killed; the wall clock is shifted by `step` from the next start on
