--- a/lab/control/network.h
+++ b/lab/control/network.h
@@ -58,7 +58,7 @@
   void Heal(MachineIndex from, MachineIndex to) { cuts_.erase({from, to}); }
   bool IsCut(MachineIndex from, MachineIndex to) const { return cuts_.contains({from, to}); }
 
-  // Runs `arrives` when the message has been received. The message is lost by a cut, or if the send queue
+  // Runs `on_arrival` when the message has been received. The message is lost by a cut, or if the send queue
   // already holds more than kMaxQueued.
   void Send(MachineIndex from, MachineIndex to, std::size_t bytes, std::function<void()> on_arrival);
 
