--- a/lab/system/answer_check.cpp
+++ b/lab/system/answer_check.cpp
@@ -18,7 +18,7 @@
   if (text == expected) {
     ++last_item_;
   } else if (problem_.empty()) {
-    problem_ = "\"" + text + "\" came where \"" + expected + "\" was due";
+    problem_ = "\"" + text + "\" received, expected \"" + expected + "\"";
   }
 }
 
--- a/lab/system/answer_check.h
+++ b/lab/system/answer_check.h
@@ -1,5 +1,5 @@
-// Checks the body of one answer as it comes: the lines or events of one try, in order, none missing and none
-// twice.
+// Checks the body of one response as it arrives: the lines or events of one attempt must come in order, none
+// missing and none repeated.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 class AnswerCheck {
  public:
-  // The answer is to begin with the item after `last_item`.
+  // The body must start with the item after `last_item`.
   AnswerCheck(bool stream, std::string attempt_id, int last_item)
       : stream_(stream), attempt_id_(std::move(attempt_id)), last_item_(last_item) {}
 
   void Feed(std::string_view bytes);
-  int last_item() const { return last_item_; }             // that came whole
-  const std::string& problem() const { return problem_; }  // empty: none
+  int last_item() const { return last_item_; }             // the last one received completely
+  const std::string& problem() const { return problem_; }  // of the first mismatch; empty if none
 
  private:
   void Item(const std::string& text);
--- a/lab/system/clients.cpp
+++ b/lab/system/clients.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-// One request with its tries.
+// One request with its attempts.
 struct Clients::Exchange {
   ClientRequest request;
   Done done;
@@ -44,7 +44,7 @@
   bool connected = false, over = false;
   ClientResult result;
   std::string attempt_id;
-  std::unique_ptr<AnswerCheck> check;  // of the answer under way; null: no 2xx head has come
+  std::unique_ptr<AnswerCheck> check;  // of the current response; null until a 2xx head has arrived
   std::shared_ptr<HttpConnection> connection;
   asio::steady_timer timer, alarm;
 
@@ -53,7 +53,7 @@
 
 Clients::Clients(Loop* loop, Ingress* ingress, Ledger* ledger)
     : loop_(loop), ingress_(ingress), ledger_(ledger), next_id_(std::random_device{}()) {
-  next_id_ <<= 32;  // unlike those of any other play
+  next_id_ <<= 32;  // distinct from the ids of every other run
 }
 
 Clients::~Clients() {
@@ -165,9 +165,9 @@
   exchange->check =
       std::make_unique<AnswerCheck>(exchange->stream(), exchange->attempt_id, exchange->last_event);
   if (HeaderOf(head, wire::kAttemptId) != exchange->attempt_id)
-    ledger_->Broken("an answer names another try than " + exchange->attempt_id);
+    ledger_->Broken("a response has an attempt id other than " + exchange->attempt_id);
   if (!exchange->result.runner_stamp.ends_with("." + exchange->attempt_id))
-    ledger_->Broken("an answer to try " + exchange->attempt_id + " has the stamp \"" +
+    ledger_->Broken("a response to attempt " + exchange->attempt_id + " has the stamp \"" +
                     exchange->result.runner_stamp + "\"");
 }
 
@@ -175,9 +175,9 @@
   using Outcome = ClientResult::Outcome;
   if (exchange->check) {
     if (!exchange->check->problem().empty())
-      ledger_->Broken("try " + exchange->attempt_id + ": " + exchange->check->problem());
+      ledger_->Broken("attempt " + exchange->attempt_id + ": " + exchange->check->problem());
     if (exchange->check->last_item() != exchange->request.events)
-      ledger_->Broken("try " + exchange->attempt_id + " ended whole with item " +
+      ledger_->Broken("attempt " + exchange->attempt_id + " completed with last item " +
                       std::to_string(exchange->check->last_item()));
     return End(exchange, Outcome::kServed);
   }
@@ -188,7 +188,7 @@
   TryLater(exchange, exchange->request.impatient ? 0 : kRetryPause);
 }
 
-// The connection ended without a whole answer.
+// The connection ended without a complete response.
 void Clients::Broke(const Handle& exchange) {
   using Outcome = ClientResult::Outcome;
   exchange->connection->Close();
@@ -213,7 +213,7 @@
    : outcome == Outcome::kRefused ? figures_.refused
    : outcome == Outcome::kCut     ? figures_.cut
                                   : figures_.failed)++;
-  const Handle kept = exchange;  // the set may hold the last reference
+  const Handle kept = exchange;  // the set may own the last reference
   in_flight_.erase(kept);
   if (kept->done) kept->done(kept->result);
 }
--- a/lab/system/clients.h
+++ b/lab/system/clients.h
@@ -1,5 +1,6 @@
-// Clients' stand-ins: send requests of several kinds to the dispatchers that the ingress names, try again as
-// the protocol allows, and check each answer: its stamp, its whole body, the order and the ids of its events.
+// Simulated clients: they send requests of several kinds to the dispatchers that the ingress selects, retry
+// as the protocol allows, and check each response: its stamp, the complete body, the order and ids of its
+// events.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 enum class ClientKind {
   kPlain,      // a body; may run more than once
   kStream,     // events; runs at most once
-  kResumable,  // events; taken up again with Last-Event-Id after a cut
+  kResumable,  // events; resumed with Last-Event-Id after an interruption
 };
 
 struct ClientRequest {
@@ -26,14 +27,14 @@
   std::string path, model, key;
   int events = 10;
   Time deadline = 10 * kSecond;
-  bool impatient = false;          // tries again at once, whatever it is told
-  std::string front_address = {};  // goes to this one; empty: to one that the ingress names
+  bool impatient = false;          // retries without a delay
+  std::string front_address = {};  // empty: the ingress selects the dispatcher
 };
 
-// What became of one request.
+// The outcome of one request.
 struct ClientResult {
   enum class Outcome { kServed, kRefused, kFailed, kCut } outcome = Outcome::kFailed;
-  int status = 0;  // of the last answer
+  int status = 0;  // of the last response
   std::string runner_stamp;
 };
 
@@ -49,7 +50,7 @@
   ~Clients();
 
   void Send(const ClientRequest& request, Done done = {});
-  // Keeps as many requests under way as there are in the list: whenever one ends, it is sent again.
+  // Keeps every request of the list in flight: each is sent again after it has ended.
   void KeepUp(const std::vector<ClientRequest>& requests);
   void StopNew() { stopped_ = true; }
 
--- a/lab/system/demo.cpp
+++ b/lab/system/demo.cpp
@@ -1,5 +1,5 @@
-// lichenlug-lab-system: plays a small system of real processes on loopback, with a lost dispatcher and a
-// drained runner, says what happens, ends by itself and judges it.
+// lichenlug-lab-system: runs a small system of real processes on loopback, kills a dispatcher and drains a
+// runner, prints the progress and fails if a rule of the protocol was broken.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <iostream>
@@ -16,7 +16,7 @@
 using lichenlug::Time;
 
 constexpr Time kStartTimeout = 20 * kSecond, kTimeout = 10 * kSecond;
-constexpr std::size_t kLost = 1, kDrained = 2;  // the dispatcher that is killed, the runner that drains
+constexpr std::size_t kLost = 1, kDrained = 2;  // indexes of the killed dispatcher and of the drained runner
 constexpr int kStreamsOfEachKind = 8;
 
 class Demo {
@@ -27,13 +27,13 @@
     Found();
     system_.clients().KeepUp(Requests());
     const Time part = length / 5;
-    Phase(part, "clients keep 24 requests under way: plain ones, streams, streams that can be resumed");
+    Phase(part, "clients keep 24 requests in flight: plain requests, streams, resumable streams");
     LoseDispatcher(part);
     DrainRunner();
-    Phase(2 * part, "requests go on without that runner");
+    Phase(2 * part, "requests continue without that runner");
     system_.clients().StopNew();
     Require(system_.loop().RunUntil([&] { return system_.clients().in_flight() == 0; }, kTimeout),
-            "what was under way has ended");
+            "all requests in flight have ended");
     return Summary();
   }
 
@@ -47,7 +47,7 @@
   void Require(bool holds, const std::string& what) {
     if (holds) return Say(what);
     std::fputs(system_.Logs().c_str(), stderr);
-    throw std::runtime_error("not within its time: " + what);
+    throw std::runtime_error("timed out: " + what);
   }
 
   void Phase(Time length, const std::string& what) {
@@ -55,17 +55,17 @@
     Say(what);
     system_.loop().RunFor(length);
     const ClientFigures& now = system_.clients().figures();
-    Say("  meanwhile " + std::to_string(now.served - before.served) + " served, " +
+    Say("  in this phase: " + std::to_string(now.served - before.served) + " served, " +
         std::to_string(now.refused - before.refused) + " refused, " +
         std::to_string(now.cut - before.cut + now.failed - before.failed) + " cut or failed, " +
         std::to_string(now.resumed - before.resumed) + " resumed");
   }
 
   void Found() {
-    Say("three dispatchers with disks and one without start, and six runners report to them");
+    Say("starting three dispatchers with disks, one without, and the runners");
     system_.StartDispatchers();
     system_.StartRunners();
-    Require(system_.TakeFirstConfiguration(kStartTimeout), "the first configuration is taken");
+    Require(system_.TakeFirstConfiguration(kStartTimeout), "the first configuration is accepted");
     Require(system_.WaitReady(kStartTimeout), "all dispatchers are ready");
   }
 
@@ -90,9 +90,9 @@
   void LoseDispatcher(Time away) {
     Dispatcher& lost = system_.dispatcher(kLost);
     Require(lost.Kill(kTimeout), lost.name() + " is killed");
-    Phase(away, "the others go on without it");
+    Phase(away, "the remaining dispatchers serve without it");
     lost.Start();
-    Say(lost.name() + " is started again");
+    Say(lost.name() + " is restarted");
     Require(system_.WaitReady(kTimeout), lost.name() + " is ready again");
   }
 
@@ -114,11 +114,11 @@
         static_cast<unsigned long long>(figures.resumed));
     for (std::size_t index = 0; index < system_.runner_count(); ++index) {
       const Runner& runner = system_.runner(index);
-      std::printf("  %s answered %llu and took %llu orders\n", runner.settings().id.c_str(),
+      std::printf("  %s served %llu requests and accepted %llu orders\n", runner.settings().id.c_str(),
                   static_cast<unsigned long long>(runner.served()),
                   static_cast<unsigned long long>(runner.orders()));
     }
-    std::printf("%zu usage reports taken by the platform\n", system_.platform().usage().size());
+    std::printf("%zu usage reports accepted by the platform\n", system_.platform().usage().size());
     std::printf("%zu rules broken\n", broken.size());
     for (const std::string& what : broken) std::printf("  %s\n", what.c_str());
     return broken.empty() && figures.served > 0 ? 0 : 1;
@@ -135,9 +135,11 @@
   SystemPlan plan;
   plan.program = LICHENLUGD_PATH;
   double seconds = 15;
-  app.add_option("--program", plan.program, "The dispatcher's program")->capture_default_str();
-  app.add_option("--seconds", seconds, "How long requests are sent")->capture_default_str();
-  app.add_option("--runners", plan.runners, "Runners")->capture_default_str()->check(CLI::Range(3, 100));
+  app.add_option("--program", plan.program, "Path of the dispatcher program")->capture_default_str();
+  app.add_option("--seconds", seconds, "Duration of the request load in seconds")->capture_default_str();
+  app.add_option("--runners", plan.runners, "Number of runners")
+      ->capture_default_str()
+      ->check(CLI::Range(3, 100));
   CLI11_PARSE(app, argc, argv);
   try {
     return Demo(plan).Play(static_cast<Time>(seconds * kSecond));
--- a/lab/system/dispatcher.cpp
+++ b/lab/system/dispatcher.cpp
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-// The same on every machine of a system, so that each needs a loopback address of its own.
+// The same for all dispatchers of a system, so each needs its own loopback address.
 constexpr int kFrontPort = 8405, kReadyPort = 8406, kControlPort = 8407;
 constexpr int kFirstInternalPort = 7660, kLastInternalPort = 7675;
 constexpr char kSettingsVariable[] = "LICHENLUG_BOOT";
@@ -119,7 +119,7 @@
   return WIFEXITED(process_.status()) && WEXITSTATUS(process_.status()) == 0;
 }
 
-// The mask of the signals that the process catches, as proc(5) tells it.
+// Reads the mask of caught signals, see proc(5).
 bool Dispatcher::TakesSignals() const {
   constexpr char kCaught[] = "SigCgt:";
   std::ifstream file("/proc/" + std::to_string(process_.pid()) + "/status");
--- a/lab/system/dispatcher.h
+++ b/lab/system/dispatcher.h
@@ -1,5 +1,5 @@
-// One real dispatcher: a `lichenlugd` process on a loopback address of its own, with its settings file, store
-// folder and log in a folder.
+// One real dispatcher: a `lichenlugd` process on its own loopback address, with its settings file, store
+// directory and log below one directory.
 #pragma once
 
 #include <filesystem>
@@ -12,7 +12,7 @@
 
 namespace lichenlug::standins {
 
-// Periods and bounds of the deployment, shorter than usual, so that plays and tests are short.
+// Intervals and time limits of the deployment, shorter than in production to keep runs and tests short.
 struct DeploymentTimes {
   int heartbeat_ms = 400;
   int drain_ms = 1000;
@@ -39,19 +39,19 @@
   Dispatcher(Loop* loop, std::filesystem::path program, std::filesystem::path folder,
              DispatcherSettings settings);
 
-  // Each writes the settings file anew. The first start of the whole system is the only one with `first_run`.
+  // Start and StartWith rewrite the settings file. `first_run` is set only at the first start of the system.
   void Start(bool first_run = false);
   void StartWith(const std::string& settings_text);
-  bool Kill(Time timeout);                        // SIGKILL; false: it has not ended in time
-  void Terminate();                               // SIGTERM; it ends by itself
-  void Reload(const std::string& settings_text);  // puts that text into the file and sends SIGHUP
-  bool Ended(Time timeout);                       // waits for its end
-  void WipeStore();                               // of an ended process
+  bool Kill(Time timeout);                        // SIGKILL; false if it has not exited in time
+  void Terminate();                               // SIGTERM; the process shuts down gracefully
+  void Reload(const std::string& settings_text);  // rewrites the settings file and sends SIGHUP
+  bool Ended(Time timeout);                       // waits for the process to exit
+  void WipeStore();                               // only after the process has exited
 
   bool Running() { return process_.Running(); }
-  // Whether the program's own first line has run; before it, in the loader, a signal ends any program.
+  // Whether the program has installed its signal handlers; before that, as in the loader, a signal kills it.
   bool TakesSignals() const;
-  bool EndedWell() const;       // the last life ended by itself, with exit code 0
+  bool EndedWell() const;       // the last process exited with code 0
   std::string LastEnd() const;  // "exit code 0" or "signal 15"
   std::string Log() const;
   bool LogHolds(const std::string& text) const { return Log().find(text) != std::string::npos; }
@@ -73,7 +73,7 @@
   lab::Process process_;
 };
 
-// The control address of a dispatcher at `ip`.
+// The control address of the dispatcher on `ip`.
 std::string ControlAddress(const std::string& ip);
 
 }  // namespace lichenlug::standins
--- a/lab/system/http_call.cpp
+++ b/lab/system/http_call.cpp
@@ -45,7 +45,7 @@
 void Call(asio::io_context& io, const std::string& address, const HttpCall& call,
           std::function<void(HttpMessage)> done) {
   const auto pending = std::make_shared<Pending>(io, std::move(done));
-  const std::weak_ptr<Pending> weak = pending;  // the timer's handler holds it until it is over
+  const std::weak_ptr<Pending> weak = pending;  // the timer's handler owns it until the call ends
   pending->timer.expires_after(std::chrono::microseconds(call.timeout));
   pending->timer.async_wait([pending](std::error_code) { pending->Finish({}); });
   HttpConnection::Events events;
--- a/lab/system/http_call.h
+++ b/lab/system/http_call.h
@@ -1,4 +1,4 @@
-// One HTTP call on a connection of its own.
+// One HTTP call on its own connection.
 #pragma once
 
 #include <functional>
@@ -24,11 +24,11 @@
 asio::ip::tcp::endpoint EndpointOf(const std::string& address);
 std::string AddressOf(const asio::ip::tcp::endpoint& endpoint);
 
-// `done` is told the answer, once; its status is 0 where no whole answer came in time.
+// Calls `done` exactly once with the response; status 0 means that no complete response arrived in time.
 void Call(asio::io_context& io, const std::string& address, const HttpCall& call,
           std::function<void(HttpMessage)> done);
 
-// The same, serving the loop until the answer is there.
+// Synchronous variant: runs the loop until the response has arrived.
 HttpMessage CallAndWait(Loop* loop, const std::string& address, const HttpCall& call);
 
 }  // namespace lichenlug::standins
--- a/lab/system/ingress.h
+++ b/lab/system/ingress.h
@@ -1,5 +1,5 @@
-// The platform's stand-in towards clients: asks each dispatcher whether it is ready, and hands connections to
-// those that are.
+// Simulated load balancer of the platform: probes the readiness of each dispatcher and sends new connections
+// to the ready ones.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,12 @@
   struct Dispatcher {
     std::string ready_address, front_address;
     int misses = 0;
-    bool in = false;  // gets new connections
+    bool in = false;  // receives new connections
   };
 
   Ingress(Loop* loop, std::vector<Dispatcher> dispatchers);
 
-  std::string Next();  // the front address of the next one; empty: none is in
+  std::string Next();  // front address by round robin; empty if no dispatcher is ready
   bool AllIn() const;
   const std::vector<Dispatcher>& dispatchers() const { return dispatchers_; }
 
--- a/lab/system/kept_client.cpp
+++ b/lab/system/kept_client.cpp
@@ -10,10 +10,10 @@
 namespace lichenlug::standins {
 namespace {
 
-// A request that crosses the dispatcher's close may end without an answer if no runner has begun it and the
-// end comes this soon after its last byte was sent.
+// A request sent while the dispatcher closes the connection may end without a response if no runner has
+// started it and the connection ends within this time after the last byte was sent.
 constexpr Time kCrossingSlack = 200 * kMillisecond;
-constexpr Time kLossNoticedWithin = 500 * kMillisecond;  // of a killed dispatcher, on its connections
+constexpr Time kLossNoticedWithin = 500 * kMillisecond;  // until its connections break after a kill
 constexpr Time kReconnectAfter = 50 * kMillisecond;
 constexpr Time kLongestPause = 150 * kMillisecond;  // between requests
 
@@ -118,20 +118,22 @@
 }
 
 void KeptClient::Answered(const HttpMessage& answer) {
-  if (!in_flight_) return ledger_->Broken("an answer on a connection where no request waits");
+  if (!in_flight_) return ledger_->Broken("a response on a connection without a request in flight");
   in_flight_ = false;
   const bool promised = answer.status == 503 || answer.status == 429;
   if (answer.status == 200) {
     ++figures_->served;
     if (check_ && !check_->problem().empty())
-      ledger_->Broken("try " + attempt_id_ + ": " + check_->problem());
+      ledger_->Broken("attempt " + attempt_id_ + ": " + check_->problem());
   } else if (promised) {
     ++figures_->refused;
-    if (ledger_->HasBegun(attempt_id_)) ledger_->Broken("try " + attempt_id_ + " was refused and has run");
+    if (ledger_->HasBegun(attempt_id_))
+      ledger_->Broken("attempt " + attempt_id_ + " was refused but has run");
   } else {
     ++figures_->failed;
     if (answer.status >= 400 && answer.status < 500)
-      ledger_->Broken("try " + attempt_id_ + " is proper and got " + std::to_string(answer.status));
+      ledger_->Broken("attempt " + attempt_id_ + " is valid but was answered with " +
+                      std::to_string(answer.status));
   }
   check_.reset();
   if (stopped_) return;
@@ -170,9 +172,9 @@
     ++figures_->crossed;
     return;
   }
-  ledger_->Broken("LOST: try " + attempt_id_ + " at " + fronts_->front(front_).address +
-                  " ended without a whole answer " + std::to_string(since / kMillisecond) +
-                  " ms after it was sent" + (begun ? ", after it had begun to run" : ""));
+  ledger_->Broken("LOST: attempt " + attempt_id_ + " at " + fronts_->front(front_).address +
+                  " ended without a complete response " + std::to_string(since / kMillisecond) +
+                  " ms after it was sent" + (begun ? ", after it had started to run" : ""));
 }
 
 }  // namespace lichenlug::standins
--- a/lab/system/kept_client.h
+++ b/lab/system/kept_client.h
@@ -1,5 +1,5 @@
-// A client that keeps one connection and sends one request after another on it until the dispatcher closes it
-// or is gone, then opens the next one. It judges what becomes of each request that it has sent whole.
+// A client with a persistent connection: it sends one request after another until the dispatcher closes the
+// connection or exits, then reconnects. It checks the outcome of each request that it has sent completely.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +17,15 @@
 
 namespace lichenlug::standins {
 
-// Where kept clients may connect, and when a dispatcher was last lost with all its connections.
+// The addresses that the clients may connect to, and when a dispatcher was last lost with all its
+// connections.
 class FrontDirectory {
  public:
   struct Front {
     std::string address;
-    bool open = true;    // takes new connections
-    bool dying = false;  // killed, and not known to be gone yet: a thread in a disk sync ends first
-    Time lost_at = -1;   // gone at, after it was killed; -1: never
+    bool open = true;    // accepts new connections
+    bool dying = false;  // killed, exit not yet seen: a thread in a disk sync delays it
+    Time lost_at = -1;   // when the killed process had exited; -1: never
   };
 
   explicit FrontDirectory(std::vector<std::string> addresses);
@@ -34,7 +35,7 @@
   void Open(std::size_t index) { fronts_[index].open = true; }
   void Close(std::size_t index) { fronts_[index].open = false; }
   void Kill(std::size_t index);
-  void Lose(std::size_t index, Time now);  // it is gone
+  void Lose(std::size_t index, Time now);  // the process has exited
 
  private:
   std::vector<Front> fronts_;
@@ -47,13 +48,13 @@
 
 class KeptClient {
  public:
-  // All but `requests` outlive it. `requests`: the kinds it sends, drawn by `seed`.
+  // The pointers must outlive the client. Each request is picked from `requests` at random, seeded by `seed`.
   KeptClient(Loop* loop, FrontDirectory* fronts, Ledger* ledger, KeptClientFigures* figures,
              std::vector<ClientRequest> requests, std::uint64_t seed);
   ~KeptClient();
 
   void Start();
-  void Stop();  // after the request under way
+  void Stop();  // after the request in flight
   bool Resting() const { return !in_flight_; }
 
  private:
@@ -77,7 +78,7 @@
   bool in_flight_ = false, stopped_ = false;
   std::string attempt_id_;
   int events_ = 0;
-  std::unique_ptr<AnswerCheck> check_;  // of a 2xx answer under way
+  std::unique_ptr<AnswerCheck> check_;  // of the 2xx response in progress
   std::shared_ptr<HttpConnection> connection_;
   asio::steady_timer pause_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/lab/system/ledger.h
+++ b/lab/system/ledger.h
@@ -1,4 +1,4 @@
-// What the stand-ins have seen: the requests that runners ran and the rules that were broken.
+// Record of a run: the requests that runners have started and the rules that were broken.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
   void Broken(std::string what) { broken_.push_back(std::move(what)); }
   const std::vector<std::string>& broken() const { return broken_; }
 
-  // A runner begins to run a try. One that is not `repeatable` begins once at most.
+  // A runner starts an attempt. An attempt that is not `repeatable` may start at most once.
   void RunBegan(const std::string& attempt_id, const std::string& tenant, bool repeatable) {
     ++begun_[tenant];
     if (!begun_attempts_.insert(attempt_id).second && !repeatable)
-      Broken("try " + attempt_id + " was run twice");
+      Broken("attempt " + attempt_id + " was run twice");
   }
-  // The runner that answers a try, and those that have crashed: what they answered may be cut.
+  // The runner of each attempt, and the crashed runners: their responses may be interrupted.
   void RunsAt(const std::string& attempt_id, const std::string& runner_id) {
     runner_of_[attempt_id] = runner_id;
   }
@@ -40,7 +40,7 @@
  private:
   std::vector<std::string> broken_;
   std::set<std::string> begun_attempts_;
-  std::map<std::string, std::string> runner_of_;  // by try
+  std::map<std::string, std::string> runner_of_;  // by attempt
   std::set<std::string> crashed_;                 // runners
   std::map<std::string, std::uint64_t> begun_;    // by tenant
 };
--- a/lab/system/loop.h
+++ b/lab/system/loop.h
@@ -1,4 +1,4 @@
-// The one event loop of the stand-ins. All of them run on the thread that waits here, so none needs a lock,
+// The event loop shared by all simulated parts. They run on the thread that waits here, so none needs a lock,
 // and a test waits for events with a deadline instead of sleeping.
 #pragma once
 
@@ -18,7 +18,7 @@
   asio::io_context& io() { return io_; }
   Time Now() const { return clock_.Now(); }
 
-  // Serves events until `condition` holds; false: it did not within `timeout`.
+  // Processes events until `condition` holds; returns false if it does not within `timeout`.
   bool RunUntil(const Condition& condition, Time timeout) {
     const Time deadline = Now() + timeout;
     while (!condition()) {
@@ -35,7 +35,7 @@
   }
 
  private:
-  static constexpr Time kLongestStep = 10 * kMillisecond;  // conditions also look at processes and files
+  static constexpr Time kLongestStep = 10 * kMillisecond;  // conditions also poll processes and files
 
   asio::io_context io_;
   Clock clock_;
--- a/lab/system/model_store.cpp
+++ b/lab/system/model_store.cpp
@@ -44,7 +44,7 @@
   const std::string adapter = TextOf(order, wire::kAdapter), holder = TextOf(order, wire::kHolder);
   const bool known = kind == kLoad || kind == kUnload;
   if (!known || model.empty() || holder.empty() || !order.contains(wire::kFence)) {
-    ledger_->Broken(runner_id_ + " got an order that is none: " + order.dump());
+    ledger_->Broken(runner_id_ + " received an invalid order: " + order.dump());
     return kInvalid;
   }
   const auto fence = order.at(wire::kFence).get<std::uint64_t>();
--- a/lab/system/model_store.h
+++ b/lab/system/model_store.h
@@ -1,4 +1,4 @@
-// The models that a runner's stand-in holds, and the orders that change them. One order at a time.
+// The models loaded on a simulated runner and the orders that load or unload them, one at a time.
 #pragma once
 
 #include <cstdint>
@@ -21,9 +21,9 @@
   bool Holds(const std::string& name) const;
   bool busy() const { return busy_; }
   std::uint64_t orders_taken() const { return orders_taken_; }
-  nlohmann::json ToJson() const;  // as `models` of a report
+  nlohmann::json ToJson() const;  // the field `models` of a report
 
-  // Takes an order and tells the status to answer it with.
+  // Handles an order and returns the HTTP status of the response.
   int Order(const nlohmann::json& order);
 
  private:
--- a/lab/system/operator.cpp
+++ b/lab/system/operator.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kFirstPause = 50 * kMillisecond, kLongestPause = 400 * kMillisecond;
 
-// Anything but an answer that ends the call.
+// Whether the call has to be retried: its effect is unknown or the dispatcher is overloaded.
 bool IsUnclear(int status) { return status == 0 || status >= 500 || status == 408 || status == 429; }
 
 HttpCall ToCall(const Change& change) {
--- a/lab/system/operator.h
+++ b/lab/system/operator.h
@@ -1,5 +1,5 @@
-// The operator's stand-in: sends configurations and reads them back, at one dispatcher or, without a clear
-// answer, at one after the other.
+// Simulated operator: sends configurations and reads them back. It calls one dispatcher, or each in turn
+// until one gives a conclusive response.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace lichenlug::standins {
 
-// One change as it goes over the wire, the same at each repetition.
+// One configuration change; every retry sends the same bytes.
 struct Change {
   enum class Method { kPut, kPatch } method = Method::kPut;
-  std::int64_t if_match = 0;  // the edition it builds on
+  std::int64_t if_match = 0;  // the edition that the change is based on
   std::string body;
 };
 
@@ -24,12 +24,12 @@
  public:
   Operator(Loop* loop, std::vector<std::string> control_addresses);
 
-  // One call at one dispatcher; status 0: no answer.
+  // One call to one dispatcher; status 0 means no response.
   void SendTo(const std::string& address, const Change& change, std::function<void(HttpMessage)> done);
   HttpMessage SendTo(const std::string& address, const Change& change);
-  // Repeats the call at other dispatchers until there is a clear answer.
+  // Retries the call on the next dispatcher until a response is conclusive.
   HttpMessage Send(const Change& change, Time timeout);
-  // The newest configuration; null where none is told in time.
+  // The newest configuration; null if none was received in time.
   nlohmann::json Read(Time timeout);
   nlohmann::json ReadFrom(const std::string& address);
 
--- a/lab/system/platform.cpp
+++ b/lab/system/platform.cpp
@@ -62,7 +62,7 @@
   const std::string fence = HeaderOf(request, wire::kDutyFence);
   const std::string holder = HeaderOf(request, wire::kDutyHolder);
   if (!body.is_object() || fence.empty() || holder.empty()) {
-    ledger_->Broken("the platform got a call without a holder, a fence or a body: " + request.target);
+    ledger_->Broken("the platform received a call without a holder, a fence or a body: " + request.target);
     return lab::Reply(connection, 400, "");
   }
   const std::uint64_t number = std::stoull(fence);
--- a/lab/system/platform.h
+++ b/lab/system/platform.h
@@ -1,4 +1,5 @@
-// The platform's stand-in: takes usage reports and fleet sizes, refuses fences that fell, and records all.
+// Simulated platform: accepts usage reports and fleet sizes, rejects calls with an outdated fence, and
+// records what it accepted.
 #pragma once
 
 #include <cstdint>
@@ -30,10 +31,10 @@
   Platform(asio::io_context& io, Ledger* ledger);
 
   std::string address() const;
-  const std::vector<UsageReport>& usage() const { return usage_; }  // those that were taken
+  const std::vector<UsageReport>& usage() const { return usage_; }  // those that were accepted
   const std::vector<FleetOrder>& fleet() const { return fleet_; }
-  int fenced_off() const { return fenced_off_; }            // calls refused for their fence
-  std::uint64_t Reported(const std::string& tenant) const;  // of all windows, each counted once
+  int fenced_off() const { return fenced_off_; }            // calls rejected for an outdated fence
+  std::uint64_t Reported(const std::string& tenant) const;  // over all windows, each counted once
 
  private:
   struct Fence {
@@ -42,7 +43,7 @@
   };
 
   void Handle(const lab::HttpServer::Connection& connection, const HttpMessage& request);
-  // Whether a call with this fence may pass; two holders with one fence are a broken rule.
+  // Whether a call with this fence is accepted; the same fence from two holders breaks a rule.
   bool Passes(const std::string& subject, std::uint64_t fence, const std::string& holder);
   void TakeUsage(UsageReport report);
 
--- a/lab/system/runner.cpp
+++ b/lab/system/runner.cpp
@@ -106,11 +106,11 @@
     report_to_ = body.at(wire::kReportTo).get<std::string>();
   acknowledged_at_ = loop_->Now();
   if (draining && !drained_at_) drained_at_ = loop_->Now();
-  // A drain that was called for meanwhile goes out at once.
+  // A drain requested in the meantime is reported immediately.
   Beat(draining != draining_ ? 0 : settings_.heartbeat_interval);
 }
 
-// ---- Orders and questions ------------------------------------------------------------------------------
+// ---- Orders and reports --------------------------------------------------------------------------------
 
 void Runner::Handle(const Connection& connection, const HttpMessage& request) {
   if (request.target == wire::kReportPath) {
--- a/lab/system/runner.h
+++ b/lab/system/runner.h
@@ -1,5 +1,5 @@
-// A model runner's stand-in: reports to dispatchers, takes orders, and answers requests as plain bodies or as
-// streams of events with rising ids.
+// Simulated model runner: sends heartbeats to dispatchers, accepts orders, and answers requests with plain
+// bodies or with streams of events with increasing ids.
 #pragma once
 
 #include <cstdint>
@@ -19,25 +19,25 @@
 
 struct RunnerSettings {
   std::string id, service, zone;
-  std::vector<std::string> models;  // held at the start
+  std::vector<std::string> models;  // loaded at the start
   int slots = 16;
   Time heartbeat_interval = 400 * kMillisecond;
   Time event_pause = 20 * kMillisecond;
-  Time drain_bound = kSecond;  // after an acknowledged drain no request may come any more
+  Time drain_bound = kSecond;  // no request may arrive later than this after the drain's acknowledgement
 };
 
 class Runner {
  public:
   Runner(Loop* loop, RunnerSettings settings, Ledger* ledger);
 
-  void Report(std::vector<std::string> control_addresses);  // begins to send heartbeats
-  void Drain(const std::string& control_address);           // the first one that is told
-  void Delete();                                            // the last call before a planned end
-  void Crash();                                             // ends without a word
+  void Report(std::vector<std::string> control_addresses);  // starts the heartbeats
+  void Drain(const std::string& control_address);           // the first dispatcher to be notified
+  void Delete();                                            // deregisters the runner, then stops it
+  void Crash();                                             // stops without deregistering
 
   const RunnerSettings& settings() const { return settings_; }
   std::string address() const;
-  bool acknowledged() const { return acknowledged_at_.has_value(); }  // of any heartbeat yet
+  bool acknowledged() const { return acknowledged_at_.has_value(); }  // of at least one heartbeat
   bool drain_acknowledged() const { return drained_at_.has_value(); }
   std::optional<Time> last_request_at() const { return last_request_at_; }
   Time drained_at() const { return *drained_at_; }
@@ -57,7 +57,7 @@
   void Handle(const Connection& connection, const HttpMessage& request);
   void HandleOrder(const Connection& connection, const HttpMessage& request);
   void Serve(const Connection& connection, const HttpMessage& request);
-  // The status to refuse a request with, which then has not run; none: it is to be run.
+  // The status to refuse a request with before it runs; none if the request is accepted.
   std::optional<int> Refusal(const HttpMessage& request) const;
   void Judge(const HttpMessage& request);
   void Begin(const std::shared_ptr<Answer>& answer);
@@ -70,7 +70,7 @@
   ModelStore models_;
   std::vector<std::string> dispatchers_;
   std::size_t next_dispatcher_ = 0;
-  std::string report_to_;  // named by the last acknowledgement; empty: none
+  std::string report_to_;  // from the last acknowledgement; empty: none
   std::uint64_t call_count_ = 0;
   bool draining_ = false, ended_ = false;
   std::optional<Time> acknowledged_at_, drained_at_, last_request_at_;
--- a/lab/system/runner_answers.cpp
+++ b/lab/system/runner_answers.cpp
@@ -1,4 +1,4 @@
-// The requests that a runner's stand-in serves.
+// Request handling of the simulated runner.
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
@@ -25,7 +25,7 @@
   return number;
 }
 
-// "PROMPT,OUT" names the tokens of the prompt and those of the answer at most.
+// "PROMPT,OUT": the number of prompt tokens and the maximum number of response tokens.
 int EventsWanted(const HttpMessage& request) {
   const std::string counts = HeaderOf(request, wire::kTokenCount);
   const std::size_t comma = counts.find(',');
@@ -61,13 +61,13 @@
 void Runner::Judge(const HttpMessage& request) {
   last_request_at_ = loop_->Now();
   if (drained_at_ && *last_request_at_ > *drained_at_ + settings_.drain_bound)
-    ledger_->Broken(settings_.id + " got a request after the bound of its drain");
+    ledger_->Broken(settings_.id + " received a request after its drain deadline");
   if (request.Header(wire::kAuthorization) != nullptr)
-    ledger_->Broken(settings_.id + " was shown a client's key");
+    ledger_->Broken(settings_.id + " received a client's key");
   if (request.Header(wire::kTenant) == nullptr)
-    ledger_->Broken(settings_.id + " was not told the tenant of a request");
+    ledger_->Broken(settings_.id + " received a request without its tenant");
   if (request.Header(wire::kDeadline) == nullptr)
-    ledger_->Broken(settings_.id + " was not told the deadline of a request");
+    ledger_->Broken(settings_.id + " received a request without its deadline");
 }
 
 void Runner::Serve(const Connection& connection, const HttpMessage& request) {
@@ -89,7 +89,7 @@
   SendEvent(answer);
 }
 
-// The head goes out with the first event, which also tells that the request runs.
+// The head is sent with the first event; it also shows the client that the request is running.
 void Runner::Begin(const std::shared_ptr<Answer>& answer) {
   answer->begun = true;
   ledger_->RunsAt(answer->attempt_id, settings_.id);
--- a/lab/system/sample.h
+++ b/lab/system/sample.h
@@ -1,4 +1,4 @@
-// The configuration that plays and tests of the system begin with.
+// The initial configuration of system runs and tests.
 #pragma once
 
 #include <cstdint>
--- a/lab/system/soak.cpp
+++ b/lab/system/soak.cpp
@@ -15,7 +15,7 @@
 constexpr int kAccepted = 200, kConflict = 412;
 constexpr Time kShortestStep = 30 * kMillisecond, kLongestStep = 700 * kMillisecond;
 constexpr Time kLongestDown = 2 * kSecond;
-constexpr Time kEndSlack = 500 * kMillisecond;  // SIGTERM to end: the grace and this
+constexpr Time kEndSlack = 500 * kMillisecond;  // added to the grace period between SIGTERM and exit
 constexpr Time kRetryChangeAfter = 100 * kMillisecond;
 constexpr Time kChangeTimeout = 15 * kSecond;
 constexpr int kMaxChangesInFlight = 4;
@@ -67,7 +67,7 @@
 
 SoakReport Soak::Play() {
   if (!system_.Found(plan_.timeout)) {
-    Require(false, "not founded and ready in time");
+    Require(false, "the system was not founded and ready in time");
     return report_;
   }
   StartClients();
@@ -92,7 +92,7 @@
   }
 }
 
-// ---- What is done --------------------------------------------------------------------------------------
+// ---- Disturbances --------------------------------------------------------------------------------------
 
 void Soak::Step() {
   const std::uint64_t kind = Draw(100);
@@ -129,7 +129,8 @@
   }));
 }
 
-// One that is up; of the core no more than one is away at a time, so that a majority of the disks is there.
+// Picks a running dispatcher; at most one of the core is down at a time, so that a majority of the disks
+// remains.
 std::optional<std::size_t> Soak::DrawUp(bool spare_core) {
   std::vector<std::size_t> up;
   const bool core_whole = CoreDown() == 0 && !(spare_core && Draw(2) == 0);
@@ -142,7 +143,8 @@
   return up[Draw(up.size())];
 }
 
-// Clients keep the connections that are open until the process is gone; new ones come for a moment longer.
+// Clients keep their open connections until the process exits; connects that have already started still
+// arrive.
 void Soak::Terminate(std::size_t index) {
   const Time now = system_.loop().Now();
   system_.dispatcher(index).Terminate();
@@ -155,7 +157,7 @@
 void Soak::Kill(std::size_t index) {
   const auto front = FrontOf(index);
   if (front) fronts_->Kill(*front);
-  Require(system_.dispatcher(index).Kill(plan_.timeout), "a killed process has ended");
+  Require(system_.dispatcher(index).Kill(plan_.timeout), "a killed process has exited");
   if (front) fronts_->Lose(*front, system_.loop().Now());
   nodes_[index] = {Node::State::kDown, system_.loop().Now() + DrawTime(0, kLongestDown)};
   ++report_.killed;
@@ -171,7 +173,7 @@
   ++report_.reloaded;
 }
 
-// Routes come and go and time-outs change; the three that clients use stay.
+// Adds routes and changes time-outs; the three routes that clients use stay.
 void Soak::ChangeConfiguration() {
   if (changes_in_flight_ >= kMaxChangesInFlight) return;
   const auto pending = std::make_shared<PendingChange>();
@@ -207,8 +209,9 @@
   }
   --changes_in_flight_;
   Require(answer.status == kAccepted || answer.status == kConflict,
-          "edition " + std::to_string(pending->edition) + " got no clear answer in time, or was refused: " +
-              std::to_string(answer.status) + " " + answer.body);
+          "edition " + std::to_string(pending->edition) +
+              " got no conclusive response in time, or was refused: " + std::to_string(answer.status) + " " +
+              answer.body);
   if (answer.status != kAccepted) return;
   ++report_.acknowledged;
   newest_acknowledged_ = std::max(newest_acknowledged_, pending->edition);
@@ -229,7 +232,7 @@
   ++report_.runners_crashed;
 }
 
-// ---- What has to come of it ----------------------------------------------------------------------------
+// ---- Checks --------------------------------------------------------------------------------------------
 
 void Soak::LookAtNodes() {
   const Time now = system_.loop().Now();
@@ -238,16 +241,16 @@
     Dispatcher& dispatcher = system_.dispatcher(index);
     if (node.state == Node::State::kUp) {
       if (dispatcher.Running()) continue;
-      Require(false, dispatcher.name() + " ended by itself: " + dispatcher.LastEnd());
+      Require(false, dispatcher.name() + " exited unexpectedly: " + dispatcher.LastEnd());
       node = {Node::State::kDown, now};
     }
     if (node.state == Node::State::kEnding) {
       if (dispatcher.Running() && now < node.due) continue;
       if (dispatcher.Running()) {
-        Require(false, dispatcher.name() + " has not ended within its grace");
+        Require(false, dispatcher.name() + " has not exited within its grace period");
       } else {
         Require(dispatcher.EndedWell(),
-                dispatcher.name() + " was stopped and ended with " + dispatcher.LastEnd());
+                dispatcher.name() + " was terminated and ended with " + dispatcher.LastEnd());
       }
       if (dispatcher.Running()) Kill(index);
       node = {Node::State::kDown, now + DrawTime(0, kLongestDown)};
@@ -265,18 +268,18 @@
     return std::all_of(nodes_.begin(), nodes_.end(),
                        [](const Node& node) { return node.state == Node::State::kUp; });
   };
-  Require(system_.loop().RunUntil(all_up, plan_.timeout), "all dispatchers are started again");
+  Require(system_.loop().RunUntil(all_up, plan_.timeout), "all dispatchers are restarted");
   Require(system_.WaitReady(plan_.timeout), "all dispatchers are ready again in time");
   const std::uint64_t served = report_.clients.served;
   Require(system_.loop().RunUntil([&] { return report_.clients.served > served + clients_.size(); },
                                   plan_.timeout),
-          "requests are served again after all are back");
+          "requests are served again after all dispatchers are back");
   for (const auto& client : clients_) client->Stop();
   const auto resting = [this] {
     return changes_in_flight_ == 0 && std::all_of(clients_.begin(), clients_.end(),
                                                   [](const auto& client) { return client->Resting(); });
   };
-  Require(system_.loop().RunUntil(resting, plan_.timeout), "what was under way has ended");
+  Require(system_.loop().RunUntil(resting, plan_.timeout), "all requests and changes in flight have ended");
 }
 
 void Soak::JudgeEnd() {
--- a/lab/system/soak.h
+++ b/lab/system/soak.h
@@ -1,5 +1,6 @@
-// A soak of the model router: real dispatchers under drawn series of signals, restarts and changes that
-// overlap, while clients keep their connections. One seed draws one play; what the stand-ins see is judged.
+// Soak test of the model router: real dispatchers under random, overlapping series of signals, restarts and
+// configuration changes, while clients keep their connections open. A seed determines the random choices of a
+// run; what the simulated parts observe is checked against the rules of the protocol.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +20,14 @@
   std::uint64_t seed = 1;
   int clients = 24;
   Time length = 20 * kSecond;
-  Time timeout = 30 * kSecond;  // for what has to come to pass; long, as machines may be busy
+  Time timeout = 30 * kSecond;  // for each awaited condition; long because the machine may be busy
 };
 
 struct SoakReport {
   KeptClientFigures clients;
   int terminated = 0, killed = 0, reloaded = 0, changes = 0, acknowledged = 0, runners_drained = 0,
       runners_crashed = 0;
-  std::vector<std::string> broken;  // rules, one line each
+  std::vector<std::string> broken;  // broken rules, one line each
 };
 
 class Soak {
@@ -38,12 +39,12 @@
   std::string Logs() const { return system_.Logs(); }
 
  private:
-  // What the soak has done to a dispatcher, so that nothing else may have ended it.
+  // The state that the soak has put a dispatcher into; any other exit of the process is a failure.
   struct Node {
     enum class State { kUp, kEnding, kDown } state = State::kUp;
-    Time due = 0;  // kEnding: SIGKILL would come; kDown: it is started again
+    Time due = 0;  // kEnding: deadline before SIGKILL; kDown: time of the restart
   };
-  // One change of the configuration on its way; the same call goes out until there is a clear answer.
+  // One configuration change in flight; the same call is retried until a response is conclusive.
   struct PendingChange {
     std::int64_t edition = 0;
     Change change;
@@ -54,7 +55,7 @@
   void StartClients();
   void Step();
   void LookAtNodes();
-  // Of a dispatcher, in the directory of those that serve clients; none where it does not.
+  // The index of a dispatcher in the front directory; none if it serves no clients.
   std::optional<std::size_t> FrontOf(std::size_t index);
   std::optional<std::size_t> DrawUp(bool spare_core);
   std::size_t CoreDown() const;
--- a/lab/system/soak_main.cpp
+++ b/lab/system/soak_main.cpp
@@ -1,5 +1,5 @@
-// lichenlug-lab-soak: plays drawn series of signals, restarts and changes against real dispatchers on
-// loopback, one seed after another. Ends with 0 if no rule was broken.
+// lichenlug-lab-soak: runs random series of signals, restarts and configuration changes against real
+// dispatchers on loopback, one seed after another. Exits with 0 if no rule was broken.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -27,25 +27,28 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("lichenlug-lab-soak: drawn series of signals, restarts and changes against real dispatchers");
+  CLI::App app("lichenlug-lab-soak: random signals, restarts and changes against real dispatchers");
   SoakPlan plan;
   plan.system.program = LICHENLUGD_PATH;
   std::uint64_t first_seed = 1;
   int seeds = 1;
   double seconds = 20;
   std::string log_folder;
-  app.add_option("--program", plan.system.program, "The dispatcher's program")->capture_default_str();
+  app.add_option("--program", plan.system.program, "Path of the dispatcher program")->capture_default_str();
   app.add_option("--seed", first_seed, "The first seed")->capture_default_str();
-  app.add_option("--seeds", seeds, "How many seeds, one after another")->capture_default_str();
-  app.add_option("--seconds", seconds, "How long a play is disturbed")->capture_default_str();
-  app.add_option("--core", plan.system.core, "Dispatchers with disks")->capture_default_str();
-  app.add_option("--diskless", plan.system.diskless, "Dispatchers without")->capture_default_str();
-  app.add_flag("!--core-apart", plan.system.core_serves_clients, "Those with disks serve no clients");
+  app.add_option("--seeds", seeds, "Number of seeds, run one after another")->capture_default_str();
+  app.add_option("--seconds", seconds, "Duration of the disturbances of each seed in seconds")
+      ->capture_default_str();
+  app.add_option("--core", plan.system.core, "Number of dispatchers with disks")->capture_default_str();
+  app.add_option("--diskless", plan.system.diskless, "Number of dispatchers without disks")
+      ->capture_default_str();
+  app.add_flag("!--core-apart", plan.system.core_serves_clients, "Dispatchers with disks serve no clients");
   app.add_option("--tolerated", plan.system.tolerated_losses, "Disks that may be lost at once")
       ->capture_default_str();
-  app.add_option("--runners", plan.system.runners, "Runners")->capture_default_str();
-  app.add_option("--clients", plan.clients, "Clients, a connection each")->capture_default_str();
-  app.add_option("--logs", log_folder, "A folder for the logs of plays that break a rule");
+  app.add_option("--runners", plan.system.runners, "Number of runners")->capture_default_str();
+  app.add_option("--clients", plan.clients, "Number of clients, each with one connection")
+      ->capture_default_str();
+  app.add_option("--logs", log_folder, "Directory for the logs of seeds that break a rule");
   CLI11_PARSE(app, argc, argv);
   plan.length = static_cast<lichenlug::Time>(seconds * lichenlug::kSecond);
   int failed = 0;
--- a/lab/system/system.cpp
+++ b/lab/system/system.cpp
@@ -19,7 +19,7 @@
 constexpr Time kEndTimeout = 5 * kSecond;
 const std::vector<std::string> kZones = {"east", "west"};
 
-// A network of 127.0.0.0/8 that no other play on this machine uses: plays run side by side.
+// A network of 127.0.0.0/8 that no other run on this machine uses: runs may be concurrent.
 std::string OwnNetwork() {
   constexpr int kNumbers = 250;
   static int plays = 0;
@@ -30,7 +30,8 @@
 
 std::filesystem::path OwnFolder() {
   std::string pattern = (std::filesystem::temp_directory_path() / "lichenlug-system-XXXXXX").string();
-  if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder: " + pattern);
+  if (mkdtemp(pattern.data()) == nullptr)
+    throw std::runtime_error("can't create a temporary directory: " + pattern);
   return pattern;
 }
 
@@ -121,7 +122,7 @@
   return status.is_object() && status.value("ready", false);
 }
 
-// The ingress may not have noticed yet that a dispatcher was away, so each is asked first.
+// The ingress may not have noticed yet that a dispatcher was down, so the status of each is polled first.
 bool System::WaitReady(Time timeout) {
   const Time deadline = loop_.Now() + timeout;
   for (std::size_t index = 0; index < dispatchers_.size(); ++index) {
--- a/lab/system/system.h
+++ b/lab/system/system.h
@@ -1,5 +1,5 @@
-// A small system on loopback: real dispatchers, and stand-ins of runners, platform, operator and clients, all
-// in a temporary folder that goes with it.
+// A small system on loopback: real dispatchers with simulated runners, platform, operator and clients. Its
+// files are in a temporary directory that is removed with it.
 #pragma once
 
 #include <filesystem>
@@ -23,8 +23,8 @@
   std::filesystem::path program;  // lichenlugd
   int core = 3;                   // dispatchers with disks
   int diskless = 1;
-  bool core_serves_clients = true;  // false: machines with a disk have no address for clients
-  int tolerated_losses = 1;         // of disks at once
+  bool core_serves_clients = true;  // false: dispatchers with a disk have no client address
+  int tolerated_losses = 1;         // simultaneous losses of disks
   int runners = 6;
   DeploymentTimes times;
 };
@@ -34,18 +34,19 @@
   explicit System(const SystemPlan& plan);
   ~System();
 
-  // Starts all, the runners too, and has the first configuration taken. False: not ready everywhere in time.
+  // Starts the dispatchers and runners and sends the first configuration. False: not all were ready in time.
   bool Found(Time timeout);
-  void StartDispatchers();  // their first start
+  void StartDispatchers();  // with `first_run` set
   void StartRunners();
   bool TakeFirstConfiguration(Time timeout);
-  // Every dispatcher is ready and every runner's heartbeat acknowledged.
+  // Waits until every dispatcher is ready and has passed its probe, and every runner's heartbeat is
+  // acknowledged.
   bool WaitReady(Time timeout);
   bool SaysReady(std::size_t dispatcher);
-  // Until the edition is in force at each running dispatcher.
+  // Waits until the edition is in force at each running dispatcher.
   bool WaitEdition(std::int64_t edition, Time timeout);
 
-  nlohmann::json Status(std::size_t dispatcher);  // null: no answer
+  nlohmann::json Status(std::size_t dispatcher);  // null: no response
   std::string Logs() const;                       // of all dispatchers
 
   Loop& loop() { return loop_; }
--- a/lab/system/wire_words.h
+++ b/lab/system/wire_words.h
@@ -1,5 +1,6 @@
-// The words that the stand-ins speak on the wire: headers, paths and keys of JSON bodies. They stand here and
-// nowhere else, apart from the program's own, so that an error there is not repeated here.
+// The protocol constants of the simulated parts: headers, paths and keys of JSON bodies. They are
+// deliberately not shared with the program under test, so that an error in its constants is not repeated
+// here.
 #pragma once
 
 namespace lichenlug::standins::wire {
@@ -39,7 +40,7 @@
 inline constexpr char kStatusPath[] = "/-/status";
 inline constexpr char kUsagePath[] = "/usage";
 
-// Keys that several bodies have.
+// Keys used by several bodies.
 inline constexpr char kAdapter[] = "adapter";
 inline constexpr char kAdapters[] = "adapters";
 inline constexpr char kCallCount[] = "call_count";
