--- a/lab/system/answer_check.cpp
+++ b/lab/system/answer_check.cpp
@@ -3,15 +3,16 @@
 namespace lichenlug::standins {
 
 void AnswerCheck::Feed(std::string_view bytes) {
-  const std::string end = stream_ ? "\n\n" : "\n";
-  held_.append(bytes);
-  for (std::size_t at = held_.find(end); at != std::string::npos; at = held_.find(end)) {
-    Item(held_.substr(0, at));
-    held_.erase(0, at + end.size());
+  const std::string separator = stream_ ? "\n\n" : "\n";
+  buffer_.append(bytes);
+  for (std::size_t position = buffer_.find(separator); position != std::string::npos;
+       position = buffer_.find(separator)) {
+    CheckItem(buffer_.substr(0, position));
+    buffer_.erase(0, position + separator.size());
   }
 }
 
-void AnswerCheck::Item(const std::string& text) {
+void AnswerCheck::CheckItem(const std::string& text) {
   const std::string number = std::to_string(last_item_ + 1);
   const std::string data = number + " of " + attempt_id_;
   const std::string expected = stream_ ? "id: " + number + "\ndata: " + data : data;
--- a/lab/system/answer_check.h
+++ b/lab/system/answer_check.h
@@ -18,12 +18,12 @@
   const std::string& problem() const { return problem_; }  // of the first mismatch; empty if none
 
  private:
-  void Item(const std::string& text);
+  void CheckItem(const std::string& text);
 
   bool stream_;
   std::string attempt_id_;
   int last_item_;
-  std::string held_, problem_;
+  std::string buffer_, problem_;
 };
 
 }  // namespace lichenlug::standins
--- a/lab/system/clients.h
+++ b/lab/system/clients.h
@@ -27,8 +27,8 @@
   std::string path, model, key;
   int events = 10;
   Time deadline = 10 * kSecond;
-  bool impatient = false;          // retries without a delay
-  std::string front_address = {};  // empty: the ingress selects the dispatcher
+  bool retries_immediately = false;  // retries without a delay
+  std::string front_address = {};    // empty: the ingress selects the dispatcher
 };
 
 // The outcome of one request.
@@ -59,22 +59,22 @@
 
  private:
   struct Exchange;
-  using Handle = std::shared_ptr<Exchange>;
+  using ExchangePtr = std::shared_ptr<Exchange>;
 
-  void Try(const Handle& exchange);
-  void TryLater(const Handle& exchange, Time pause);
-  void Connect(const Handle& exchange, const std::string& address);
-  void Write(const Handle& exchange);
-  void Head(const Handle& exchange, const HttpMessage& head);
-  void Whole(const Handle& exchange, const HttpMessage& answer);
-  void Broke(const Handle& exchange);
-  void End(const Handle& exchange, ClientResult::Outcome outcome);
+  void StartAttempt(const ExchangePtr& exchange);
+  void ScheduleRetry(const ExchangePtr& exchange, Time delay);
+  void Connect(const ExchangePtr& exchange, const std::string& address);
+  void SendRequest(const ExchangePtr& exchange);
+  void OnResponseHead(const ExchangePtr& exchange, const HttpMessage& head);
+  void OnResponse(const ExchangePtr& exchange, const HttpMessage& answer);
+  void OnDisconnect(const ExchangePtr& exchange);
+  void Finish(const ExchangePtr& exchange, ClientResult::Outcome outcome);
 
   Loop* loop_;
   Ingress* ingress_;
   Ledger* ledger_;
   std::uint64_t next_id_;
-  std::set<Handle> in_flight_;
+  std::set<ExchangePtr> in_flight_;
   ClientFigures figures_;
   bool stopped_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/lab/system/demo.cpp
+++ b/lab/system/demo.cpp
@@ -16,21 +16,22 @@
 using lichenlug::Time;
 
 constexpr Time kStartTimeout = 20 * kSecond, kTimeout = 10 * kSecond;
-constexpr std::size_t kLost = 1, kDrained = 2;  // indexes of the killed dispatcher and of the drained runner
-constexpr int kStreamsOfEachKind = 8;
+constexpr std::size_t kKilledDispatcher = 1,
+                      kDrainedRunner = 2;  // indexes of the killed dispatcher and of the drained runner
+constexpr int kRequestsOfEachKind = 8;
 
 class Demo {
  public:
-  explicit Demo(const SystemPlan& plan) : system_(plan), began_(system_.loop().Now()) {}
+  explicit Demo(const SystemPlan& plan) : system_(plan), started_at_(system_.loop().Now()) {}
 
-  int Play(Time length) {
-    Found();
+  int Run(Time length) {
+    StartSystem();
     system_.clients().KeepUp(Requests());
     const Time part = length / 5;
-    Phase(part, "clients keep 24 requests in flight: plain requests, streams, resumable streams");
-    LoseDispatcher(part);
+    RunPhase(part, "clients keep 24 requests in flight: plain requests, streams, resumable streams");
+    KillDispatcher(part);
     DrainRunner();
-    Phase(2 * part, "requests continue without that runner");
+    RunPhase(2 * part, "requests continue without that runner");
     system_.clients().StopNew();
     Require(system_.loop().RunUntil([&] { return system_.clients().in_flight() == 0; }, kTimeout),
             "all requests in flight have ended");
@@ -38,31 +39,31 @@
   }
 
  private:
-  void Say(const std::string& line) {
-    const double at = static_cast<double>(system_.loop().Now() - began_) / kSecond;
+  void Log(const std::string& line) {
+    const double at = static_cast<double>(system_.loop().Now() - started_at_) / kSecond;
     std::printf("%6.2f s  %s\n", at, line.c_str());
     std::fflush(stdout);
   }
 
   void Require(bool holds, const std::string& what) {
-    if (holds) return Say(what);
+    if (holds) return Log(what);
     std::fputs(system_.Logs().c_str(), stderr);
     throw std::runtime_error("timed out: " + what);
   }
 
-  void Phase(Time length, const std::string& what) {
+  void RunPhase(Time length, const std::string& what) {
     const ClientFigures before = system_.clients().figures();
-    Say(what);
+    Log(what);
     system_.loop().RunFor(length);
     const ClientFigures& now = system_.clients().figures();
-    Say("  in this phase: " + std::to_string(now.served - before.served) + " served, " +
+    Log("  in this phase: " + std::to_string(now.served - before.served) + " served, " +
         std::to_string(now.refused - before.refused) + " refused, " +
         std::to_string(now.cut - before.cut + now.failed - before.failed) + " cut or failed, " +
         std::to_string(now.resumed - before.resumed) + " resumed");
   }
 
-  void Found() {
-    Say("starting three dispatchers with disks, one without, and the runners");
+  void StartSystem() {
+    Log("starting three dispatchers with disks, one without, and the runners");
     system_.StartDispatchers();
     system_.StartRunners();
     Require(system_.TakeFirstConfiguration(kStartTimeout), "the first configuration is accepted");
@@ -71,7 +72,7 @@
 
   static std::vector<ClientRequest> Requests() {
     std::vector<ClientRequest> requests;
-    for (int number = 0; number < kStreamsOfEachKind; ++number) {
+    for (int number = 0; number < kRequestsOfEachKind; ++number) {
       for (const auto& [kind, path] : {std::pair{ClientKind::kPlain, sample::kPlainPath},
                                        {ClientKind::kStream, sample::kStreamPath},
                                        {ClientKind::kResumable, sample::kResumePath}}) {
@@ -87,17 +88,17 @@
     return requests;
   }
 
-  void LoseDispatcher(Time away) {
-    Dispatcher& lost = system_.dispatcher(kLost);
-    Require(lost.Kill(kTimeout), lost.name() + " is killed");
-    Phase(away, "the remaining dispatchers serve without it");
-    lost.Start();
-    Say(lost.name() + " is restarted");
-    Require(system_.WaitReady(kTimeout), lost.name() + " is ready again");
+  void KillDispatcher(Time downtime) {
+    Dispatcher& killed = system_.dispatcher(kKilledDispatcher);
+    Require(killed.Kill(kTimeout), killed.name() + " is killed");
+    RunPhase(downtime, "the remaining dispatchers serve without it");
+    killed.Start();
+    Log(killed.name() + " is restarted");
+    Require(system_.WaitReady(kTimeout), killed.name() + " is ready again");
   }
 
   void DrainRunner() {
-    Runner& runner = system_.runner(kDrained);
+    Runner& runner = system_.runner(kDrainedRunner);
     runner.Drain(system_.dispatcher(0).control_address());
     Require(system_.loop().RunUntil([&] { return runner.drain_acknowledged(); }, kTimeout),
             "the drain of " + runner.settings().id + " is acknowledged by " + system_.dispatcher(0).name());
@@ -125,7 +126,7 @@
   }
 
   System system_;
-  Time began_;
+  Time started_at_;
 };
 
 }  // namespace
@@ -142,7 +143,7 @@
       ->check(CLI::Range(3, 100));
   CLI11_PARSE(app, argc, argv);
   try {
-    return Demo(plan).Play(static_cast<Time>(seconds * kSecond));
+    return Demo(plan).Run(static_cast<Time>(seconds * kSecond));
   } catch (const std::exception& error) {
     std::cerr << "lichenlug-lab-system: " << error.what() << '\n';
     return 1;
--- a/lab/system/dispatcher.cpp
+++ b/lab/system/dispatcher.cpp
@@ -20,15 +20,15 @@
 constexpr int kFirstInternalPort = 7660, kLastInternalPort = 7675;
 constexpr char kSettingsVariable[] = "LICHENLUG_BOOT";
 
-std::string At(const std::string& ip, int port) { return ip + ":" + std::to_string(port); }
+std::string JoinAddress(const std::string& ip, int port) { return ip + ":" + std::to_string(port); }
 
 void WriteFile(const std::filesystem::path& path, const std::string& text) {
-  const std::filesystem::path fresh = path.string() + ".new";
-  std::ofstream(fresh, std::ios::trunc) << text;
-  std::filesystem::rename(fresh, path);
+  const std::filesystem::path temporary = path.string() + ".new";
+  std::ofstream(temporary, std::ios::trunc) << text;
+  std::filesystem::rename(temporary, path);
 }
 
-Json TimesJson(const DeploymentTimes& times) {
+Json DeploymentTimesToJson(const DeploymentTimes& times) {
   return {{"seed_lag_s", 1},
           {"contact_ms", 3000},
           {"receipt_ms", 4000},
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-std::string ControlAddress(const std::string& ip) { return At(ip, kControlPort); }
+std::string ControlAddress(const std::string& ip) { return JoinAddress(ip, kControlPort); }
 
 Dispatcher::Dispatcher(Loop* loop, std::filesystem::path program, std::filesystem::path folder,
                        DispatcherSettings settings)
@@ -58,10 +58,10 @@
   std::filesystem::create_directories(store_folder());
 }
 
-std::string Dispatcher::front_address() const { return At(settings_.ip, kFrontPort); }
-std::string Dispatcher::ready_address() const { return At(settings_.ip, kReadyPort); }
+std::string Dispatcher::front_address() const { return JoinAddress(settings_.ip, kFrontPort); }
+std::string Dispatcher::ready_address() const { return JoinAddress(settings_.ip, kReadyPort); }
 std::string Dispatcher::control_address() const { return ControlAddress(settings_.ip); }
-std::string Dispatcher::internal_address() const { return At(settings_.ip, kFirstInternalPort); }
+std::string Dispatcher::internal_address() const { return JoinAddress(settings_.ip, kFirstInternalPort); }
 
 std::string Dispatcher::SettingsText(bool first_run) const {
   Json settings{
@@ -80,7 +80,7 @@
       {"regulations_in_force",
        {"base", "drain", "config", "retry", "recover", "fleet", "stream", "engine", "tenants"}},
       {"tolerated_losses", {{"machines", settings_.tolerated_losses}, {"zones", 0}, {"regions", 0}}},
-      {"timetable", TimesJson(settings_.times)},
+      {"timetable", DeploymentTimesToJson(settings_.times)},
       {"carrier_api", {{"address", settings_.platform_address}, {"duties", {"usage", "fleet"}}}}};
   if (settings_.serves_clients) {
     settings["serves"].push_back("front");
--- a/lab/system/http_call.cpp
+++ b/lab/system/http_call.cpp
@@ -6,23 +6,23 @@
 
 namespace {
 
-constexpr std::size_t kMaxAnswer = 1 << 20;
+constexpr std::size_t kMaxResponseBytes = 1 << 20;
 
 struct Pending {
   Pending(asio::io_context& io, std::function<void(HttpMessage)> on_done)
       : timer(io), done(std::move(on_done)) {
     HttpOptions options;
-    options.max_body = kMaxAnswer;
+    options.max_body = kMaxResponseBytes;
     connection =
         std::make_shared<HttpConnection>(asio::ip::tcp::socket(io), HttpConnection::Side::kClient, options);
   }
 
   void Finish(HttpMessage answer) {
     if (!done) return;
-    const auto told = std::exchange(done, nullptr);
+    const auto callback = std::exchange(done, nullptr);
     timer.cancel();
     connection->Close();
-    told(std::move(answer));
+    callback(std::move(answer));
   }
 
   std::shared_ptr<HttpConnection> connection;
--- a/lab/system/ingress.cpp
+++ b/lab/system/ingress.cpp
@@ -9,54 +9,54 @@
 
 namespace {
 
-constexpr auto kPollInterval = std::chrono::seconds(1);
-constexpr Time kTimeout = 900 * kMillisecond;
-constexpr int kMissesOut = 2;
+constexpr auto kProbeInterval = std::chrono::seconds(1);
+constexpr Time kProbeTimeout = 900 * kMillisecond;
+constexpr int kMaxConsecutiveFailures = 2;
 
 }  // namespace
 
 Ingress::Ingress(Loop* loop, std::vector<Dispatcher> dispatchers)
     : loop_(loop), dispatchers_(std::move(dispatchers)), timer_(loop->io()) {
-  Ask();
+  ProbeAll();
 }
 
 std::string Ingress::Next() {
   for (std::size_t tried = 0; tried < dispatchers_.size(); ++tried) {
-    const Dispatcher& dispatcher = dispatchers_[turn_++ % dispatchers_.size()];
-    if (dispatcher.in) return dispatcher.front_address;
+    const Dispatcher& dispatcher = dispatchers_[next_index_++ % dispatchers_.size()];
+    if (dispatcher.ready) return dispatcher.front_address;
   }
   return "";
 }
 
-bool Ingress::AllIn() const {
+bool Ingress::AllReady() const {
   for (const Dispatcher& dispatcher : dispatchers_)
-    if (!dispatcher.in) return false;
+    if (!dispatcher.ready) return false;
   return true;
 }
 
-void Ingress::Ask() {
+void Ingress::ProbeAll() {
   for (std::size_t index = 0; index < dispatchers_.size(); ++index) {
     HttpCall call;
     call.path = wire::kReadyPath;
-    call.timeout = kTimeout;
+    call.timeout = kProbeTimeout;
     Call(loop_->io(), dispatchers_[index].ready_address, call,
          [this, alive = std::weak_ptr(alive_), index](const HttpMessage& answer) {
-           if (!alive.expired()) Answered(index, answer.status);
+           if (!alive.expired()) OnProbeResponse(index, answer.status);
          });
   }
-  timer_.expires_after(kPollInterval);
+  timer_.expires_after(kProbeInterval);
   timer_.async_wait([this](std::error_code error) {
-    if (!error) Ask();
+    if (!error) ProbeAll();
   });
 }
 
-void Ingress::Answered(std::size_t index, int status) {
+void Ingress::OnProbeResponse(std::size_t index, int status) {
   Dispatcher& dispatcher = dispatchers_[index];
   if (status == 200) {
-    dispatcher.misses = 0;
-    dispatcher.in = true;
-  } else if (++dispatcher.misses >= kMissesOut) {
-    dispatcher.in = false;
+    dispatcher.consecutive_failures = 0;
+    dispatcher.ready = true;
+  } else if (++dispatcher.consecutive_failures >= kMaxConsecutiveFailures) {
+    dispatcher.ready = false;
   }
 }
 
--- a/lab/system/ingress.h
+++ b/lab/system/ingress.h
@@ -15,23 +15,23 @@
  public:
   struct Dispatcher {
     std::string ready_address, front_address;
-    int misses = 0;
-    bool in = false;  // receives new connections
+    int consecutive_failures = 0;
+    bool ready = false;  // receives new connections
   };
 
   Ingress(Loop* loop, std::vector<Dispatcher> dispatchers);
 
   std::string Next();  // front address by round robin; empty if no dispatcher is ready
-  bool AllIn() const;
+  bool AllReady() const;
   const std::vector<Dispatcher>& dispatchers() const { return dispatchers_; }
 
  private:
-  void Ask();
-  void Answered(std::size_t index, int status);
+  void ProbeAll();
+  void OnProbeResponse(std::size_t index, int status);
 
   Loop* loop_;
   std::vector<Dispatcher> dispatchers_;
-  std::size_t turn_ = 0;
+  std::size_t next_index_ = 0;
   asio::steady_timer timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/lab/system/loop.h
+++ b/lab/system/loop.h
@@ -22,20 +22,20 @@
   bool RunUntil(const Condition& condition, Time timeout) {
     const Time deadline = Now() + timeout;
     while (!condition()) {
-      const Time left = deadline - Now();
-      if (left <= 0) return false;
+      const Time remaining = deadline - Now();
+      if (remaining <= 0) return false;
       if (io_.stopped()) io_.restart();
-      io_.run_one_for(std::chrono::microseconds(std::min(left, kLongestStep)));
+      io_.run_one_for(std::chrono::microseconds(std::min(remaining, kMaxStep)));
     }
     return true;
   }
 
-  void RunFor(Time span) {
-    RunUntil([] { return false; }, span);
+  void RunFor(Time duration) {
+    RunUntil([] { return false; }, duration);
   }
 
  private:
-  static constexpr Time kLongestStep = 10 * kMillisecond;  // conditions also poll processes and files
+  static constexpr Time kMaxStep = 10 * kMillisecond;  // conditions also poll processes and files
 
   asio::io_context io_;
   Clock clock_;
--- a/lab/system/model_store.h
+++ b/lab/system/model_store.h
@@ -20,7 +20,7 @@
   // "MODEL" or "MODEL/ADAPTER".
   bool Holds(const std::string& name) const;
   bool busy() const { return busy_; }
-  std::uint64_t orders_taken() const { return orders_taken_; }
+  std::uint64_t accepted_orders() const { return accepted_orders_; }
   nlohmann::json ToJson() const;  // the field `models` of a report
 
   // Handles an order and returns the HTTP status of the response.
@@ -31,10 +31,10 @@
 
   std::string runner_id_;
   Ledger* ledger_;
-  std::map<std::string, std::set<std::string>> held_;  // adapters by model
+  std::map<std::string, std::set<std::string>> models_;  // adapters by model
   std::uint64_t highest_fence_ = 0;
   std::string highest_holder_;
-  std::uint64_t orders_taken_ = 0;
+  std::uint64_t accepted_orders_ = 0;
   bool busy_ = false;
   asio::steady_timer timer_;
 };
--- a/lab/system/operator.cpp
+++ b/lab/system/operator.cpp
@@ -10,10 +10,10 @@
 
 using Json = nlohmann::json;
 
-constexpr Time kFirstPause = 50 * kMillisecond, kLongestPause = 400 * kMillisecond;
+constexpr Time kInitialBackoff = 50 * kMillisecond, kMaxBackoff = 400 * kMillisecond;
 
 // Whether the call has to be retried: its effect is unknown or the dispatcher is overloaded.
-bool IsUnclear(int status) { return status == 0 || status >= 500 || status == 408 || status == 429; }
+bool IsInconclusive(int status) { return status == 0 || status >= 500 || status == 408 || status == 429; }
 
 HttpCall ToCall(const Change& change) {
   HttpCall call;
@@ -41,10 +41,11 @@
 HttpMessage Operator::Send(const Change& change, Time timeout) {
   const Time deadline = loop_->Now() + timeout;
   HttpMessage answer;
-  for (Time pause = kFirstPause; loop_->Now() < deadline; pause = std::min(2 * pause, kLongestPause)) {
-    answer = SendTo(addresses_[turn_++ % addresses_.size()], change);
-    if (!IsUnclear(answer.status)) break;
-    loop_->RunFor(pause);
+  for (Time backoff = kInitialBackoff; loop_->Now() < deadline;
+       backoff = std::min(2 * backoff, kMaxBackoff)) {
+    answer = SendTo(addresses_[next_index_++ % addresses_.size()], change);
+    if (!IsInconclusive(answer.status)) break;
+    loop_->RunFor(backoff);
   }
   return answer;
 }
@@ -59,9 +60,9 @@
 Json Operator::Read(Time timeout) {
   const Time deadline = loop_->Now() + timeout;
   while (loop_->Now() < deadline) {
-    const Json configuration = ReadFrom(addresses_[turn_++ % addresses_.size()]);
+    const Json configuration = ReadFrom(addresses_[next_index_++ % addresses_.size()]);
     if (configuration.is_object()) return configuration;
-    loop_->RunFor(kFirstPause);
+    loop_->RunFor(kInitialBackoff);
   }
   return {};
 }
--- a/lab/system/operator.h
+++ b/lab/system/operator.h
@@ -36,7 +36,7 @@
  private:
   Loop* loop_;
   std::vector<std::string> addresses_;
-  std::size_t turn_ = 0;
+  std::size_t next_index_ = 0;
 };
 
 }  // namespace lichenlug::standins
--- a/lab/system/kept_client.h
+++ b/lab/system/persistent_client.h
@@ -23,9 +23,9 @@
  public:
   struct Front {
     std::string address;
-    bool open = true;    // accepts new connections
-    bool dying = false;  // killed, exit not yet seen: a thread in a disk sync delays it
-    Time lost_at = -1;   // when the killed process had exited; -1: never
+    bool open = true;           // accepts new connections
+    bool kill_pending = false;  // killed, exit not yet seen: a thread in a disk sync delays it
+    Time lost_at = -1;          // when the killed process had exited; -1: never
   };
 
   explicit FrontDirectory(std::vector<std::string> addresses);
@@ -34,43 +34,43 @@
   const Front& front(std::size_t index) const { return fronts_[index]; }
   void Open(std::size_t index) { fronts_[index].open = true; }
   void Close(std::size_t index) { fronts_[index].open = false; }
-  void Kill(std::size_t index);
-  void Lose(std::size_t index, Time now);  // the process has exited
+  void MarkKilled(std::size_t index);
+  void MarkLost(std::size_t index, Time now);  // the process has exited
 
  private:
   std::vector<Front> fronts_;
 };
 
-struct KeptClientFigures {
+struct PersistentClientFigures {
   std::uint64_t sent = 0, served = 0, refused = 0, failed = 0, lost_with_dispatcher = 0, lost_with_runner = 0,
-                crossed = 0;
+                raced_with_close = 0;
 };
 
-class KeptClient {
+class PersistentClient {
  public:
   // The pointers must outlive the client. Each request is picked from `requests` at random, seeded by `seed`.
-  KeptClient(Loop* loop, FrontDirectory* fronts, Ledger* ledger, KeptClientFigures* figures,
-             std::vector<ClientRequest> requests, std::uint64_t seed);
-  ~KeptClient();
+  PersistentClient(Loop* loop, FrontDirectory* fronts, Ledger* ledger, PersistentClientFigures* figures,
+                   std::vector<ClientRequest> requests, std::uint64_t seed);
+  ~PersistentClient();
 
   void Start();
   void Stop();  // after the request in flight
-  bool Resting() const { return !in_flight_; }
+  bool IsIdle() const { return !in_flight_; }
 
  private:
   void Connect();
-  void SendLater();
+  void ScheduleSend();
   void Send();
-  void Answered(const HttpMessage& answer);
-  void Ended();
-  void JudgeCut();
-  bool LostWithDispatcher() const;
-  std::size_t DrawFront();
+  void OnResponse(const HttpMessage& answer);
+  void OnDisconnect();
+  void CheckInterruption();
+  bool WasLostWithDispatcher() const;
+  std::size_t PickFront();
 
   Loop* loop_;
   FrontDirectory* fronts_;
   Ledger* ledger_;
-  KeptClientFigures* figures_;
+  PersistentClientFigures* figures_;
   const std::vector<ClientRequest> requests_;
   std::mt19937_64 random_;
   std::size_t front_ = 0;
@@ -80,7 +80,7 @@
   int events_ = 0;
   std::unique_ptr<AnswerCheck> check_;  // of the 2xx response in progress
   std::shared_ptr<HttpConnection> connection_;
-  asio::steady_timer pause_;
+  asio::steady_timer delay_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/lab/system/platform.cpp
+++ b/lab/system/platform.cpp
@@ -37,22 +37,23 @@
   return sum;
 }
 
-bool Platform::Passes(const std::string& subject, std::uint64_t fence, const std::string& holder) {
+bool Platform::AcceptFence(const std::string& subject, std::uint64_t fence, const std::string& holder) {
   Fence& highest = fences_[subject];
   if (fence < highest.number) {
     ++fenced_off_;
     return false;
   }
   if (fence == highest.number && !highest.holder.empty() && highest.holder != holder)
-    ledger_->Broken(subject + ": fence " + std::to_string(fence) + " is used by two holders");
+    ledger_->RecordViolation(subject + ": fence " + std::to_string(fence) + " is used by two holders");
   highest = {fence, holder};
   return true;
 }
 
-void Platform::TakeUsage(UsageReport report) {
-  for (const UsageReport& before : usage_) {
-    if (before.window == report.window && before.tallies != report.tallies)
-      ledger_->Broken("usage of window " + std::to_string(report.window) + " was reported with two counts");
+void Platform::RecordUsage(UsageReport report) {
+  for (const UsageReport& earlier : usage_) {
+    if (earlier.window == report.window && earlier.tallies != report.tallies)
+      ledger_->RecordViolation("usage of window " + std::to_string(report.window) +
+                               " was reported with two counts");
   }
   usage_.push_back(std::move(report));
 }
@@ -62,20 +63,21 @@
   const std::string fence = HeaderOf(request, wire::kDutyFence);
   const std::string holder = HeaderOf(request, wire::kDutyHolder);
   if (!body.is_object() || fence.empty() || holder.empty()) {
-    ledger_->Broken("the platform received a call without a holder, a fence or a body: " + request.target);
+    ledger_->RecordViolation("the platform received a call without a holder, a fence or a body: " +
+                             request.target);
     return lab::Reply(connection, 400, "");
   }
   const std::uint64_t number = std::stoull(fence);
   if (request.target == wire::kUsagePath) {
-    if (!Passes("usage", number, holder)) return lab::Reply(connection, 409, "");
+    if (!AcceptFence("usage", number, holder)) return lab::Reply(connection, 409, "");
     UsageReport report{body.at(wire::kWindow).get<std::int64_t>(), {}, holder, number};
     for (const auto& [tenant, count] : body.at(wire::kTallies).items())
       report.tallies[tenant] = count.get<std::uint64_t>();
-    TakeUsage(std::move(report));
+    RecordUsage(std::move(report));
   } else if (request.target == wire::kFleetPath) {
     FleetOrder order{body.at(wire::kService).get<std::string>(), body.at(wire::kZone).get<std::string>(),
                      body.at("fleet_size").get<int>(), holder, number};
-    if (!Passes("fleet " + order.service + " " + order.zone, number, holder))
+    if (!AcceptFence("fleet " + order.service + " " + order.zone, number, holder))
       return lab::Reply(connection, 409, "");
     fleet_.push_back(std::move(order));
   } else {
--- a/lab/system/platform.h
+++ b/lab/system/platform.h
@@ -44,8 +44,8 @@
 
   void Handle(const lab::HttpServer::Connection& connection, const HttpMessage& request);
   // Whether a call with this fence is accepted; the same fence from two holders breaks a rule.
-  bool Passes(const std::string& subject, std::uint64_t fence, const std::string& holder);
-  void TakeUsage(UsageReport report);
+  bool AcceptFence(const std::string& subject, std::uint64_t fence, const std::string& holder);
+  void RecordUsage(UsageReport report);
 
   Ledger* ledger_;
   std::map<std::string, Fence> fences_;  // by duty and subject
--- a/lab/system/runner.cpp
+++ b/lab/system/runner.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-constexpr Time kRetryHeartbeatAfter = 50 * kMillisecond;
+constexpr Time kHeartbeatRetryDelay = 50 * kMillisecond;
 
 }  // namespace
 
@@ -30,15 +30,15 @@
 
 // ---- Heartbeats ----------------------------------------------------------------------------------------
 
-void Runner::Report(std::vector<std::string> control_addresses) {
+void Runner::StartHeartbeats(std::vector<std::string> control_addresses) {
   dispatchers_ = std::move(control_addresses);
-  Beat(0);
+  ScheduleHeartbeat(0);
 }
 
 void Runner::Drain(const std::string& control_address) {
   draining_ = true;
   report_to_ = control_address;
-  Beat(0);
+  ScheduleHeartbeat(0);
 }
 
 void Runner::Delete() {
@@ -56,8 +56,8 @@
   running_.clear();
 }
 
-void Runner::Beat(Time after) {
-  heartbeat_timer_.expires_after(std::chrono::microseconds(after));
+void Runner::ScheduleHeartbeat(Time delay) {
+  heartbeat_timer_.expires_after(std::chrono::microseconds(delay));
   heartbeat_timer_.async_wait([this](std::error_code error) {
     if (!error && !ended_) SendHeartbeat();
   });
@@ -89,17 +89,17 @@
   call.path = wire::kRunnersPath + settings_.id;
   call.headers = {{wire::kContentType, wire::kJsonType}};
   call.body = HeartbeatBody();
-  const auto answered = [this, alive = std::weak_ptr(alive_),
-                         draining = draining_](const HttpMessage& answer) {
-    if (!alive.expired() && !ended_) HeartbeatAnswered(draining, answer);
+  const auto on_response = [this, alive = std::weak_ptr(alive_),
+                            draining = draining_](const HttpMessage& answer) {
+    if (!alive.expired() && !ended_) OnHeartbeatResponse(draining, answer);
   };
-  Call(loop_->io(), NextDispatcher(), call, answered);
+  Call(loop_->io(), NextDispatcher(), call, on_response);
 }
 
-void Runner::HeartbeatAnswered(bool draining, const HttpMessage& answer) {
+void Runner::OnHeartbeatResponse(bool draining, const HttpMessage& answer) {
   if (answer.status < 200 || answer.status > 299) {
     report_to_.clear();
-    return Beat(kRetryHeartbeatAfter);
+    return ScheduleHeartbeat(kHeartbeatRetryDelay);
   }
   const Json body = Json::parse(answer.body, nullptr, false);
   if (body.is_object() && body.contains(wire::kReportTo))
@@ -107,7 +107,7 @@
   acknowledged_at_ = loop_->Now();
   if (draining && !drained_at_) drained_at_ = loop_->Now();
   // A drain requested in the meantime is reported immediately.
-  Beat(draining != draining_ ? 0 : settings_.heartbeat_interval);
+  ScheduleHeartbeat(draining != draining_ ? 0 : settings_.heartbeat_interval);
 }
 
 // ---- Orders and reports --------------------------------------------------------------------------------
@@ -117,7 +117,7 @@
     const Json report{{wire::kStage, "both"},
                       {wire::kModels, models_.ToJson()},
                       {"busy", models_.busy()},
-                      {wire::kCallCount, models_.orders_taken()},
+                      {wire::kCallCount, models_.accepted_orders()},
                       {"queued", 0},
                       {"in_transit", 0},
                       {"cache_used", 0},
--- a/lab/system/runner.h
+++ b/lab/system/runner.h
@@ -22,7 +22,7 @@
   std::vector<std::string> models;  // loaded at the start
   int slots = 16;
   Time heartbeat_interval = 400 * kMillisecond;
-  Time event_pause = 20 * kMillisecond;
+  Time event_interval = 20 * kMillisecond;
   Time drain_bound = kSecond;  // no request may arrive later than this after the drain's acknowledgement
 };
 
@@ -30,10 +30,10 @@
  public:
   Runner(Loop* loop, RunnerSettings settings, Ledger* ledger);
 
-  void Report(std::vector<std::string> control_addresses);  // starts the heartbeats
-  void Drain(const std::string& control_address);           // the first dispatcher to be notified
-  void Delete();                                            // deregisters the runner, then stops it
-  void Crash();                                             // stops without deregistering
+  void StartHeartbeats(std::vector<std::string> control_addresses);  // starts the heartbeats
+  void Drain(const std::string& control_address);                    // the first dispatcher to be notified
+  void Delete();                                                     // deregisters the runner, then stops it
+  void Crash();                                                      // stops without deregistering
 
   const RunnerSettings& settings() const { return settings_; }
   std::string address() const;
@@ -42,25 +42,25 @@
   std::optional<Time> last_request_at() const { return last_request_at_; }
   Time drained_at() const { return *drained_at_; }
   std::uint64_t served() const { return served_; }
-  std::uint64_t orders() const { return models_.orders_taken(); }
+  std::uint64_t orders() const { return models_.accepted_orders(); }
 
  private:
   struct Answer;
   using Connection = lab::HttpServer::Connection;
 
   void SendHeartbeat();
-  void HeartbeatAnswered(bool draining, const HttpMessage& answer);
+  void OnHeartbeatResponse(bool draining, const HttpMessage& answer);
   std::string HeartbeatBody() const;
   std::string NextDispatcher();
-  void Beat(Time after);
+  void ScheduleHeartbeat(Time delay);
 
   void Handle(const Connection& connection, const HttpMessage& request);
   void HandleOrder(const Connection& connection, const HttpMessage& request);
   void Serve(const Connection& connection, const HttpMessage& request);
   // The status to refuse a request with before it runs; none if the request is accepted.
-  std::optional<int> Refusal(const HttpMessage& request) const;
-  void Judge(const HttpMessage& request);
-  void Begin(const std::shared_ptr<Answer>& answer);
+  std::optional<int> RefusalStatus(const HttpMessage& request) const;
+  void CheckRequest(const HttpMessage& request);
+  void SendHead(const std::shared_ptr<Answer>& answer);
   void SendEvent(const std::shared_ptr<Answer>& answer);
   void Finish(const std::shared_ptr<Answer>& answer);
 
--- a/lab/system/runner_answers.cpp
+++ b/lab/system/runner_answers.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kMisdirected = 421, kNoId = 400, kFull = 503;
+constexpr int kMisdirected = 421, kMissingAttemptId = 400, kOverloaded = 503;
 constexpr char kTextType[] = "text/plain";
 
 std::string HeaderOf(const HttpMessage& request, const char* name) {
@@ -19,17 +19,17 @@
   return value == nullptr ? "" : *value;
 }
 
-int Number(const std::string& text, int otherwise) {
-  int number = otherwise;
+int ParseInt(const std::string& text, int fallback) {
+  int number = fallback;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
 }
 
 // "PROMPT,OUT": the number of prompt tokens and the maximum number of response tokens.
-int EventsWanted(const HttpMessage& request) {
+int RequestedEvents(const HttpMessage& request) {
   const std::string counts = HeaderOf(request, wire::kTokenCount);
   const std::size_t comma = counts.find(',');
-  return comma == std::string::npos ? 1 : std::max(1, Number(counts.substr(comma + 1), 1));
+  return comma == std::string::npos ? 1 : std::max(1, ParseInt(counts.substr(comma + 1), 1));
 }
 
 std::string Chunk(const std::string& bytes) {
@@ -45,43 +45,43 @@
   Connection connection;
   std::string attempt_id, tenant;
   int next_event = 1, last_event = 1;
-  bool stream = false, resumed = false, begun = false;
+  bool stream = false, resumed = false, started = false;
   asio::steady_timer timer;
 };
 
-std::optional<int> Runner::Refusal(const HttpMessage& request) const {
-  if (request.Header(wire::kAttemptId) == nullptr) return kNoId;
+std::optional<int> Runner::RefusalStatus(const HttpMessage& request) const {
+  if (request.Header(wire::kAttemptId) == nullptr) return kMissingAttemptId;
   const std::string expected = HeaderOf(request, wire::kExpectRunner);
   if (!expected.empty() && expected != settings_.id) return kMisdirected;
   if (!models_.Holds(HeaderOf(request, wire::kModel))) return kMisdirected;
-  if (running_.size() >= static_cast<std::size_t>(settings_.slots)) return kFull;
+  if (running_.size() >= static_cast<std::size_t>(settings_.slots)) return kOverloaded;
   return std::nullopt;
 }
 
-void Runner::Judge(const HttpMessage& request) {
+void Runner::CheckRequest(const HttpMessage& request) {
   last_request_at_ = loop_->Now();
   if (drained_at_ && *last_request_at_ > *drained_at_ + settings_.drain_bound)
-    ledger_->Broken(settings_.id + " received a request after its drain deadline");
+    ledger_->RecordViolation(settings_.id + " received a request after its drain deadline");
   if (request.Header(wire::kAuthorization) != nullptr)
-    ledger_->Broken(settings_.id + " received a client's key");
+    ledger_->RecordViolation(settings_.id + " received a client's key");
   if (request.Header(wire::kTenant) == nullptr)
-    ledger_->Broken(settings_.id + " received a request without its tenant");
+    ledger_->RecordViolation(settings_.id + " received a request without its tenant");
   if (request.Header(wire::kDeadline) == nullptr)
-    ledger_->Broken(settings_.id + " received a request without its deadline");
+    ledger_->RecordViolation(settings_.id + " received a request without its deadline");
 }
 
 void Runner::Serve(const Connection& connection, const HttpMessage& request) {
-  Judge(request);
-  if (const auto status = Refusal(request)) {
+  CheckRequest(request);
+  if (const auto status = RefusalStatus(request)) {
     return lab::Reply(connection, *status, "",
                       {{wire::kNotRun, "1"},
                        {wire::kAttemptId, HeaderOf(request, wire::kAttemptId)},
                        {wire::kRetryAfter, "0.1"}});
   }
-  const int last_event_id = Number(HeaderOf(request, wire::kLastEventId), 0);
+  const int last_event_id = ParseInt(HeaderOf(request, wire::kLastEventId), 0);
   const auto answer = std::make_shared<Answer>(
       Answer{connection, HeaderOf(request, wire::kAttemptId), HeaderOf(request, wire::kTenant),
-             last_event_id + 1, EventsWanted(request),
+             last_event_id + 1, RequestedEvents(request),
              request.target.find("/stream") != std::string::npos ||
                  request.target.find("/resume") != std::string::npos,
              last_event_id > 0, false, asio::steady_timer(loop_->io())});
@@ -90,10 +90,10 @@
 }
 
 // The head is sent with the first event; it also shows the client that the request is running.
-void Runner::Begin(const std::shared_ptr<Answer>& answer) {
-  answer->begun = true;
-  ledger_->RunsAt(answer->attempt_id, settings_.id);
-  if (!answer->resumed) ledger_->RunBegan(answer->attempt_id, answer->tenant, !answer->stream);
+void Runner::SendHead(const std::shared_ptr<Answer>& answer) {
+  answer->started = true;
+  ledger_->RecordRunner(answer->attempt_id, settings_.id);
+  if (!answer->resumed) ledger_->RecordRunStart(answer->attempt_id, answer->tenant, !answer->stream);
   std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: ";
   head += answer->stream ? wire::kEventStreamType : kTextType;
   for (const auto& [name, value] : {std::pair<std::string, std::string>{wire::kAttemptId, answer->attempt_id},
@@ -104,12 +104,12 @@
 }
 
 void Runner::SendEvent(const std::shared_ptr<Answer>& answer) {
-  answer->timer.expires_after(std::chrono::microseconds(settings_.event_pause));
+  answer->timer.expires_after(std::chrono::microseconds(settings_.event_interval));
   answer->timer.async_wait([this, weak = std::weak_ptr(answer)](std::error_code error) {
     const auto alive = weak.lock();
     if (error || !alive) return;
     if (!alive->connection->socket().is_open()) return void(running_.erase(alive));
-    if (!alive->begun) Begin(alive);
+    if (!alive->started) SendHead(alive);
     if (alive->next_event > alive->last_event) return Finish(alive);
     const std::string number = std::to_string(alive->next_event++);
     const std::string data = number + " of " + alive->attempt_id;
--- a/lab/system/soak.cpp
+++ b/lab/system/soak.cpp
@@ -13,22 +13,22 @@
 using Json = nlohmann::json;
 
 constexpr int kAccepted = 200, kConflict = 412;
-constexpr Time kShortestStep = 30 * kMillisecond, kLongestStep = 700 * kMillisecond;
-constexpr Time kLongestDown = 2 * kSecond;
-constexpr Time kEndSlack = 500 * kMillisecond;  // added to the grace period between SIGTERM and exit
-constexpr Time kRetryChangeAfter = 100 * kMillisecond;
+constexpr Time kMinStep = 30 * kMillisecond, kMaxStep = 700 * kMillisecond;
+constexpr Time kMaxDowntime = 2 * kSecond;
+constexpr Time kShutdownSlack = 500 * kMillisecond;  // added to the grace period between SIGTERM and exit
+constexpr Time kChangeRetryDelay = 100 * kMillisecond;
 constexpr Time kChangeTimeout = 15 * kSecond;
 constexpr int kMaxChangesInFlight = 4;
 constexpr std::size_t kMinRunners = 2;
-constexpr int kLongestStream = 60;  // events
+constexpr int kMaxStreamEvents = 60;  // events
 
-bool IsClear(int status) {
+bool IsConclusive(int status) {
   return status == kAccepted || (status >= 400 && status < 500 && status != 408 && status != 429);
 }
 
 std::vector<ClientRequest> Requests() {
   std::vector<ClientRequest> requests;
-  for (const int events : {2, 20, kLongestStream}) {
+  for (const int events : {2, 20, kMaxStreamEvents}) {
     for (const auto& [kind, path] : {std::pair{ClientKind::kPlain, sample::kPlainPath},
                                      {ClientKind::kStream, sample::kStreamPath},
                                      {ClientKind::kResumable, sample::kResumePath}}) {
@@ -57,8 +57,8 @@
 
 Soak::~Soak() = default;
 
-Time Soak::DrawTime(Time least, Time most) {
-  return least + static_cast<Time>(Draw(static_cast<std::uint64_t>(most - least + 1)));
+Time Soak::DrawTime(Time min, Time max) {
+  return min + static_cast<Time>(Draw(static_cast<std::uint64_t>(max - min + 1)));
 }
 
 void Soak::Require(bool holds, const std::string& rule) {
@@ -73,12 +73,12 @@
   StartClients();
   const Time end = system_.loop().Now() + plan_.length;
   while (system_.loop().Now() < end) {
-    system_.loop().RunFor(DrawTime(kShortestStep, kLongestStep));
-    LookAtNodes();
-    Step();
+    system_.loop().RunFor(DrawTime(kMinStep, kMaxStep));
+    UpdateNodes();
+    Disturb();
   }
-  BringBack();
-  JudgeEnd();
+  RestoreAll();
+  CheckFinalState();
   const auto& broken = system_.ledger().broken();
   report_.broken.insert(report_.broken.end(), broken.begin(), broken.end());
   return report_;
@@ -86,22 +86,22 @@
 
 void Soak::StartClients() {
   for (int client = 0; client < plan_.clients; ++client) {
-    clients_.push_back(std::make_unique<KeptClient>(&system_.loop(), fronts_.get(), &system_.ledger(),
-                                                    &report_.clients, Requests(), random_()));
+    clients_.push_back(std::make_unique<PersistentClient>(&system_.loop(), fronts_.get(), &system_.ledger(),
+                                                          &report_.clients, Requests(), random_()));
     clients_.back()->Start();
   }
 }
 
 // ---- Disturbances --------------------------------------------------------------------------------------
 
-void Soak::Step() {
+void Soak::Disturb() {
   const std::uint64_t kind = Draw(100);
-  const std::uint64_t series = 1 + Draw(3);
-  for (std::uint64_t turn = 0; turn < series; ++turn) {
+  const std::uint64_t repetitions = 1 + Draw(3);
+  for (std::uint64_t repetition = 0; repetition < repetitions; ++repetition) {
     if (kind < 45) {
       ChangeConfiguration();
     } else if (kind < 90) {
-      const auto index = DrawUp(/*spare_core=*/kind < 75);
+      const auto index = PickRunning(/*spare_core=*/kind < 75);
       if (!index) return;
       if (kind < 60) Reload(*index);
       if (kind >= 60 && kind < 75) Terminate(*index);
@@ -122,7 +122,7 @@
   return before;
 }
 
-std::size_t Soak::CoreDown() const {
+std::size_t Soak::CountCoreDown() const {
   const auto core = static_cast<std::ptrdiff_t>(plan_.system.core);
   return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.begin() + core, [](const Node& node) {
     return node.state != Node::State::kUp;
@@ -131,13 +131,14 @@
 
 // Picks a running dispatcher; at most one of the core is down at a time, so that a majority of the disks
 // remains.
-std::optional<std::size_t> Soak::DrawUp(bool spare_core) {
+std::optional<std::size_t> Soak::PickRunning(bool spare_core) {
   std::vector<std::size_t> up;
-  const bool core_whole = CoreDown() == 0 && !(spare_core && Draw(2) == 0);
+  const bool core_complete = CountCoreDown() == 0 && !(spare_core && Draw(2) == 0);
   for (std::size_t index = 0; index < nodes_.size(); ++index) {
     const bool in_core = index < static_cast<std::size_t>(plan_.system.core);
-    const bool loaded = system_.dispatcher(index).TakesSignals();
-    if (nodes_[index].state == Node::State::kUp && loaded && (!in_core || core_whole)) up.push_back(index);
+    const bool takes_signals = system_.dispatcher(index).TakesSignals();
+    if (nodes_[index].state == Node::State::kUp && takes_signals && (!in_core || core_complete))
+      up.push_back(index);
   }
   if (up.empty()) return std::nullopt;
   return up[Draw(up.size())];
@@ -149,17 +150,17 @@
   const Time now = system_.loop().Now();
   system_.dispatcher(index).Terminate();
   if (Draw(3) == 0) system_.dispatcher(index).Terminate();
-  nodes_[index] = {Node::State::kEnding, now + plan_.system.times.grace_s * kSecond + kEndSlack};
+  nodes_[index] = {Node::State::kEnding, now + plan_.system.times.grace_s * kSecond + kShutdownSlack};
   if (const auto front = FrontOf(index)) fronts_->Close(*front);
   ++report_.terminated;
 }
 
 void Soak::Kill(std::size_t index) {
   const auto front = FrontOf(index);
-  if (front) fronts_->Kill(*front);
+  if (front) fronts_->MarkKilled(*front);
   Require(system_.dispatcher(index).Kill(plan_.timeout), "a killed process has exited");
-  if (front) fronts_->Lose(*front, system_.loop().Now());
-  nodes_[index] = {Node::State::kDown, system_.loop().Now() + DrawTime(0, kLongestDown)};
+  if (front) fronts_->MarkLost(*front, system_.loop().Now());
+  nodes_[index] = {Node::State::kDown, system_.loop().Now() + DrawTime(0, kMaxDowntime)};
   ++report_.killed;
 }
 
@@ -195,15 +196,15 @@
   const std::vector<std::string> addresses = system_.ControlAddresses();
   system_.the_operator().SendTo(addresses[Draw(addresses.size())], pending->change,
                                 [this, pending, alive = std::weak_ptr(alive_)](const HttpMessage& answer) {
-                                  if (!alive.expired()) ChangeAnswered(pending, answer);
+                                  if (!alive.expired()) OnChangeResponse(pending, answer);
                                 });
 }
 
-void Soak::ChangeAnswered(const std::shared_ptr<PendingChange>& pending, const HttpMessage& answer) {
-  if (!IsClear(answer.status) && system_.loop().Now() < pending->deadline) {
-    const auto pause = std::make_shared<asio::steady_timer>(system_.loop().io());
-    pause->expires_after(std::chrono::microseconds(kRetryChangeAfter));
-    return pause->async_wait([this, pending, pause, alive = std::weak_ptr(alive_)](std::error_code) {
+void Soak::OnChangeResponse(const std::shared_ptr<PendingChange>& pending, const HttpMessage& answer) {
+  if (!IsConclusive(answer.status) && system_.loop().Now() < pending->deadline) {
+    const auto timer = std::make_shared<asio::steady_timer>(system_.loop().io());
+    timer->expires_after(std::chrono::microseconds(kChangeRetryDelay));
+    return timer->async_wait([this, pending, timer, alive = std::weak_ptr(alive_)](std::error_code) {
       if (!alive.expired()) SendChange(pending);
     });
   }
@@ -219,7 +220,7 @@
 
 void Soak::DrainRunner() {
   if (runners_left_ <= kMinRunners) return;
-  const auto up = DrawUp(/*spare_core=*/false);
+  const auto up = PickRunning(/*spare_core=*/false);
   if (up) system_.runner(--runners_left_).Drain(system_.dispatcher(*up).control_address());
   if (up) ++report_.runners_drained;
 }
@@ -227,14 +228,14 @@
 void Soak::CrashRunner() {
   if (runners_left_ <= kMinRunners) return;
   Runner& runner = system_.runner(--runners_left_);
-  system_.ledger().RunnerCrashed(runner.settings().id);
+  system_.ledger().RecordRunnerCrash(runner.settings().id);
   runner.Crash();
   ++report_.runners_crashed;
 }
 
 // ---- Checks --------------------------------------------------------------------------------------------
 
-void Soak::LookAtNodes() {
+void Soak::UpdateNodes() {
   const Time now = system_.loop().Now();
   for (std::size_t index = 0; index < nodes_.size(); ++index) {
     Node& node = nodes_[index];
@@ -253,7 +254,7 @@
                 dispatcher.name() + " was terminated and ended with " + dispatcher.LastEnd());
       }
       if (dispatcher.Running()) Kill(index);
-      node = {Node::State::kDown, now + DrawTime(0, kLongestDown)};
+      node = {Node::State::kDown, now + DrawTime(0, kMaxDowntime)};
     }
     if (node.state != Node::State::kDown || now < node.due) continue;
     dispatcher.Start();
@@ -262,9 +263,9 @@
   }
 }
 
-void Soak::BringBack() {
+void Soak::RestoreAll() {
   const auto all_up = [this] {
-    LookAtNodes();
+    UpdateNodes();
     return std::all_of(nodes_.begin(), nodes_.end(),
                        [](const Node& node) { return node.state == Node::State::kUp; });
   };
@@ -275,14 +276,14 @@
                                   plan_.timeout),
           "requests are served again after all dispatchers are back");
   for (const auto& client : clients_) client->Stop();
-  const auto resting = [this] {
-    return changes_in_flight_ == 0 && std::all_of(clients_.begin(), clients_.end(),
-                                                  [](const auto& client) { return client->Resting(); });
+  const auto all_idle = [this] {
+    return changes_in_flight_ == 0 &&
+           std::all_of(clients_.begin(), clients_.end(), [](const auto& client) { return client->IsIdle(); });
   };
-  Require(system_.loop().RunUntil(resting, plan_.timeout), "all requests and changes in flight have ended");
+  Require(system_.loop().RunUntil(all_idle, plan_.timeout), "all requests and changes in flight have ended");
 }
 
-void Soak::JudgeEnd() {
+void Soak::CheckFinalState() {
   const Json read = system_.the_operator().Read(plan_.timeout);
   const std::int64_t edition = read.is_object() ? read.value(wire::kEdition, std::int64_t{0}) : 0;
   Require(edition >= newest_acknowledged_, "edition " + std::to_string(newest_acknowledged_) +
--- a/lab/system/soak.h
+++ b/lab/system/soak.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/system/kept_client.h"
+#include "lab/system/persistent_client.h"
 #include "lab/system/system.h"
 
 namespace lichenlug::standins {
@@ -24,7 +24,7 @@
 };
 
 struct SoakReport {
-  KeptClientFigures clients;
+  PersistentClientFigures clients;
   int terminated = 0, killed = 0, reloaded = 0, changes = 0, acknowledged = 0, runners_drained = 0,
       runners_crashed = 0;
   std::vector<std::string> broken;  // broken rules, one line each
@@ -53,32 +53,32 @@
 
   void Require(bool holds, const std::string& rule);
   void StartClients();
-  void Step();
-  void LookAtNodes();
+  void Disturb();
+  void UpdateNodes();
   // The index of a dispatcher in the front directory; none if it serves no clients.
   std::optional<std::size_t> FrontOf(std::size_t index);
-  std::optional<std::size_t> DrawUp(bool spare_core);
-  std::size_t CoreDown() const;
+  std::optional<std::size_t> PickRunning(bool spare_core);
+  std::size_t CountCoreDown() const;
 
   void Terminate(std::size_t index);
   void Kill(std::size_t index);
   void Reload(std::size_t index);
   void ChangeConfiguration();
   void SendChange(const std::shared_ptr<PendingChange>& pending);
-  void ChangeAnswered(const std::shared_ptr<PendingChange>& pending, const HttpMessage& answer);
+  void OnChangeResponse(const std::shared_ptr<PendingChange>& pending, const HttpMessage& answer);
   void DrainRunner();
   void CrashRunner();
-  void BringBack();
-  void JudgeEnd();
+  void RestoreAll();
+  void CheckFinalState();
 
   std::uint64_t Draw(std::uint64_t bound) { return random_() % bound; }
-  Time DrawTime(Time least, Time most);
+  Time DrawTime(Time min, Time max);
 
   const SoakPlan plan_;
   std::mt19937_64 random_;
   System system_;
   std::unique_ptr<FrontDirectory> fronts_;
-  std::vector<std::unique_ptr<KeptClient>> clients_;
+  std::vector<std::unique_ptr<PersistentClient>> clients_;
   std::vector<Node> nodes_;
   std::size_t runners_left_ = 0;
   std::int64_t last_edition_ = 1, newest_acknowledged_ = 1;
--- a/lab/system/soak_main.cpp
+++ b/lab/system/soak_main.cpp
@@ -10,17 +10,17 @@
 
 using namespace lichenlug::standins;
 
-void Tell(std::uint64_t seed, const SoakReport& report) {
-  const KeptClientFigures& clients = report.clients;
+void PrintReport(std::uint64_t seed, const SoakReport& report) {
+  const PersistentClientFigures& clients = report.clients;
   std::cout << "seed " << seed << ": " << report.broken.size() << " broken; requests " << clients.sent
             << ", served " << clients.served << ", refused " << clients.refused << ", failed "
             << clients.failed << ", lost with a killed process " << clients.lost_with_dispatcher
-            << " or a crashed runner " << clients.lost_with_runner << ", crossed a close " << clients.crossed
-            << "; SIGTERM " << report.terminated << ", SIGKILL " << report.killed << ", SIGHUP "
-            << report.reloaded << ", changes " << report.changes << " (" << report.acknowledged
+            << " or a crashed runner " << clients.lost_with_runner << ", crossed a close "
+            << clients.raced_with_close << "; SIGTERM " << report.terminated << ", SIGKILL " << report.killed
+            << ", SIGHUP " << report.reloaded << ", changes " << report.changes << " (" << report.acknowledged
             << " acknowledged), runners drained " << report.runners_drained << ", crashed "
             << report.runners_crashed << '\n';
-  for (const std::string& what : report.broken) std::cout << "  " << what << '\n';
+  for (const std::string& rule : report.broken) std::cout << "  " << rule << '\n';
   std::cout.flush();
 }
 
@@ -52,11 +52,11 @@
   CLI11_PARSE(app, argc, argv);
   plan.length = static_cast<lichenlug::Time>(seconds * lichenlug::kSecond);
   int failed = 0;
-  for (int play = 0; play < seeds; ++play) {
-    plan.seed = first_seed + static_cast<std::uint64_t>(play);
+  for (int index = 0; index < seeds; ++index) {
+    plan.seed = first_seed + static_cast<std::uint64_t>(index);
     Soak soak(plan);
     const SoakReport report = soak.Play();
-    Tell(plan.seed, report);
+    PrintReport(plan.seed, report);
     if (report.broken.empty()) continue;
     ++failed;
     if (!log_folder.empty())
--- a/lab/system/system.cpp
+++ b/lab/system/system.cpp
@@ -16,19 +16,19 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t kMaxSeeds = 3;
-constexpr Time kEndTimeout = 5 * kSecond;
+constexpr Time kKillTimeout = 5 * kSecond;
 const std::vector<std::string> kZones = {"east", "west"};
 
 // A network of 127.0.0.0/8 that no other run on this machine uses: runs may be concurrent.
-std::string OwnNetwork() {
-  constexpr int kNumbers = 250;
-  static int plays = 0;
-  const int number = static_cast<int>(getpid()) + 7919 * plays++;
-  return "127." + std::to_string(1 + number / kNumbers % kNumbers) + "." + std::to_string(number % kNumbers) +
-         ".";
+std::string UniqueNetwork() {
+  constexpr int kValuesPerByte = 250;
+  static int runs = 0;
+  const int number = static_cast<int>(getpid()) + 7919 * runs++;
+  return "127." + std::to_string(1 + number / kValuesPerByte % kValuesPerByte) + "." +
+         std::to_string(number % kValuesPerByte) + ".";
 }
 
-std::filesystem::path OwnFolder() {
+std::filesystem::path CreateTemporaryDirectory() {
   std::string pattern = (std::filesystem::temp_directory_path() / "lichenlug-system-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr)
     throw std::runtime_error("can't create a temporary directory: " + pattern);
@@ -37,7 +37,8 @@
 
 }  // namespace
 
-System::System(const SystemPlan& plan) : folder_(OwnFolder()), platform_(loop_.io(), &ledger_) {
+System::System(const SystemPlan& plan)
+    : folder_(CreateTemporaryDirectory()), platform_(loop_.io(), &ledger_) {
   MakeDispatchers(plan);
   MakeRunners(plan);
   std::vector<Ingress::Dispatcher> fronts;
@@ -50,13 +51,13 @@
 }
 
 System::~System() {
-  for (const auto& dispatcher : dispatchers_) dispatcher->Kill(kEndTimeout);
+  for (const auto& dispatcher : dispatchers_) dispatcher->Kill(kKillTimeout);
   std::error_code ignored;
   std::filesystem::remove_all(folder_, ignored);
 }
 
 void System::MakeDispatchers(const SystemPlan& plan) {
-  const std::string network = OwnNetwork();
+  const std::string network = UniqueNetwork();
   const int count = plan.core + plan.diskless;
   std::vector<std::string> seeds;
   for (int index = 0; index < count && seeds.size() < kMaxSeeds; ++index)
@@ -108,7 +109,7 @@
 }
 
 void System::StartRunners() {
-  for (const auto& runner : runners_) runner->Report(ControlAddresses());
+  for (const auto& runner : runners_) runner->StartHeartbeats(ControlAddresses());
 }
 
 bool System::TakeFirstConfiguration(Time timeout) {
@@ -128,20 +129,20 @@
   for (std::size_t index = 0; index < dispatchers_.size(); ++index) {
     if (!loop_.RunUntil([&] { return SaysReady(index); }, deadline - loop_.Now())) return false;
   }
-  const auto all_in = [this] {
-    return ingress_->AllIn() &&
+  const auto all_ready = [this] {
+    return ingress_->AllReady() &&
            std::all_of(runners_.begin(), runners_.end(), [](const auto& one) { return one->acknowledged(); });
   };
-  return loop_.RunUntil(all_in, deadline - loop_.Now());
+  return loop_.RunUntil(all_ready, deadline - loop_.Now());
 }
 
 bool System::WaitEdition(std::int64_t edition, Time timeout) {
   const Time deadline = loop_.Now() + timeout;
   for (std::size_t index = 0; index < dispatchers_.size();) {
     const Json status = dispatchers_[index]->Running() ? Status(index) : Json();
-    const bool there = !dispatchers_[index]->Running() ||
-                       (status.is_object() && status.value("edition", std::int64_t{0}) >= edition);
-    if (there) {
+    const bool in_force = !dispatchers_[index]->Running() ||
+                          (status.is_object() && status.value("edition", std::int64_t{0}) >= edition);
+    if (in_force) {
       ++index;
     } else if (loop_.Now() > deadline) {
       return false;
