--- a/lab/system/demo.cpp
+++ b/lab/system/demo.cpp
@@ -16,8 +16,7 @@
 using lichenlug::Time;
 
 constexpr Time kStartTimeout = 20 * kSecond, kTimeout = 10 * kSecond;
-constexpr std::size_t kKilledDispatcher = 1,
-                      kDrainedRunner = 2;  // indexes of the killed dispatcher and of the drained runner
+constexpr std::size_t kKilledDispatcher = 1, kDrainedRunner = 2;  // indexes
 constexpr int kRequestsOfEachKind = 8;
 
 class Demo {
@@ -108,7 +107,7 @@
     const ClientFigures& figures = system_.clients().figures();
     const auto& broken = system_.ledger().broken();
     std::printf(
-        "\n%llu requests: %llu served, %llu refused, %llu cut, %llu failed; %llu tries, %llu resumed\n",
+        "\n%llu requests: %llu served, %llu refused, %llu cut, %llu failed; %llu attempts, %llu resumed\n",
         static_cast<unsigned long long>(figures.sent), static_cast<unsigned long long>(figures.served),
         static_cast<unsigned long long>(figures.refused), static_cast<unsigned long long>(figures.cut),
         static_cast<unsigned long long>(figures.failed), static_cast<unsigned long long>(figures.tries),
--- a/lab/system/ledger.h
+++ b/lab/system/ledger.h
@@ -40,9 +40,9 @@
  private:
   std::vector<std::string> violations_;
   std::set<std::string> started_attempts_;
-  std::map<std::string, std::string> runner_of_;            // by attempt
-  std::set<std::string> crashed_runners_;                   // runners
-  std::map<std::string, std::uint64_t> started_by_tenant_;  // by tenant
+  std::map<std::string, std::string> runner_of_;  // by attempt
+  std::set<std::string> crashed_runners_;
+  std::map<std::string, std::uint64_t> started_by_tenant_;
 };
 
 }  // namespace lichenlug::standins
--- a/lab/system/runner.h
+++ b/lab/system/runner.h
@@ -30,10 +30,10 @@
  public:
   Runner(Loop* loop, RunnerSettings settings, Ledger* ledger);
 
-  void StartHeartbeats(std::vector<std::string> control_addresses);  // starts the heartbeats
-  void Drain(const std::string& control_address);                    // the first dispatcher to be notified
-  void Delete();                                                     // deregisters the runner, then stops it
-  void Crash();                                                      // stops without deregistering
+  void StartHeartbeats(std::vector<std::string> control_addresses);
+  void Drain(const std::string& control_address);  // the first dispatcher to be notified
+  void Delete();                                   // deregisters the runner, then stops it
+  void Crash();                                    // stops without deregistering
 
   const RunnerSettings& settings() const { return settings_; }
   std::string address() const;
--- a/lab/system/soak.cpp
+++ b/lab/system/soak.cpp
@@ -20,7 +20,7 @@
 constexpr Time kChangeTimeout = 15 * kSecond;
 constexpr int kMaxChangesInFlight = 4;
 constexpr std::size_t kMinRunners = 2;
-constexpr int kMaxStreamEvents = 60;  // events
+constexpr int kMaxStreamEvents = 60;
 
 bool IsConclusive(int status) {
   return status == kAccepted || (status >= 400 && status < 500 && status != 408 && status != 429);
