--- a/lab/system/persistent_client.cpp
+++ b/lab/system/persistent_client.cpp
@@ -168,14 +168,14 @@
     return;
   }
   const Time elapsed = loop_->Now() - sent_at_;
-  const bool begun = ledger_->HasStarted(attempt_id_) || check_ != nullptr;
-  if (!begun && elapsed <= kCloseRaceWindow) {
+  const bool started = ledger_->HasStarted(attempt_id_) || check_ != nullptr;
+  if (!started && elapsed <= kCloseRaceWindow) {
     ++figures_->raced_with_close;
     return;
   }
   ledger_->RecordViolation("LOST: attempt " + attempt_id_ + " at " + fronts_->front(front_).address +
                            " ended without a complete response " + std::to_string(elapsed / kMillisecond) +
-                           " ms after it was sent" + (begun ? ", after it had started to run" : ""));
+                           " ms after it was sent" + (started ? ", after it had started to run" : ""));
 }
 
 }  // namespace lichenlug::standins
