--- a/lab/control/callers.h
+++ b/lab/control/callers.h
@@ -7,7 +7,7 @@
 #include <random>
 #include <string>
 
-#include "lab/control/judges.h"
+#include "lab/control/checkers.h"
 #include "lab/control/network.h"
 #include "node/control_call.h"
 
--- a/lab/control/judges.cpp
+++ b/lab/control/checkers.cpp
@@ -1,4 +1,4 @@
-#include "lab/control/judges.h"
+#include "lab/control/checkers.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/lab/control/world.h
+++ b/lab/control/world.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "lab/control/callers.h"
+#include "lab/control/checkers.h"
 #include "lab/control/day.h"
-#include "lab/control/judges.h"
 #include "lab/control/machine.h"
 #include "lab/control/network.h"
 
--- a/lab/tests/control_test.cpp
+++ b/lab/tests/control_test.cpp
@@ -5,8 +5,8 @@
 
 #include <algorithm>
 
+#include "lab/control/checkers.h"
 #include "lab/control/day.h"
-#include "lab/control/judges.h"
 #include "lab/control/shrink.h"
 #include "lab/control/world.h"
 
--- a/src/branch/branches.cpp
+++ b/src/branch/runner_client.cpp
@@ -1,4 +1,4 @@
-#include "branch/branches.h"
+#include "branch/runner_client.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/branch/branches.h
+++ b/src/branch/runner_client.h
@@ -12,12 +12,12 @@
 
 #include "base/deadlines.h"
 #include "base/slots.h"
-#include "branch/kept_links.h"
+#include "branch/link_reliability.h"
 #include "core/ports.h"
-#include "core/transactions.h"
+#include "core/request_table.h"
 #include "decisions/settings.h"
 #include "net/http_connection.h"
-#include "routes/route_set.h"
+#include "routes/runner_registry.h"
 
 namespace lichenlug {
 
--- a/src/core/transactions.cpp
+++ b/src/core/request_table.cpp
@@ -1,4 +1,4 @@
-#include "core/transactions.h"
+#include "core/request_table.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/fronts/http/callers.cpp
+++ b/src/fronts/http/http_front_end.cpp
@@ -1,4 +1,4 @@
-#include "fronts/http/callers.h"
+#include "fronts/http/http_front_end.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/fronts/http/callers.h
+++ b/src/fronts/http/http_front_end.h
@@ -10,7 +10,7 @@
 #include "base/deadlines.h"
 #include "base/slots.h"
 #include "core/ports.h"
-#include "core/transactions.h"
+#include "core/request_table.h"
 #include "decisions/settings.h"
 #include "net/http_connection.h"
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,13 +9,13 @@
 #include <string>
 
 #include "base/deadlines.h"
-#include "branch/branches.h"
-#include "core/transactions.h"
-#include "fronts/http/callers.h"
+#include "branch/runner_client.h"
+#include "core/request_table.h"
+#include "fronts/http/http_front_end.h"
 #include "operate/config.h"
 #include "peers/holdings.h"
 #include "peers/transport.h"
-#include "routes/route_set.h"
+#include "routes/runner_registry.h"
 #include "routes/watch.h"
 
 namespace lichenlug {
--- a/src/operate/config.h
+++ b/src/operate/config.h
@@ -10,7 +10,7 @@
 
 #include "decisions/settings.h"
 #include "peers/transport.h"
-#include "routes/route_set.h"
+#include "routes/runner_registry.h"
 
 namespace lichenlug {
 
--- a/src/routes/route_set.cpp
+++ b/src/routes/runner_registry.cpp
@@ -1,4 +1,4 @@
-#include "routes/route_set.h"
+#include "routes/runner_registry.h"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
--- a/src/routes/watch.h
+++ b/src/routes/watch.h
@@ -14,8 +14,8 @@
 #include "base/slots.h"
 #include "decisions/settings.h"
 #include "net/http_connection.h"
-#include "routes/news_lines.h"
-#include "routes/route_set.h"
+#include "routes/json_stream_splitter.h"
+#include "routes/runner_registry.h"
 #include "routes/watch_backoff.h"
 
 namespace lichenlug {
--- a/tests/news_lines_test.cpp
+++ b/tests/json_stream_splitter_test.cpp
@@ -1,5 +1,5 @@
 // Parsing the stream of a watch: chunks that end anywhere, objects on one line or indented.
-#include "routes/news_lines.h"
+#include "routes/json_stream_splitter.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/kept_links_test.cpp
+++ b/tests/link_reliability_test.cpp
@@ -1,5 +1,5 @@
 // Which keep-alive connections are reliable enough for a job, in simulated time.
-#include "branch/kept_links.h"
+#include "branch/link_reliability.h"
 
 #include <gtest/gtest.h>
 
