--- a/src/dataplane/client_connection.cpp
+++ b/src/dataplane/client_connection.cpp
@@ -150,7 +150,8 @@
   if (end == HttpConnection::End::kMalformed && http_->head_too_large())
     return Reject(431, "the request head is too large: send at most " +
                            std::to_string(context_->Limits().max_head_bytes) + " bytes");
-  if (end == HttpConnection::End::kMalformed) return Reject(400, "malformed HTTP/1.1 request");
+  if (end == HttpConnection::End::kMalformed)
+    return Reject(400, "malformed HTTP/1.1 request: correct the request");
   waiting_request_.reset();
   const auto exchange = std::exchange(exchange_number_, 0);
   if (exchange != 0) exchanges_->OnClientDisconnect(exchange);
--- a/src/dataplane/request.cpp
+++ b/src/dataplane/request.cpp
@@ -131,7 +131,9 @@
   if (const std::string_view ms = HeaderValue(message, header::kDeadline); !ms.empty()) {
     const auto number = ParseNumber(ms, kMaxTimeoutMs);
     if (!number)
-      return RequestError{400, std::string(header::kDeadline) + " is not a valid number of milliseconds"};
+      return RequestError{400,
+                          std::string(header::kDeadline) +
+                              " is not a valid number of milliseconds: send a number from 0 to 86400000"};
     request.timeout = static_cast<Time>(*number * kMillisecond);
   }
   request.authorization = HeaderValue(message, header::kAuthorization);
